--- a/crates/cli/benches/cost.rs
+++ b/crates/cli/benches/cost.rs
@@ -8,7 +8,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-use baydrift_diameter::credit::{self, Ends, RequestType};
+use baydrift_diameter::credit::{self, Endpoints, RequestType};
 use baydrift_diameter::{code, dict, result, Avp, Codec, Frame, Message};
 use bytes::BytesMut;
 use futures_util::{SinkExt, StreamExt};
@@ -55,7 +55,7 @@
 async fn serve(mut wire: Framed<TcpStream, Codec>) {
     while let Some(Ok(frame)) = wire.next().await {
         let mut next = Some(frame);
-        while let Some(Frame::Good(request)) = next {
+        while let Some(Frame::Valid(request)) = next {
             if request.header.flags.request {
                 let answer = match request.header.code {
                     code::CREDIT_CONTROL => credit::answer(&request, result::SUCCESS, "s0.test", "test"),
@@ -153,7 +153,12 @@
 // --- clients ---
 
 fn ccr(session: &str, kind: RequestType) -> Message {
-    let ends = Ends { host: "c.test", realm: "test", to_realm: "test", to_host: None };
+    let ends = Endpoints {
+        origin_host: "c.test",
+        origin_realm: "test",
+        destination_realm: "test",
+        destination_host: None,
+    };
     credit::request(ends, session, "grid@test", kind, u32::from(kind != RequestType::Initial))
         .with(Avp::text(dict::CALLED_STATION_ID, "5550100"))
 }
@@ -187,7 +192,7 @@
             wire.flush().await.expect("sent");
             while begun.elapsed() < span {
                 let mut frame = wire.next().await;
-                while let Some(Some(Ok(Frame::Good(answer)))) = Some(frame.take()) {
+                while let Some(Some(Ok(Frame::Valid(answer)))) = Some(frame.take()) {
                     let id = answer.header.hop_by_hop;
                     if answer.header.flags.request {
                         let dwa = introduce(Message::answer(&answer, result::SUCCESS), "c.test");
@@ -235,7 +240,7 @@
                         due += every;
                     }
                     frame = wire.next() => {
-                        let Some(Ok(Frame::Good(answer))) = frame else { break };
+                        let Some(Ok(Frame::Valid(answer))) = frame else { break };
                         let id = answer.header.hop_by_hop;
                         if answer.header.flags.request {
                             let dwa = introduce(Message::answer(&answer, result::SUCCESS), "c.test");
@@ -329,7 +334,7 @@
                 let mut stood = 0;
                 let mut answered = 0;
                 while answered < 100 {
-                    let Some(Ok(Frame::Good(answer))) = wire.next().await else { break };
+                    let Some(Ok(Frame::Valid(answer))) = wire.next().await else { break };
                     if answer.header.flags.request {
                         let dwa = introduce(Message::answer(&answer, result::SUCCESS), "c.test");
                         wire.send(dwa).await.expect("sent");
@@ -376,7 +381,7 @@
     let bytes = wire.clone();
     let decode = each(&mut || {
         let mut from = bytes.clone();
-        while let Ok(Some(Frame::Good(message))) = codec.decode(&mut from) {
+        while let Ok(Some(Frame::Valid(message))) = codec.decode(&mut from) {
             std::hint::black_box(&message);
         }
     });
--- a/crates/day/src/processes/net.rs
+++ b/crates/day/src/processes/net.rs
@@ -322,7 +322,7 @@
         }
         self.bytes.extend_from_slice(bytes);
         while let Ok(Some(frame)) = self.codec.decode(&mut self.bytes) {
-            let Frame::Good(message) = frame else { continue };
+            let Frame::Valid(message) = frame else { continue };
             let Ok(ccr) = Ccr::read(&message) else { continue };
             let attempt = ccr.session.to_owned();
             let call = (ccr.request_type == RequestType::Initial)
--- a/crates/desk/src/commands.rs
+++ b/crates/desk/src/commands.rs
@@ -4,7 +4,7 @@
 
 use baydrift::interface::Micros;
 use baydrift_call::{Final, Input, LinkId, Offer, ReleaseResult, Request, Said, Session};
-use baydrift_diameter::credit::{self, Ccr, Ends, RequestType};
+use baydrift_diameter::credit::{self, Ccr, Endpoints, RequestType};
 use baydrift_diameter::{dict, Avp, Fault};
 use baydrift_exchange::{Do, Heard, Turn};
 use baydrift_h248::{
@@ -378,11 +378,11 @@
         };
         let get = |name| property(command, name);
         let session = format!("{};{};{context}", client.mid, self.boot);
-        let ends = Ends {
-            host: &self.host,
-            realm: &client.realm,
-            to_realm: get("bdc/realm").unwrap_or(self.table.first_realm()),
-            to_host: get("bdc/srv"),
+        let ends = Endpoints {
+            origin_host: &self.host,
+            origin_realm: &client.realm,
+            destination_realm: get("bdc/realm").unwrap_or(self.table.first_realm()),
+            destination_host: get("bdc/srv"),
         };
         let service = get("bdc/ctx").unwrap_or("");
         let mut message = credit::request(ends, &session, service, RequestType::Initial, 0);
--- a/crates/desk/src/desk.rs
+++ b/crates/desk/src/desk.rs
@@ -12,7 +12,7 @@
     Policy, ReleaseResult, Request, Said, Session, Sharing,
 };
 use baydrift_config::Config;
-use baydrift_diameter::credit::{self, Ccr, Ends, RequestType};
+use baydrift_diameter::credit::{self, Ccr, Endpoints, RequestType};
 use baydrift_diameter::{code, dict, load, result, Avp, Fault, Message, Remote};
 use baydrift_isup::Data;
 use baydrift_signalling::Office;
@@ -549,7 +549,7 @@
             Err(fault) => {
                 self.faults += 1;
                 debug!(peer = client.remote.host, code = fault.code, "{}", fault.text);
-                let message = Message::refusal(&message, &fault, &self.host, &self.realm);
+                let message = Message::error_answer(&message, &fault, &self.host, &self.realm);
                 return out.push(DeskOutput::ToClient { link, message });
             }
         };
@@ -658,8 +658,12 @@
         let Offered { call, request, far, number, reference, what } = offered;
         let session = self.session_of_trunk(self.trunk.host(*far), *call);
         let class = self.table.class(what.class);
-        let ends =
-            Ends { host: &self.host, realm: &self.realm, to_realm: self.table.first_realm(), to_host: None };
+        let ends = Endpoints {
+            origin_host: &self.host,
+            origin_realm: &self.realm,
+            destination_realm: self.table.first_realm(),
+            destination_host: None,
+        };
         let mut message = credit::request(ends, &session.id, class.0, RequestType::Initial, 0);
         if !number.is_empty() {
             message.push(Avp::text(dict::CALLED_STATION_ID, number));
@@ -742,7 +746,7 @@
                     ReleaseResult::Unknown => result::UNKNOWN_SESSION_ID,
                 };
                 if let Some((asked, _)) = self.tickets.remove(&request) {
-                    let message = credit::answer_by(&asked, code, &self.origin);
+                    let message = credit::answer_with_origin(&asked, code, &self.origin);
                     out.push(DeskOutput::ToClient { link: request.link, message });
                 }
             }
@@ -760,11 +764,11 @@
                 let Some(client) = self.clients.get(&link) else { return };
                 // A relay's callers are behind it: a Session-Id begins with its origin's name.
                 let origin = session.id.split(';').next().filter(|_| client.relay);
-                let ends = Ends {
-                    host: &self.host,
-                    realm: &self.realm,
-                    to_realm: &client.remote.realm,
-                    to_host: Some(origin.unwrap_or(&session.owner)),
+                let ends = Endpoints {
+                    origin_host: &self.host,
+                    origin_realm: &self.realm,
+                    destination_realm: &client.remote.realm,
+                    destination_host: Some(origin.unwrap_or(&session.owner)),
                 };
                 out.push(DeskOutput::ToClient { link, message: credit::abort(ends, &session.id) });
             }
@@ -784,7 +788,7 @@
         let Some((asked, span)) = self.tickets.remove(&request) else { return };
         let (code, text) = code_of(answer);
         span.in_scope(|| debug!(code, "final answer"));
-        let mut message = credit::answer_by(&asked, code, &self.origin);
+        let mut message = credit::answer_with_origin(&asked, code, &self.origin);
         message.avps.extend(text.map(|text| Avp::text(dict::ERROR_MESSAGE, text)));
         if let Final::Refused { retry_after, .. } = answer {
             if retry_after > 0 {
--- a/crates/desk/src/links.rs
+++ b/crates/desk/src/links.rs
@@ -113,7 +113,7 @@
         if kind == Kind::SetUp && now > said_at.saturating_add(STALLED) {
             return Asked::Stale(DeskInput::Unsent(attempt));
         }
-        let hop_by_hop = self.peer.stamp(&mut message);
+        let hop_by_hop = self.peer.assign_ids(&mut message);
         self.transit.sent(hop_by_hop, attempt, kind);
         Asked::Send(side, message)
     }
@@ -192,7 +192,7 @@
     /// A message for the client: a request gets its ids.
     pub fn outgoing(&mut self, mut message: Message) -> Message {
         if message.header.flags.request {
-            self.peer.stamp(&mut message);
+            self.peer.assign_ids(&mut message);
         }
         message
     }
--- a/crates/desk/tests/desk.rs
+++ b/crates/desk/tests/desk.rs
@@ -7,7 +7,7 @@
     code_of, end_of, local, number_of, Asked, Boot, Desk, DeskInput, DeskOutput, Doors, Kind, LinkOutput,
     Opened, PoolEntry, PoolError, PoolList, ServerLink, Table, Transit,
 };
-use baydrift_diameter::credit::{self, Ccr, Ends, RequestType};
+use baydrift_diameter::credit::{self, Ccr, Endpoints, RequestType};
 use baydrift_diameter::{code, dict, load, result, Avp, Frame, Local, Message, PeerInput, Remote, Side};
 
 fn config() -> Config {
@@ -27,7 +27,12 @@
 }
 
 fn ccr(session: &str, kind: RequestType) -> Message {
-    let ends = Ends { host: "c1.test", realm: "gulf.test", to_realm: "core.test", to_host: Some("s1.test") };
+    let ends = Endpoints {
+        origin_host: "c1.test",
+        origin_realm: "gulf.test",
+        destination_realm: "core.test",
+        destination_host: Some("s1.test"),
+    };
     let mut message = credit::request(ends, session, "check@test", kind, 0);
     (message.header.hop_by_hop, message.header.end_to_end) = (3, 4);
     message
@@ -145,7 +150,7 @@
     // The rest as the front said it of itself.
     let origin = [dict::ORIGIN_HOST, dict::ORIGIN_REALM];
     cea.avps.extend(cer.avps.iter().filter(|avp| !origin.contains(&avp.code)).cloned());
-    link.handle(0, PeerInput::Received(Side::Initiator, Frame::Good(cea)), &mut out);
+    link.handle(0, PeerInput::Received(Side::Initiator, Frame::Valid(cea)), &mut out);
     assert!(link.side().is_some(), "{out:?}");
     link
 }
@@ -175,7 +180,7 @@
 #[test]
 fn a_set_up_has_a_session_of_its_own_and_keeps_what_the_caller_said() {
     let mut w = World::new();
-    let extra = Avp { mandatory: false, ..Avp::of_vendor(77, 5, vec![1, 2]) };
+    let extra = Avp { mandatory: false, ..Avp::vendor_specific(77, 5, vec![1, 2]) };
     let out = w.ask(
         ccr("c1.test;1", RequestType::Initial).with(extra.clone()).with(Avp::text(dict::ROUTE_RECORD, "p")),
     );
@@ -199,7 +204,12 @@
     assert!(
         matches!(&out[..], [DeskOutput::ToClient { message, .. }] if message.result() == result::SUCCESS)
     );
-    let ends = Ends { host: "s1.test", realm: "core.test", to_realm: "test", to_host: None };
+    let ends = Endpoints {
+        origin_host: "s1.test",
+        origin_realm: "core.test",
+        destination_realm: "test",
+        destination_host: None,
+    };
     let codes = |out: &[DeskOutput]| -> Vec<u32> {
         out.iter()
             .map(|o| match o {
--- a/crates/desk/tests/differential.rs
+++ b/crates/desk/tests/differential.rs
@@ -5,7 +5,7 @@
 
 use baydrift_call::LinkId;
 use baydrift_desk::{Boot, Desk, DeskInput, DeskOutput, Kind, Opened};
-use baydrift_diameter::credit::{self, Ends, RequestType};
+use baydrift_diameter::credit::{self, Endpoints, RequestType};
 use baydrift_diameter::{dict, load, result, Avp, Message, Remote};
 use baydrift_h248::{parse, Body, ReplyBody, Transaction};
 
@@ -149,7 +149,12 @@
 fn request_of(n: u64) -> DeskInput {
     let Call { context, subscription, number, server, .. } = call(n);
     let host = format!("s{server}.test");
-    let ends = Ends { host: "c.test", realm: "test", to_realm: "core.test", to_host: Some(&host) };
+    let ends = Endpoints {
+        origin_host: "c.test",
+        origin_realm: "test",
+        destination_realm: "core.test",
+        destination_host: Some(&host),
+    };
     let message = credit::request(ends, &format!("c.test;1;{n}"), context, RequestType::Initial, 0)
         .with(Avp::text(dict::CALLED_STATION_ID, &number.to_string()))
         .with(Avp::group(
--- a/crates/desk/tests/text.rs
+++ b/crates/desk/tests/text.rs
@@ -4,7 +4,7 @@
 
 use baydrift_call::{AttemptId, LinkId};
 use baydrift_desk::{Boot, Desk, DeskInput, DeskOutput, Kind};
-use baydrift_diameter::credit::{self, Ends};
+use baydrift_diameter::credit::{self, Endpoints};
 use baydrift_diameter::{dict, result, Message};
 use baydrift_h248::{parse, Body, ReplyBody, Transaction};
 
@@ -304,7 +304,12 @@
     let attempt = w.asked[0].1;
     w.answer(result::SUCCESS);
     w.a("K{2}");
-    let ends = Ends { host: "s1.test", realm: "core.test", to_realm: "test", to_host: None };
+    let ends = Endpoints {
+        origin_host: "s1.test",
+        origin_realm: "core.test",
+        destination_realm: "test",
+        destination_host: None,
+    };
     let message = credit::abort(ends, &format!("f.test;9-9;{}", attempt.0));
     w.hear(DeskInput::ServerRequest { server: 1, message });
     let said = w.said.remove(&A).unwrap();
--- a/crates/desk/tests/trunk.rs
+++ b/crates/desk/tests/trunk.rs
@@ -2,9 +2,9 @@
 
 use baydrift_call::LinkId;
 use baydrift_desk::{Boot, Desk, DeskInput, DeskOutput, Kind, Opened};
-use baydrift_diameter::credit::{self, Ends, RequestType};
+use baydrift_diameter::credit::{self, Endpoints, RequestType};
 use baydrift_diameter::{code, dict, Avp, Message, Remote};
-use baydrift_isup::{cause, CalledNumber, Data, Iam, Kind as Isup, Message as Signal, Range};
+use baydrift_isup::{cause, CalledNumber, Data, Iam, Message as Signal, MessageType as Isup, Range};
 use baydrift_trunk::GroupId;
 
 const OWN: u32 = 11;
@@ -50,7 +50,7 @@
         for reset in resets {
             let range = reset.range().expect("a range");
             let status = vec![false; range.circuits()];
-            let ack = Signal::ranged(Isup::Gra, reset.cic, &Range { range: range.range, status });
+            let ack = Signal::with_range(Isup::Gra, reset.cic, &Range { range: range.range, status });
             self.say(&ack);
         }
     }
@@ -70,7 +70,12 @@
     }
 
     fn ask(&mut self, session: &str, kind: RequestType) -> Vec<DeskOutput> {
-        let ends = Ends { host: "c1.test", realm: "gulf.test", to_realm: "core.test", to_host: None };
+        let ends = Endpoints {
+            origin_host: "c1.test",
+            origin_realm: "gulf.test",
+            destination_realm: "core.test",
+            destination_host: None,
+        };
         let mut message = credit::request(ends, session, "grid@test", kind, 0);
         message.push(Avp::text(dict::CALLED_STATION_ID, "5550123"));
         self.hear(DeskInput::ClientRequest { link: LinkId(1), message })
@@ -156,7 +161,7 @@
     // All circuits are blocked from there: free lines are none, as the module is told.
     for first in [1, 33] {
         let range = Range { range: 1, status: vec![true; 2] };
-        assert_eq!(kinds(&w.say(&Signal::ranged(Isup::Cgb, first, &range))), [Isup::Cgba]);
+        assert_eq!(kinds(&w.say(&Signal::with_range(Isup::Cgb, first, &range))), [Isup::Cgba]);
     }
     assert_eq!(w.free(), 0);
     w.hear(DeskInput::ServerUp { server: 0, state_id: Some(1) });
@@ -174,7 +179,7 @@
         let mut w = World::new(CONFIG);
         w.up();
         let sent = w.seize("c1.test;1");
-        let out = w.say(&Signal::caused(Isup::Rel, sent.cic, why));
+        let out = w.say(&Signal::with_cause(Isup::Rel, sent.cic, why));
         assert_eq!(kinds(&out)[0], Isup::Rlc, "cause {why}");
         // The far end has nothing of it any more: what is out now, if anything, is on a circuit of its own.
         let again = signals(&out).iter().filter(|signal| signal.kind == Isup::Iam).count();
@@ -226,7 +231,7 @@
         let out = w.hear(DeskInput::ServerAnswer { server: 0, attempt, kind: Kind::SetUp, message });
         assert_eq!(kinds(&out), [Isup::Anm]);
         // Its caller is done: the server hears so.
-        let out = w.say(&Signal::caused(Isup::Rel, cic, cause::NORMAL_CLEARING));
+        let out = w.say(&Signal::with_cause(Isup::Rel, cic, cause::NORMAL_CLEARING));
         assert_eq!(kinds(&out), [Isup::Rlc]);
         let released = |o: &DeskOutput| matches!(o, DeskOutput::ToServer { kind: Kind::Release, .. });
         assert!(out.iter().any(released));
--- a/crates/diameter/src/avp.rs
+++ b/crates/diameter/src/avp.rs
@@ -6,7 +6,7 @@
 use crate::fault::{result, Fault};
 
 /// Grouped AVPs nested deeper than this are refused: guards against a stack that the peer chooses.
-pub const DEPTH_MAX: usize = 8;
+pub const MAX_GROUP_DEPTH: usize = 8;
 
 const VENDOR: u8 = 0x80;
 const MANDATORY: u8 = 0x40;
@@ -35,7 +35,7 @@
     }
 
     /// A vendor's AVP, not mandatory.
-    pub fn of_vendor(vendor: u32, code: u32, data: impl Into<Bytes>) -> Self {
+    pub fn vendor_specific(vendor: u32, code: u32, data: impl Into<Bytes>) -> Self {
         Self { code, vendor, mandatory: false, protected: false, data: data.into() }
     }
 
@@ -101,7 +101,7 @@
     }
 
     /// Bytes that [`Avp::write`] appends.
-    pub fn written_len(&self) -> usize {
+    pub fn encoded_len(&self) -> usize {
         padded(self.header_len() + self.data.len())
     }
 
@@ -135,14 +135,14 @@
 }
 
 /// AVPs of most messages; room for so many is made at once.
-pub(crate) const USUAL: usize = 16;
+pub(crate) const TYPICAL_AVP_COUNT: usize = 16;
 
 /// All AVPs of a message's or group's body. The last one's padding may be missing inside a group.
 ///
 /// # Errors
 /// 5014 with the AVP that has no room for what its header says (its data cut to what is there).
 pub(crate) fn parse_all(mut body: Bytes) -> Result<Vec<Avp>, Fault> {
-    let mut avps = Vec::with_capacity(if body.len() > 128 { USUAL } else { 0 });
+    let mut avps = Vec::with_capacity(if body.len() > 128 { TYPICAL_AVP_COUNT } else { 0 });
     while !body.is_empty() {
         avps.push(parse(&mut body)?);
     }
--- a/crates/diameter/src/codec.rs
+++ b/crates/diameter/src/codec.rs
@@ -4,15 +4,15 @@
 use tokio_util::codec::{Decoder, Encoder};
 
 use crate::fault::{result, Fault, StreamError};
-use crate::message::{Flags, Header, Message, HEADER};
+use crate::message::{Flags, Header, Message, HEADER_LEN};
 
 /// What one read gives: a message, or one whose header is sound and whose rest is not.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Frame {
     /// A message.
-    Good(Message),
+    Valid(Message),
     /// A message that can be answered, but not taken: header and what could be read of it.
-    Bad(Message, Fault),
+    Invalid(Message, Fault),
 }
 
 /// Messages up to a length. Memory: at most one message beyond what the transport reads at once.
@@ -39,7 +39,7 @@
             return Err(StreamError::Version(start[0]));
         }
         let length = usize::from(start[1]) << 16 | usize::from(start[2]) << 8 | usize::from(start[3]);
-        if length < HEADER || length % 4 != 0 {
+        if length < HEADER_LEN || length % 4 != 0 {
             return Err(StreamError::Length(length));
         }
         if length > self.max_message {
@@ -63,15 +63,15 @@
         let bare = Message { header, avps: Vec::new() };
         if reserved {
             let fault = Fault::new(result::INVALID_BIT_IN_HEADER, "a reserved command flag is set");
-            return Ok(Some(Frame::Bad(bare, fault)));
+            return Ok(Some(Frame::Invalid(bare, fault)));
         }
         if flags.request && flags.error || !flags.request && flags.retransmitted {
             let fault = Fault::new(result::INVALID_HDR_BITS, "command flags that exclude each other are set");
-            return Ok(Some(Frame::Bad(bare, fault)));
+            return Ok(Some(Frame::Invalid(bare, fault)));
         }
         Ok(Some(match Message::parse(header, body) {
-            Ok(message) => Frame::Good(message),
-            Err(fault) => Frame::Bad(bare, fault),
+            Ok(message) => Frame::Valid(message),
+            Err(fault) => Frame::Invalid(bare, fault),
         }))
     }
 }
@@ -80,7 +80,7 @@
     type Error = StreamError;
 
     fn encode(&mut self, message: Message, to: &mut BytesMut) -> Result<(), StreamError> {
-        let length = message.written_len();
+        let length = message.encoded_len();
         if length > self.max_message {
             return Err(StreamError::TooLong { length, most: self.max_message });
         }
--- a/crates/diameter/src/credit.rs
+++ b/crates/diameter/src/credit.rs
@@ -67,7 +67,7 @@
     /// 5005, 5009 or 5004 with Failed-AVP.
     pub fn read(message: &'a Message) -> Result<Self, Fault> {
         let text = |code| -> Result<&'a str, Fault> {
-            let avp = dict::need(message, code)?;
+            let avp = dict::require(message, code)?;
             avp.as_text().ok_or_else(|| Fault::new(result::INVALID_AVP_VALUE, "not UTF-8").with(avp.clone()))
         };
         let session = text(dict::SESSION_ID)?;
@@ -75,16 +75,16 @@
             let fault = Fault::new(result::INVALID_AVP_VALUE, "Session-Id is empty");
             return Err(fault.with(Avp::text(dict::SESSION_ID, "")));
         }
-        let application = dict::need(message, dict::AUTH_APPLICATION_ID)?;
+        let application = dict::require(message, dict::AUTH_APPLICATION_ID)?;
         if application.as_u32() != Some(APPLICATION) {
             let fault = Fault::new(result::INVALID_AVP_VALUE, "Auth-Application-Id is not 4");
             return Err(fault.with(application.clone()));
         }
-        let kind = dict::need(message, dict::CC_REQUEST_TYPE)?;
+        let kind = dict::require(message, dict::CC_REQUEST_TYPE)?;
         let request_type = kind.as_u32().and_then(RequestType::of).ok_or_else(|| {
             Fault::new(result::INVALID_AVP_VALUE, "CC-Request-Type is none of 1 to 4").with(kind.clone())
         })?;
-        let number = dict::need(message, dict::CC_REQUEST_NUMBER)?;
+        let number = dict::require(message, dict::CC_REQUEST_NUMBER)?;
         Ok(Self {
             session,
             origin_host: text(dict::ORIGIN_HOST)?,
@@ -108,29 +108,35 @@
 
 /// Who sends a request, and to which realm.
 #[derive(Debug, Clone, Copy)]
-pub struct Ends<'a> {
+pub struct Endpoints<'a> {
     /// Origin-Host.
-    pub host: &'a str,
+    pub origin_host: &'a str,
     /// Origin-Realm.
-    pub realm: &'a str,
+    pub origin_realm: &'a str,
     /// Destination-Realm.
-    pub to_realm: &'a str,
+    pub destination_realm: &'a str,
     /// Destination-Host.
-    pub to_host: Option<&'a str>,
+    pub destination_host: Option<&'a str>,
 }
 
 /// A CCR with what section 3.1 wants in it.
-pub fn request(ends: Ends<'_>, session: &str, context: &str, kind: RequestType, number: u32) -> Message {
+pub fn request(
+    endpoints: Endpoints<'_>,
+    session: &str,
+    context: &str,
+    kind: RequestType,
+    number: u32,
+) -> Message {
     let mut message = Message::request(code::CREDIT_CONTROL, APPLICATION)
         .with(Avp::text(dict::SESSION_ID, session))
-        .with(Avp::text(dict::ORIGIN_HOST, ends.host))
-        .with(Avp::text(dict::ORIGIN_REALM, ends.realm))
-        .with(Avp::text(dict::DESTINATION_REALM, ends.to_realm))
+        .with(Avp::text(dict::ORIGIN_HOST, endpoints.origin_host))
+        .with(Avp::text(dict::ORIGIN_REALM, endpoints.origin_realm))
+        .with(Avp::text(dict::DESTINATION_REALM, endpoints.destination_realm))
         .with(Avp::u32(dict::AUTH_APPLICATION_ID, APPLICATION))
         .with(Avp::text(dict::SERVICE_CONTEXT_ID, context))
         .with(Avp::u32(dict::CC_REQUEST_TYPE, kind.value()))
         .with(Avp::u32(dict::CC_REQUEST_NUMBER, number));
-    if let Some(host) = ends.to_host {
+    if let Some(host) = endpoints.destination_host {
         message.push(Avp::text(dict::DESTINATION_HOST, host));
     }
     message
@@ -138,7 +144,7 @@
 
 /// A CCA to a CCR (section 3.2): what the request names comes back.
 pub fn answer(request: &Message, result_code: u32, host: &str, realm: &str) -> Message {
-    answer_by(
+    answer_with_origin(
         request,
         result_code,
         &[Avp::text(dict::ORIGIN_HOST, host), Avp::text(dict::ORIGIN_REALM, realm)],
@@ -146,7 +152,7 @@
 }
 
 /// The same, by an end whose Origin-Host and Origin-Realm are made already.
-pub fn answer_by(request: &Message, result_code: u32, origin: &[Avp; 2]) -> Message {
+pub fn answer_with_origin(request: &Message, result_code: u32, origin: &[Avp; 2]) -> Message {
     let mut answer = Message::answer(request, result_code);
     answer.avps.extend(origin.iter().cloned());
     for code in [dict::AUTH_APPLICATION_ID, dict::CC_REQUEST_TYPE, dict::CC_REQUEST_NUMBER] {
@@ -156,13 +162,13 @@
 }
 
 /// An ASR (RFC 6733, section 8.5.1).
-pub fn abort(ends: Ends<'_>, session: &str) -> Message {
+pub fn abort(endpoints: Endpoints<'_>, session: &str) -> Message {
     let mut message = Message::request(code::ABORT_SESSION, APPLICATION)
         .with(Avp::text(dict::SESSION_ID, session))
-        .with(Avp::text(dict::ORIGIN_HOST, ends.host))
-        .with(Avp::text(dict::ORIGIN_REALM, ends.realm))
-        .with(Avp::text(dict::DESTINATION_REALM, ends.to_realm));
-    if let Some(host) = ends.to_host {
+        .with(Avp::text(dict::ORIGIN_HOST, endpoints.origin_host))
+        .with(Avp::text(dict::ORIGIN_REALM, endpoints.origin_realm))
+        .with(Avp::text(dict::DESTINATION_REALM, endpoints.destination_realm));
+    if let Some(host) = endpoints.destination_host {
         message.push(Avp::text(dict::DESTINATION_HOST, host));
     }
     message.push(Avp::u32(dict::AUTH_APPLICATION_ID, APPLICATION));
--- a/crates/diameter/src/dict.rs
+++ b/crates/diameter/src/dict.rs
@@ -1,7 +1,7 @@
 //! The dictionary: RFC 6733 (section 4.5), RFC 8506 (section 8), RFC 7683 (section 7), RFC 8583 (section 7),
 //! and the few AVPs of RFC 2865 that they use.
 
-use crate::avp::{Avp, DEPTH_MAX};
+use crate::avp::{Avp, MAX_GROUP_DEPTH};
 use crate::fault::{result, Fault};
 use crate::message::Message;
 
@@ -443,8 +443,8 @@
             let text = format!("{}: not UTF-8", def.name);
             Err(Fault::new(result::INVALID_AVP_VALUE, text).with(avp.clone()))
         }
-        Kind::Grouped if depth >= DEPTH_MAX => {
-            let text = format!("{}: groups nested deeper than {DEPTH_MAX}", def.name);
+        Kind::Grouped if depth >= MAX_GROUP_DEPTH => {
+            let text = format!("{}: groups nested deeper than {MAX_GROUP_DEPTH}", def.name);
             Err(Fault::new(result::INVALID_AVP_VALUE, text)
                 .with(Avp { data: Default::default(), ..avp.clone() }))
         }
@@ -459,7 +459,7 @@
 ///
 /// # Errors
 /// 5005 with an empty example in Failed-AVP, 5009 where it comes twice.
-pub fn need(message: &Message, code: u32) -> Result<&Avp, Fault> {
+pub fn require(message: &Message, code: u32) -> Result<&Avp, Fault> {
     let mut all = message.all(code);
     let name = find(0, code).map_or("AVP", |def| def.name);
     let Some(first) = all.next() else {
--- a/crates/diameter/src/lib.rs
+++ b/crates/diameter/src/lib.rs
@@ -17,13 +17,13 @@
 mod peer;
 mod watchdog;
 
-pub use avp::{Avp, DEPTH_MAX};
+pub use avp::{Avp, MAX_GROUP_DEPTH};
 pub use codec::{Codec, Frame};
 pub use fault::{result, Fault, StreamError};
 pub use message::{code, Flags, Header, Message};
 pub use peer::{
-    cause, elect, read_capabilities, Local, Peer, PeerInput, PeerOutput, Reason, Remote, Side, State,
-    TRANSIENT,
+    cause, read_capabilities, wins_election, Local, Peer, PeerInput, PeerOutput, Reason, Remote, Side, State,
+    HANDSHAKE_TIMEOUT,
 };
 pub use watchdog::{Watchdog, WatchdogAction, WatchdogEvent, WatchdogState};
 
--- a/crates/diameter/src/load.rs
+++ b/crates/diameter/src/load.rs
@@ -130,7 +130,7 @@
 }
 
 fn vendor_u32(code: u32, value: u32) -> Avp {
-    Avp::of_vendor(VENDOR, code, value.to_be_bytes().to_vec())
+    Avp::vendor_specific(VENDOR, code, value.to_be_bytes().to_vec())
 }
 
 /// Advice to stay away, for an answer that refuses.
--- a/crates/diameter/src/message.rs
+++ b/crates/diameter/src/message.rs
@@ -2,7 +2,7 @@
 
 use bytes::{BufMut, Bytes, BytesMut};
 
-use crate::avp::{parse_all, Avp, USUAL};
+use crate::avp::{parse_all, Avp, TYPICAL_AVP_COUNT};
 use crate::dict;
 use crate::fault::{result, Fault};
 
@@ -65,7 +65,7 @@
 }
 
 /// Bytes of a header.
-pub(crate) const HEADER: usize = 20;
+pub(crate) const HEADER_LEN: usize = 20;
 
 /// A message.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -83,7 +83,7 @@
         let flags = Flags { request: true, proxiable, ..Flags::default() };
         Self {
             header: Header { flags, code, application, ..Header::default() },
-            avps: Vec::with_capacity(USUAL),
+            avps: Vec::with_capacity(TYPICAL_AVP_COUNT),
         }
     }
 
@@ -96,7 +96,8 @@
             retransmitted: false,
             ..request.header.flags
         };
-        let mut answer = Self { header: Header { flags, ..request.header }, avps: Vec::with_capacity(USUAL) };
+        let mut answer =
+            Self { header: Header { flags, ..request.header }, avps: Vec::with_capacity(TYPICAL_AVP_COUNT) };
         answer.avps.extend(request.find(dict::SESSION_ID).cloned());
         answer.push(Avp::u32(dict::RESULT_CODE, result_code));
         answer.avps.extend(request.all(dict::PROXY_INFO).cloned());
@@ -104,7 +105,7 @@
     }
 
     /// The answer that a fault asks for, with Error-Message and Failed-AVP.
-    pub fn refusal(request: &Message, fault: &Fault, host: &str, realm: &str) -> Self {
+    pub fn error_answer(request: &Message, fault: &Fault, host: &str, realm: &str) -> Self {
         let mut answer = Self::answer(request, fault.code);
         answer.push(Avp::text(dict::ORIGIN_HOST, host));
         answer.push(Avp::text(dict::ORIGIN_REALM, realm));
@@ -156,13 +157,13 @@
     }
 
     /// Bytes that [`Message::write`] appends.
-    pub fn written_len(&self) -> usize {
-        HEADER + self.avps.iter().map(Avp::written_len).sum::<usize>()
+    pub fn encoded_len(&self) -> usize {
+        HEADER_LEN + self.avps.iter().map(Avp::encoded_len).sum::<usize>()
     }
 
     /// Appends the message.
     pub fn write(&self, to: &mut BytesMut) {
-        let length = self.written_len();
+        let length = self.encoded_len();
         to.reserve(length);
         to.put_u32(1 << 24 | (length as u32 & 0x00ff_ffff));
         to.put_u32(u32::from(self.header.flags.byte()) << 24 | (self.header.code & 0x00ff_ffff));
--- a/crates/diameter/src/peer.rs
+++ b/crates/diameter/src/peer.rs
@@ -183,7 +183,7 @@
 }
 
 /// Time for a connection, a CEA or a DPA.
-pub const TRANSIENT: Micros = 5_000_000;
+pub const HANDSHAKE_TIMEOUT: Micros = 5_000_000;
 
 /// A peer that said it leaves may finish what it holds for so long.
 const LINGER: Micros = 60_000_000;
@@ -204,7 +204,7 @@
             expect,
             state: State::Closed,
             watchdog: Watchdog::new(watchdog),
-            patience: TRANSIENT.min(watchdog.saturating_mul(2).max(1)),
+            patience: HANDSHAKE_TIMEOUT.min(watchdog.saturating_mul(2).max(1)),
             timeout_at: Micros::MAX,
             cer: None,
             usable: false,
@@ -237,7 +237,7 @@
     }
 
     /// Gives a request its ids: a new hop-by-hop one, and a new end-to-end one where it has none.
-    pub fn stamp(&mut self, message: &mut Message) -> u32 {
+    pub fn assign_ids(&mut self, message: &mut Message) -> u32 {
         self.hop_by_hop = self.hop_by_hop.wrapping_add(1);
         message.header.hop_by_hop = self.hop_by_hop;
         if message.header.end_to_end == 0 {
@@ -312,7 +312,7 @@
             _ => {
                 let text = "another transport of this peer is in use";
                 let fault = Fault::new(result::UNABLE_TO_COMPLY, text);
-                out.push(PeerOutput::Reject(self.refusal(&cer, &fault)));
+                out.push(PeerOutput::Reject(self.error_answer(&cer, &fault)));
                 out.push(PeerOutput::Refused(fault.code));
             }
         }
@@ -322,7 +322,7 @@
     /// (section 5.6.4).
     fn election(&mut self, now: Micros, out: &mut Vec<PeerOutput>) {
         let theirs = self.cer.as_ref().and_then(|cer| cer.text(dict::ORIGIN_HOST)).unwrap_or("");
-        if elect(&self.local.host, theirs) {
+        if wins_election(&self.local.host, theirs) {
             out.push(PeerOutput::Close(Side::Initiator, Reason::Election));
             self.answer_cer(now, out);
         } else {
@@ -333,7 +333,7 @@
     fn send_cer(&mut self, out: &mut Vec<PeerOutput>) {
         let mut cer = Message::request(code::CAPABILITIES, 0);
         self.introduce(&mut cer);
-        self.stamp(&mut cer);
+        self.assign_ids(&mut cer);
         out.push(PeerOutput::Send(Side::Initiator, cer));
     }
 
@@ -360,7 +360,7 @@
                 self.open(now, Side::Responder, remote, out);
             }
             Err(fault) => {
-                out.push(PeerOutput::Send(Side::Responder, self.refusal(&cer, &fault)));
+                out.push(PeerOutput::Send(Side::Responder, self.error_answer(&cer, &fault)));
                 out.push(PeerOutput::Refused(fault.code));
                 out.push(PeerOutput::Close(Side::Responder, Reason::Capabilities(fault.code)));
                 self.close(now, Reason::Capabilities(fault.code), out);
@@ -387,8 +387,8 @@
             return;
         }
         let message = match frame {
-            Frame::Good(message) => message,
-            Frame::Bad(message, fault) => return self.refuse(side, &message, &fault, out),
+            Frame::Valid(message) => message,
+            Frame::Invalid(message, fault) => return self.refuse(side, &message, &fault, out),
         };
         let is_dwa = message.header.code == code::WATCHDOG && !message.header.flags.request;
         if matches!(self.state, State::Open(_)) {
@@ -408,7 +408,7 @@
 
     fn received_cea(&mut self, now: Micros, frame: Frame, out: &mut Vec<PeerOutput>) {
         let reason = match frame {
-            Frame::Good(cea) if cea.header.code == code::CAPABILITIES && !cea.header.flags.request => {
+            Frame::Valid(cea) if cea.header.code == code::CAPABILITIES && !cea.header.flags.request => {
                 match self.read_cea(&cea) {
                     Ok(remote) => {
                         if self.state == State::WaitReturns {
@@ -494,12 +494,12 @@
     fn refuse(&self, side: Side, message: &Message, fault: &Fault, out: &mut Vec<PeerOutput>) {
         out.push(PeerOutput::Refused(fault.code));
         if message.header.flags.request {
-            out.push(PeerOutput::Send(side, self.refusal(message, fault)));
+            out.push(PeerOutput::Send(side, self.error_answer(message, fault)));
         }
     }
 
-    fn refusal(&self, message: &Message, fault: &Fault) -> Message {
-        Message::refusal(message, fault, &self.local.host, &self.local.realm)
+    fn error_answer(&self, message: &Message, fault: &Fault) -> Message {
+        Message::error_answer(message, fault, &self.local.host, &self.local.realm)
     }
 
     fn signed(&self, message: Message) -> Message {
@@ -534,7 +534,7 @@
             State::Open(side) => {
                 let mut dpr = self.signed(Message::request(code::DISCONNECT, 0));
                 dpr.push(Avp::u32(dict::DISCONNECT_CAUSE, cause));
-                self.stamp(&mut dpr);
+                self.assign_ids(&mut dpr);
                 out.push(PeerOutput::Send(side, dpr));
                 self.go(now, State::Closing(side));
             }
@@ -579,7 +579,7 @@
             match (action, self.side()) {
                 (WatchdogAction::SendWatchdog, Some(side)) => {
                     let mut dwr = self.signed(Message::request(code::WATCHDOG, 0));
-                    self.stamp(&mut dwr);
+                    self.assign_ids(&mut dwr);
                     out.push(PeerOutput::Send(side, dwr));
                 }
                 (WatchdogAction::Failover, _) if event != WatchdogEvent::ConnectionDown => {
@@ -619,7 +619,7 @@
 }
 
 /// Whether this end wins an election: its name is the higher one, octet by octet (section 5.6.4).
-pub fn elect(ours: &str, theirs: &str) -> bool {
+pub fn wins_election(ours: &str, theirs: &str) -> bool {
     ours.as_bytes() > theirs.as_bytes()
 }
 
@@ -630,12 +630,12 @@
 /// end wants security within the stream.
 pub fn read_capabilities(message: &Message, local: &Local) -> Result<Remote, Fault> {
     dict::check(message)?;
-    let host = dict::need(message, dict::ORIGIN_HOST)?.as_text().unwrap_or("").to_owned();
-    let realm = dict::need(message, dict::ORIGIN_REALM)?.as_text().unwrap_or("").to_owned();
-    dict::need(message, dict::VENDOR_ID)?;
-    dict::need(message, dict::PRODUCT_NAME)?;
+    let host = dict::require(message, dict::ORIGIN_HOST)?.as_text().unwrap_or("").to_owned();
+    let realm = dict::require(message, dict::ORIGIN_REALM)?.as_text().unwrap_or("").to_owned();
+    dict::require(message, dict::VENDOR_ID)?;
+    dict::require(message, dict::PRODUCT_NAME)?;
     if message.find(dict::HOST_IP_ADDRESS).is_none() {
-        dict::need(message, dict::HOST_IP_ADDRESS)?;
+        dict::require(message, dict::HOST_IP_ADDRESS)?;
     }
     let mut theirs: Vec<u32> = message.all(dict::AUTH_APPLICATION_ID).filter_map(Avp::as_u32).collect();
     for group in message.all(dict::VENDOR_SPECIFIC_APPLICATION_ID) {
--- a/crates/diameter/tests/codec.rs
+++ b/crates/diameter/tests/codec.rs
@@ -3,7 +3,7 @@
 use std::io::Cursor;
 use std::sync::Arc;
 
-use baydrift_diameter::credit::{self, Ends, RequestType};
+use baydrift_diameter::credit::{self, Endpoints, RequestType};
 use baydrift_diameter::{dict, load, result, Avp, Codec, Frame, Header, Message, StreamError};
 use bytes::{BufMut, BytesMut};
 use diameter::avp::flags::M;
@@ -25,8 +25,12 @@
 }
 
 fn ccr() -> Message {
-    let ends =
-        Ends { host: "client.test", realm: "test", to_realm: "core.test", to_host: Some("s1.core.test") };
+    let ends = Endpoints {
+        origin_host: "client.test",
+        origin_realm: "test",
+        destination_realm: "core.test",
+        destination_host: Some("s1.core.test"),
+    };
     let mut message = credit::request(ends, "client.test;1;2", "grid@test", RequestType::Initial, 0);
     (message.header.hop_by_hop, message.header.end_to_end) = (7, 9);
     message.with(Avp::text(dict::CALLED_STATION_ID, "5550100"))
@@ -44,7 +48,7 @@
         let mut part = BytesMut::from(&whole[..cut]);
         assert!(Codec::default().decode(&mut part).expect("no error").is_none(), "cut at {cut}");
         part.extend_from_slice(&whole[cut..]);
-        assert_eq!(Codec::default().decode(&mut part).unwrap(), Some(Frame::Good(message.clone())));
+        assert_eq!(Codec::default().decode(&mut part).unwrap(), Some(Frame::Valid(message.clone())));
         assert!(part.is_empty());
     }
     assert_eq!(dict::check(&message), Ok(()));
@@ -83,7 +87,7 @@
     theirs.add_avp(dict::CC_TOTAL_OCTETS, None, M, Unsigned64::new(1 << 40).into());
     let mut raw = Vec::new();
     theirs.encode_to(&mut raw).unwrap();
-    let Ok(Some(Frame::Good(ours))) = read(BytesMut::from(&raw[..])) else { panic!("not read") };
+    let Ok(Some(Frame::Valid(ours))) = read(BytesMut::from(&raw[..])) else { panic!("not read") };
     assert_eq!(dict::check(&ours), Ok(()));
     let ccr = credit::Ccr::read(&ours).expect("complete");
     assert_eq!((ccr.session, ccr.request_type), ("oracle;1;3", RequestType::Initial));
@@ -130,23 +134,23 @@
         damage(&mut raw);
         raw.extend_from_slice(&good);
         let mut codec = Codec::default();
-        let Some(Frame::Bad(bare, fault)) = codec.decode(&mut raw).expect("goes on") else {
+        let Some(Frame::Invalid(bare, fault)) = codec.decode(&mut raw).expect("goes on") else {
             panic!("{what}")
         };
         assert_eq!((bare.header.hop_by_hop, fault.code), (7, code), "{what}");
         assert_eq!(fault.failed.is_some(), code == result::INVALID_AVP_LENGTH, "{what}");
-        assert_eq!(codec.decode(&mut raw).unwrap(), Some(Frame::Good(ccr())), "{what}");
+        assert_eq!(codec.decode(&mut raw).unwrap(), Some(Frame::Valid(ccr())), "{what}");
         // The answer that the fault asks for is itself in order.
-        let refusal = Message::refusal(&bare, &fault, "front.test", "test");
+        let refusal = Message::error_answer(&bare, &fault, "front.test", "test");
         assert_eq!(refusal.header.flags.error, result::is_protocol_error(code));
-        assert!(matches!(read(bytes(&refusal)), Ok(Some(Frame::Good(_)))));
+        assert!(matches!(read(bytes(&refusal)), Ok(Some(Frame::Valid(_)))));
     }
 }
 
 #[test]
 fn the_dictionary_turns_down_what_it_must() {
     let with = |avp: Avp| ccr().with(avp);
-    let unknown = Avp { mandatory: true, ..Avp::of_vendor(9999, 1, vec![1]) };
+    let unknown = Avp { mandatory: true, ..Avp::vendor_specific(9999, 1, vec![1]) };
     assert_eq!(fault_of(&with(unknown.clone())), result::AVP_UNSUPPORTED);
     assert_eq!(dict::check(&with(Avp { mandatory: false, ..unknown.clone() })), Ok(()));
     assert_eq!(fault_of(&with(Avp::new(dict::CC_TIME, vec![1, 2]))), result::INVALID_AVP_LENGTH);
@@ -246,7 +250,7 @@
     fn any_message_comes_back(avps in proptest::collection::vec(avp(), 0..12), ids in any::<[u32; 3]>()) {
         let header = Header { code: 272, application: ids[0], hop_by_hop: ids[1], end_to_end: ids[2], ..Header::default() };
         let message = Message { header, avps };
-        prop_assert_eq!(read(bytes(&message)).unwrap(), Some(Frame::Good(message)));
+        prop_assert_eq!(read(bytes(&message)).unwrap(), Some(Frame::Valid(message)));
     }
 
     #[test]
@@ -259,8 +263,8 @@
         let mut codec = Codec { max_message: 4096 };
         for _ in 0..20 {
             match codec.decode(&mut from) {
-                Ok(Some(Frame::Good(message))) => drop(dict::check(&message)),
-                Ok(Some(Frame::Bad(_, fault))) => prop_assert!(fault.code >= 3000),
+                Ok(Some(Frame::Valid(message))) => drop(dict::check(&message)),
+                Ok(Some(Frame::Invalid(_, fault))) => prop_assert!(fault.code >= 3000),
                 Ok(None) | Err(_) => break,
             }
         }
--- a/crates/diameter/tests/peers.rs
+++ b/crates/diameter/tests/peers.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use baydrift_diameter::credit::{self, Ends, RequestType};
+use baydrift_diameter::credit::{self, Endpoints, RequestType};
 use baydrift_diameter::{
     cause, code, dict, result, Avp, Frame, Local, Message, Micros, Peer, PeerInput, PeerOutput, Reason,
     Remote, Side, State, Watchdog, WatchdogAction, WatchdogEvent, WatchdogState,
@@ -45,7 +45,7 @@
 }
 
 fn good(message: &Message) -> Frame {
-    Frame::Good(message.clone())
+    Frame::Valid(message.clone())
 }
 
 /// An open pair: `a` has connected to `b`.
@@ -135,7 +135,12 @@
 }
 
 fn credit_request() -> Message {
-    let ends = Ends { host: "c.test", realm: "test", to_realm: "test", to_host: None };
+    let ends = Endpoints {
+        origin_host: "c.test",
+        origin_realm: "test",
+        destination_realm: "test",
+        destination_host: None,
+    };
     credit::request(ends, "c;1", "x@test", RequestType::Initial, 0)
 }
 
@@ -188,7 +193,7 @@
         (|m| m.avps.retain(|a| a.code != dict::AUTH_APPLICATION_ID), result::NO_COMMON_APPLICATION),
         (|m| m.avps.retain(|a| a.code != dict::HOST_IP_ADDRESS), result::MISSING_AVP),
         (|m| m.push(Avp::u32(dict::INBAND_SECURITY_ID, 1)), result::NO_COMMON_SECURITY),
-        (|m| m.push(Avp { mandatory: true, ..Avp::of_vendor(1, 1, vec![]) }), result::AVP_UNSUPPORTED),
+        (|m| m.push(Avp { mandatory: true, ..Avp::vendor_specific(1, 1, vec![]) }), result::AVP_UNSUPPORTED),
     ];
     for (damage, wanted) in cases {
         let mut bad = cer();
@@ -315,7 +320,7 @@
                 5 => PeerInput::Tick,
                 _ => PeerInput::Received(side, good(&message)),
             };
-            let requests = matches!(&input, PeerInput::Received(s, Frame::Good(m)) if m.header.flags.request && a.side() == Some(*s));
+            let requests = matches!(&input, PeerInput::Received(s, Frame::Valid(m)) if m.header.flags.request && a.side() == Some(*s));
             let out = give(&mut a, now, input);
             if requests {
                 let answered = out.iter().filter(|o| matches!(o, PeerOutput::Send(..) | PeerOutput::Request(_))).count();
--- a/crates/emulator/src/caller.rs
+++ b/crates/emulator/src/caller.rs
@@ -5,7 +5,7 @@
 
 use baydrift::interface::Micros;
 use baydrift_audit::Moment;
-use baydrift_diameter::credit::{self, Ends, RequestType, APPLICATION};
+use baydrift_diameter::credit::{self, Endpoints, RequestType, APPLICATION};
 use baydrift_diameter::{
     code, dict, load, result, Avp, Frame, Local, Message, Peer, PeerInput, PeerOutput, Side,
 };
@@ -184,11 +184,11 @@
     pub fn handle(&mut self, now: Micros, input: CallerInput, out: &mut Vec<CallerOutput>) {
         match input {
             CallerInput::Connected => self.connected(now, out),
-            CallerInput::Received(Frame::Good(message)) => {
-                let frame = Frame::Good(message);
+            CallerInput::Received(Frame::Valid(message)) => {
+                let frame = Frame::Valid(message);
                 self.give(now, PeerInput::Received(Side::Initiator, frame), out);
             }
-            CallerInput::Received(Frame::Bad(..)) => self.part(now, out),
+            CallerInput::Received(Frame::Invalid(..)) => self.part(now, out),
             CallerInput::Closed => self.lost(now, out),
             CallerInput::Tick => self.tick(now, out),
         }
@@ -250,7 +250,7 @@
         for (name, call) in self.calls.iter().filter(|(_, call)| call.state == State::Asked) {
             let mut again = call.request.clone();
             again.header.flags.retransmitted = true;
-            self.by_id.insert(peer.stamp(&mut again), name.clone());
+            self.by_id.insert(peer.assign_ids(&mut again), name.clone());
             let (front, call) = (self.spec.front.0, format!("{}|{name}", self.spec.host));
             out.push(CallerOutput::Record(Moment::Again { front, call }));
             out.push(CallerOutput::Send(again));
@@ -293,7 +293,7 @@
     fn send(&mut self, mut message: Message, out: &mut Vec<CallerOutput>) {
         let Line::Open(peer, _) = &mut self.line else { return };
         let name = message.text(dict::SESSION_ID).unwrap_or("").to_owned();
-        self.by_id.insert(peer.stamp(&mut message), name.clone());
+        self.by_id.insert(peer.assign_ids(&mut message), name.clone());
         if let Some(call) = self.calls.get_mut(&name).filter(|c| c.request.header.end_to_end == 0) {
             call.request.header = message.header;
         }
@@ -304,7 +304,7 @@
             let (front, call) = (self.spec.front.0, self.name(&name));
             out.push(CallerOutput::Record(Moment::Again { front, call }));
             if let Line::Open(peer, _) = &mut self.line {
-                self.by_id.insert(peer.stamp(&mut message), name);
+                self.by_id.insert(peer.assign_ids(&mut message), name);
             }
             out.push(CallerOutput::Send(message));
         }
@@ -369,11 +369,11 @@
         self.count += 1;
         let session = format!("{};{};{}", self.spec.host, self.local.state_id, self.count);
         let Flow { class, publisher, context, subscription, patience, .. } = self.spec.flows[flow].clone();
-        let ends = Ends {
-            host: &self.spec.host,
-            realm: &self.spec.realm,
-            to_realm: &self.spec.to_realm,
-            to_host: self.spec.servers.get(choice).map(|(host, _)| host.as_str()),
+        let ends = Endpoints {
+            origin_host: &self.spec.host,
+            origin_realm: &self.spec.realm,
+            destination_realm: &self.spec.to_realm,
+            destination_host: self.spec.servers.get(choice).map(|(host, _)| host.as_str()),
         };
         let number =
             if hot { HOT.to_owned() } else { format!("{}", 6_000_000 + self.rng.random_range(0..1_000_000)) };
@@ -407,11 +407,11 @@
         let call = self.calls.get_mut(name)?;
         call.state = State::Over;
         let context = &self.spec.flows[call.flow].context;
-        let ends = Ends {
-            host: &self.spec.host,
-            realm: &self.spec.realm,
-            to_realm: &self.spec.to_realm,
-            to_host: None,
+        let ends = Endpoints {
+            origin_host: &self.spec.host,
+            origin_realm: &self.spec.realm,
+            destination_realm: &self.spec.to_realm,
+            destination_host: None,
         };
         Some(credit::request(ends, name, context, RequestType::Termination, 1))
     }
--- a/crates/emulator/src/far_end.rs
+++ b/crates/emulator/src/far_end.rs
@@ -8,7 +8,7 @@
 
 use baydrift::interface::Micros;
 use baydrift_audit::Moment;
-use baydrift_isup::{cause, CalledNumber, CircuitState, Data, Iam, Kind, Message, Processing, Range};
+use baydrift_isup::{cause, CalledNumber, CircuitState, Data, Iam, Message, MessageType, Processing, Range};
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp};
 use rand_pcg::Pcg64Mcg;
@@ -256,7 +256,9 @@
             self.circuits.extend(cics.map(|cic| ((front, cic), Circuit::Resetting)));
             self.ranges(
                 front,
-                |first, count| Message::ranged(Kind::Grs, first, &Range::plain((count - 1) as u8)),
+                |first, count| {
+                    Message::with_range(MessageType::Grs, first, &Range::without_status((count - 1) as u8))
+                },
                 out,
             );
         }
@@ -282,7 +284,7 @@
         out.push(FarOutput::Send(front, data));
     }
 
-    fn plain(&self, place: Place, kind: Kind, out: &mut Vec<FarOutput>) {
+    fn plain(&self, place: Place, kind: MessageType, out: &mut Vec<FarOutput>) {
         self.send(place.0, &Message::new(kind, place.1), out);
     }
 
@@ -298,35 +300,39 @@
     fn received(&mut self, now: Micros, front: u32, message: &Message, out: &mut Vec<FarOutput>) {
         let place = (front, message.cic);
         if !(self.spec.first..self.spec.first + self.spec.circuits).contains(&message.cic) {
-            return self.plain(place, Kind::Ucic, out);
+            return self.plain(place, MessageType::Ucic, out);
         }
         match message.kind {
-            Kind::Iam => {
+            MessageType::Iam => {
                 if let Some(iam) = message.as_iam() {
                     self.seized(now, place, &iam, out);
                 }
             }
-            Kind::Acm | Kind::Anm | Kind::Con => self.progressed(now, place, message.kind != Kind::Acm, out),
-            Kind::Rel => self.released(now, place, message.cause().unwrap_or(cause::NORMAL_UNSPECIFIED), out),
-            Kind::Rlc => {
+            MessageType::Acm | MessageType::Anm | MessageType::Con => {
+                self.progressed(now, place, message.kind != MessageType::Acm, out)
+            }
+            MessageType::Rel => {
+                self.released(now, place, message.cause().unwrap_or(cause::NORMAL_UNSPECIFIED), out)
+            }
+            MessageType::Rlc => {
                 if let Some(Circuit::Releasing(_)) = self.circuits.get(&place) {
                     self.circuits.remove(&place);
                 }
             }
-            Kind::Rsc => {
+            MessageType::Rsc => {
                 self.cleared(place, out);
-                self.plain(place, Kind::Rlc, out);
+                self.plain(place, MessageType::Rlc, out);
             }
-            Kind::Grs => {
+            MessageType::Grs => {
                 let Ok(range) = message.range() else { return };
                 let count = range.circuits() as u16;
                 (message.cic..message.cic.saturating_add(count))
                     .for_each(|cic| self.cleared((front, cic), out));
                 let status = vec![self.blocking; usize::from(count)];
                 let range = Range { range: range.range, status };
-                self.send(front, &Message::ranged(Kind::Gra, message.cic, &range), out);
+                self.send(front, &Message::with_range(MessageType::Gra, message.cic, &range), out);
             }
-            Kind::Gra => {
+            MessageType::Gra => {
                 let Ok(range) = message.range() else { return };
                 for cic in message.cic..message.cic.saturating_add(range.circuits() as u16) {
                     if self.circuits.get(&(front, cic)) == Some(&Circuit::Resetting) {
@@ -334,15 +340,15 @@
                     }
                 }
             }
-            Kind::Blo => {
+            MessageType::Blo => {
                 self.blocked.insert(place, true);
-                self.plain(place, Kind::Bla, out);
+                self.plain(place, MessageType::Bla, out);
             }
-            Kind::Ubl => {
+            MessageType::Ubl => {
                 self.blocked.remove(&place);
-                self.plain(place, Kind::Uba, out);
+                self.plain(place, MessageType::Uba, out);
             }
-            Kind::Cqm => {
+            MessageType::Cqm => {
                 let Ok(range) = message.range() else { return };
                 let cics = message.cic..message.cic.saturating_add(range.circuits() as u16);
                 let states: Vec<_> = cics.map(|cic| self.state((front, cic))).collect();
@@ -369,7 +375,7 @@
     fn seized(&mut self, now: Micros, place: Place, iam: &Iam, out: &mut Vec<FarOutput>) {
         if self.blocking && !self.circuits.contains_key(&place) {
             // It crossed the blocking, which is said again.
-            return self.plain(place, Kind::Blo, out);
+            return self.plain(place, MessageType::Blo, out);
         }
         let own = match self.circuits.get(&place) {
             None => None,
@@ -425,7 +431,7 @@
         self.circuits.insert(place, Circuit::Theirs { attempt, stands: true });
         if !lost {
             self.send(place.0, &Message::acm(place.1), out);
-            self.plain(place, Kind::Anm, out);
+            self.plain(place, MessageType::Anm, out);
         }
     }
 
@@ -435,7 +441,7 @@
         {
             // It goes on by another circuit.
             self.circuits.remove(&place);
-            self.plain(place, Kind::Rlc, out);
+            self.plain(place, MessageType::Rlc, out);
             self.blocked.insert(place, true);
             self.seize(now, place.0, call, out);
             self.blocked.remove(&place);
@@ -444,7 +450,7 @@
         if !matches!(self.circuits.get(&place), Some(Circuit::Releasing(_))) {
             self.free(place, why, out);
         }
-        self.plain(place, Kind::Rlc, out);
+        self.plain(place, MessageType::Rlc, out);
     }
 
     fn cleared(&mut self, place: Place, out: &mut Vec<FarOutput>) {
@@ -465,7 +471,7 @@
 
     fn release(&mut self, now: Micros, place: Place, why: u8, out: &mut Vec<FarOutput>) {
         self.circuits.insert(place, Circuit::Releasing(now + T1));
-        self.send(place.0, &Message::caused(Kind::Rel, place.1, why), out);
+        self.send(place.0, &Message::with_cause(MessageType::Rel, place.1, why), out);
     }
 
     // --- own calls ---
@@ -595,7 +601,11 @@
                     for front in fronts {
                         let block = |first: u16, count: u16| {
                             let status = vec![true; usize::from(count)];
-                            Message::ranged(Kind::Cgb, first, &Range { range: (count - 1) as u8, status })
+                            Message::with_range(
+                                MessageType::Cgb,
+                                first,
+                                &Range { range: (count - 1) as u8, status },
+                            )
                         };
                         self.ranges(front, block, out);
                     }
--- a/crates/emulator/src/front.rs
+++ b/crates/emulator/src/front.rs
@@ -261,7 +261,7 @@
             return self.client_input(
                 now,
                 id,
-                PeerInput::Received(Side::Responder, Frame::Good(message)),
+                PeerInput::Received(Side::Responder, Frame::Valid(message)),
                 did,
             );
         }
@@ -273,7 +273,7 @@
                 self.client_input(now, id, PeerInput::Accepted(message), did);
             }
             Err(fault) => {
-                let refusal = Message::refusal(&message, &fault, &self.local.host, &self.local.realm);
+                let refusal = Message::error_answer(&message, &fault, &self.local.host, &self.local.realm);
                 did.push(Did::Send(client.conn, refusal));
                 did.push(Did::Close(client.conn));
                 self.clients.remove(&id);
--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -5,7 +5,7 @@
 
 use baydrift::interface::{Micros, Report};
 use baydrift_audit::Moment;
-use baydrift_diameter::credit::{self, Ccr, Ends, RequestType, APPLICATION};
+use baydrift_diameter::credit::{self, Ccr, Endpoints, RequestType, APPLICATION};
 use baydrift_diameter::{
     cause, code, dict, load, result, Frame, Local, Message, Peer, PeerInput, PeerOutput, Side,
 };
@@ -287,7 +287,7 @@
 
     fn received(&mut self, now: Micros, id: ConnId, frame: Frame, out: &mut Vec<ServerOutput>) {
         let Some(conn) = self.conns.get_mut(&id) else { return };
-        let Frame::Good(message) = frame else { return self.drop_conn(id, out) };
+        let Frame::Valid(message) = frame else { return self.drop_conn(id, out) };
         let (code, request) = (message.header.code, message.header.flags.request);
         if conn.front.is_none() {
             let host = message.text(dict::ORIGIN_HOST).unwrap_or("");
@@ -306,7 +306,7 @@
             // After the DPA the transport stays until the process ends: what it holds may be released.
             Some(_) if request && code == code::CREDIT_CONTROL => self.request(now, id, message, out),
             Some(_) => {}
-            None => self.give(now, id, PeerInput::Received(Side::Responder, Frame::Good(message)), out),
+            None => self.give(now, id, PeerInput::Received(Side::Responder, Frame::Valid(message)), out),
         }
     }
 
@@ -334,7 +334,7 @@
     fn send(&mut self, id: ConnId, mut message: Message, out: &mut Vec<ServerOutput>) {
         let Some(conn) = self.conns.get_mut(&id).filter(|_| !self.hung) else { return };
         if message.header.flags.request {
-            conn.peer.stamp(&mut message);
+            conn.peer.assign_ids(&mut message);
         }
         out.push(ServerOutput::Send(id, message));
     }
@@ -382,7 +382,12 @@
             let id = *id;
             let server = self.spec.number;
             out.push(ServerOutput::Record(Moment::Abort { server, attempt: attempt.clone() }));
-            let ends = Ends { host: &self.spec.host, realm: &self.spec.realm, to_realm: "", to_host: None };
+            let ends = Endpoints {
+                origin_host: &self.spec.host,
+                origin_realm: &self.spec.realm,
+                destination_realm: "",
+                destination_host: None,
+            };
             let abort = credit::abort(ends, &attempt);
             self.send(id, abort, out);
         }
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -599,10 +599,10 @@
     fn message(&mut self, id: u64, at: End, message: Message) {
         let now = self.queue.now();
         match at {
-            End::Server(server) => self.server(server, ServerInput::Received(id, Frame::Good(message))),
-            End::Callers(callers) => self.caller(callers, CallerInput::Received(Frame::Good(message))),
+            End::Server(server) => self.server(server, ServerInput::Received(id, Frame::Valid(message))),
+            End::Callers(callers) => self.caller(callers, CallerInput::Received(Frame::Valid(message))),
             End::FrontServer(front, server) => {
-                let input = PeerInput::Received(Side::Initiator, Frame::Good(message));
+                let input = PeerInput::Received(Side::Initiator, Frame::Valid(message));
                 self.server_input(front, server, input);
             }
             End::FrontClient(front) => {
--- a/crates/front/src/client.rs
+++ b/crates/front/src/client.rs
@@ -23,13 +23,13 @@
     let patience = Duration::from_micros(shared.config.links.handshake);
     let first = tokio::time::timeout(patience, wire.next()).await;
     match first {
-        Ok(Some(Ok(Frame::Good(cer))))
+        Ok(Some(Ok(Frame::Valid(cer))))
             if cer.header.code == code::CAPABILITIES && cer.header.flags.request =>
         {
             greeted(&shared, wire, link, cer).await;
         }
-        Ok(Some(Ok(Frame::Bad(message, fault)))) => {
-            let answer = Message::refusal(&message, &fault, &shared.local.host, &shared.local.realm);
+        Ok(Some(Ok(Frame::Invalid(message, fault)))) => {
+            let answer = Message::error_answer(&message, &fault, &shared.local.host, &shared.local.realm);
             part(wire, answer).await;
         }
         Ok(Some(Ok(_))) => info!(link = link.0, "a message before the capabilities were exchanged: closed"),
@@ -71,7 +71,7 @@
         }
         Err(fault) => {
             warn!(link = link.0, peer = host, code = fault.code, "turned away: {}", fault.text);
-            let answer = Message::refusal(&cer, &fault, &shared.local.host, &shared.local.realm);
+            let answer = Message::error_answer(&cer, &fault, &shared.local.host, &shared.local.realm);
             part(wire, answer).await;
         }
     }
--- a/crates/front/tests/common/mod.rs
+++ b/crates/front/tests/common/mod.rs
@@ -9,7 +9,7 @@
 
 use baydrift::interface::Report;
 use baydrift_audit::{Moment, Recorder};
-use baydrift_diameter::credit::{self, Ends, RequestType};
+use baydrift_diameter::credit::{self, Endpoints, RequestType};
 use baydrift_diameter::{code, dict, result, Avp, Codec, Frame, Message};
 use baydrift_front::{Bound, Front, Snapshot};
 use baydrift_standin::{ProcessorSpec, Server, ServerSpec};
@@ -135,7 +135,12 @@
 }
 
 pub fn ccr(session: &str, kind: RequestType) -> Message {
-    let ends = Ends { host: "c1.test", realm: "test", to_realm: "core.test", to_host: None };
+    let ends = Endpoints {
+        origin_host: "c1.test",
+        origin_realm: "test",
+        destination_realm: "core.test",
+        destination_host: None,
+    };
     credit::request(ends, session, "grid@test", kind, u32::from(kind != RequestType::Initial))
 }
 
@@ -168,7 +173,7 @@
         loop {
             let next =
                 tokio::time::timeout(Duration::from_secs(20), self.wire.next()).await.expect("in time");
-            let Some(Ok(Frame::Good(message))) = next else { return None };
+            let Some(Ok(Frame::Valid(message))) = next else { return None };
             if message.header.code == code::WATCHDOG && message.header.flags.request {
                 let dwa = Message::answer(&message, result::SUCCESS)
                     .with(Avp::text(dict::ORIGIN_HOST, "c1.test"))
--- a/crates/front/tests/strangers.rs
+++ b/crates/front/tests/strangers.rs
@@ -66,7 +66,7 @@
         (ask(&|m| set(m, dict::ORIGIN_HOST, "c2.test")), result::UNKNOWN_PEER, false),
         (ask(&|m| m.avps.retain(|a| a.code != dict::CC_REQUEST_NUMBER)), result::MISSING_AVP, true),
         (
-            ask(&|m| m.push(Avp { mandatory: true, ..Avp::of_vendor(99, 1, vec![]) })),
+            ask(&|m| m.push(Avp { mandatory: true, ..Avp::vendor_specific(99, 1, vec![]) })),
             result::AVP_UNSUPPORTED,
             true,
         ),
--- a/crates/isup/src/build.rs
+++ b/crates/isup/src/build.rs
@@ -2,7 +2,7 @@
 
 use crate::causes::Cause;
 use crate::error::Error;
-use crate::format::Kind;
+use crate::format::MessageType;
 use crate::message::Message;
 use crate::params::{param, Range};
 
@@ -108,7 +108,7 @@
     /// IAM.
     pub fn iam(cic: u16, iam: &Iam) -> Self {
         let continuity = if iam.continuity { 0b0000_0100 } else { 0 };
-        let message = Self::new(Kind::Iam, cic)
+        let message = Self::new(MessageType::Iam, cic)
             .with(param::NATURE_OF_CONNECTION, [continuity])
             .with(param::FORWARD_CALL, [0x20, 0x01])
             .with(param::CALLING_PARTYS_CATEGORY, [iam.category])
@@ -122,7 +122,7 @@
 
     /// What an IAM says; `None` for another message, or one whose number cannot be read.
     pub fn as_iam(&self) -> Option<Iam> {
-        if self.kind != Kind::Iam {
+        if self.kind != MessageType::Iam {
             return None;
         }
         Some(Iam {
@@ -135,11 +135,11 @@
 
     /// ACM: subscriber free.
     pub fn acm(cic: u16) -> Self {
-        Self::new(Kind::Acm, cic).with(param::BACKWARD_CALL, [0b0000_0100, 0x04])
+        Self::new(MessageType::Acm, cic).with(param::BACKWARD_CALL, [0b0000_0100, 0x04])
     }
 
     /// REL or CFN, with its cause.
-    pub fn caused(kind: Kind, cic: u16, value: u8) -> Self {
+    pub fn with_cause(kind: MessageType, cic: u16, value: u8) -> Self {
         Self::new(kind, cic).with(param::CAUSE, Cause::new(value).octets())
     }
 
@@ -149,9 +149,9 @@
     }
 
     /// A message on a range of circuits; group blocking and its kin are maintenance oriented (Q.763, 3.13).
-    pub fn ranged(kind: Kind, cic: u16, range: &Range) -> Self {
+    pub fn with_range(kind: MessageType, cic: u16, range: &Range) -> Self {
         let message = match kind {
-            Kind::Cgb | Kind::Cgu | Kind::Cgba | Kind::Cgua => {
+            MessageType::Cgb | MessageType::Cgu | MessageType::Cgba | MessageType::Cgua => {
                 Self::new(kind, cic).with(param::GROUP_SUPERVISION_TYPE, [0])
             }
             _ => Self::new(kind, cic),
@@ -161,9 +161,9 @@
 
     /// CQR.
     pub fn cqr(cic: u16, states: &[CircuitState]) -> Self {
-        let range = Range::plain(states.len().saturating_sub(1) as u8);
+        let range = Range::without_status(states.len().saturating_sub(1) as u8);
         let octets: Vec<_> = states.iter().map(|state| state.octet()).collect();
-        Self::ranged(Kind::Cqr, cic, &range).with(param::CIRCUIT_STATE, octets)
+        Self::with_range(MessageType::Cqr, cic, &range).with(param::CIRCUIT_STATE, octets)
     }
 
     /// States that a CQR tells.
--- a/crates/isup/src/format.rs
+++ b/crates/isup/src/format.rs
@@ -5,7 +5,7 @@
 /// Message types (Q.763, table 4) by their own names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[allow(missing_docs)]
-pub enum Kind {
+pub enum MessageType {
     Iam,
     Sam,
     Cot,
@@ -39,7 +39,7 @@
 /// What a type's messages consist of: fixed parts with their lengths, variable parts with the least and most of
 /// theirs, and whether optional parts may follow.
 pub(crate) struct Format {
-    pub(crate) kind: Kind,
+    pub(crate) kind: MessageType,
     pub(crate) code: u8,
     pub(crate) fixed: &'static [(u8, usize)],
     pub(crate) variable: &'static [(u8, usize, usize)],
@@ -47,7 +47,7 @@
 }
 
 const fn format(
-    kind: Kind,
+    kind: MessageType,
     code: u8,
     fixed: &'static [(u8, usize)],
     variable: &'static [(u8, usize, usize)],
@@ -64,7 +64,7 @@
 
 pub(crate) const FORMATS: [Format; 28] = [
     format(
-        Kind::Iam,
+        MessageType::Iam,
         0x01,
         &[
             (p::NATURE_OF_CONNECTION, 1),
@@ -75,36 +75,36 @@
         &[(p::CALLED_PARTY_NUMBER, 2, 20)],
         true,
     ),
-    format(Kind::Sam, 0x02, &[], &[(p::SUBSEQUENT_NUMBER, 2, 20)], true),
-    format(Kind::Cot, 0x05, &[(p::CONTINUITY, 1)], &[], false),
-    format(Kind::Acm, 0x06, &[(p::BACKWARD_CALL, 2)], &[], true),
-    format(Kind::Con, 0x07, &[(p::BACKWARD_CALL, 2)], &[], true),
-    format(Kind::Anm, 0x09, &[], &[], true),
-    format(Kind::Rel, 0x0c, &[], CAUSE, true),
-    format(Kind::Sus, 0x0d, &[(p::SUSPEND_RESUME, 1)], &[], true),
-    format(Kind::Res, 0x0e, &[(p::SUSPEND_RESUME, 1)], &[], true),
-    format(Kind::Rlc, 0x10, &[], &[], true),
-    format(Kind::Ccr, 0x11, &[], &[], false),
-    format(Kind::Rsc, 0x12, &[], &[], false),
-    format(Kind::Blo, 0x13, &[], &[], false),
-    format(Kind::Ubl, 0x14, &[], &[], false),
-    format(Kind::Bla, 0x15, &[], &[], false),
-    format(Kind::Uba, 0x16, &[], &[], false),
-    format(Kind::Grs, 0x17, &[], RANGE, false),
-    format(Kind::Cgb, 0x18, GROUP, STATUS, false),
-    format(Kind::Cgu, 0x19, GROUP, STATUS, false),
-    format(Kind::Cgba, 0x1a, GROUP, STATUS, false),
-    format(Kind::Cgua, 0x1b, GROUP, STATUS, false),
-    format(Kind::Lpa, 0x24, &[], &[], false),
-    format(Kind::Gra, 0x29, &[], STATUS, false),
-    format(Kind::Cqm, 0x2a, &[], RANGE, false),
-    format(Kind::Cqr, 0x2b, &[], &[(p::RANGE_AND_STATUS, 1, 1), (p::CIRCUIT_STATE, 1, 32)], false),
-    format(Kind::Cpg, 0x2c, &[(p::EVENT, 1)], &[], true),
-    format(Kind::Ucic, 0x2e, &[], &[], false),
-    format(Kind::Cfn, 0x2f, &[], CAUSE, true),
+    format(MessageType::Sam, 0x02, &[], &[(p::SUBSEQUENT_NUMBER, 2, 20)], true),
+    format(MessageType::Cot, 0x05, &[(p::CONTINUITY, 1)], &[], false),
+    format(MessageType::Acm, 0x06, &[(p::BACKWARD_CALL, 2)], &[], true),
+    format(MessageType::Con, 0x07, &[(p::BACKWARD_CALL, 2)], &[], true),
+    format(MessageType::Anm, 0x09, &[], &[], true),
+    format(MessageType::Rel, 0x0c, &[], CAUSE, true),
+    format(MessageType::Sus, 0x0d, &[(p::SUSPEND_RESUME, 1)], &[], true),
+    format(MessageType::Res, 0x0e, &[(p::SUSPEND_RESUME, 1)], &[], true),
+    format(MessageType::Rlc, 0x10, &[], &[], true),
+    format(MessageType::Ccr, 0x11, &[], &[], false),
+    format(MessageType::Rsc, 0x12, &[], &[], false),
+    format(MessageType::Blo, 0x13, &[], &[], false),
+    format(MessageType::Ubl, 0x14, &[], &[], false),
+    format(MessageType::Bla, 0x15, &[], &[], false),
+    format(MessageType::Uba, 0x16, &[], &[], false),
+    format(MessageType::Grs, 0x17, &[], RANGE, false),
+    format(MessageType::Cgb, 0x18, GROUP, STATUS, false),
+    format(MessageType::Cgu, 0x19, GROUP, STATUS, false),
+    format(MessageType::Cgba, 0x1a, GROUP, STATUS, false),
+    format(MessageType::Cgua, 0x1b, GROUP, STATUS, false),
+    format(MessageType::Lpa, 0x24, &[], &[], false),
+    format(MessageType::Gra, 0x29, &[], STATUS, false),
+    format(MessageType::Cqm, 0x2a, &[], RANGE, false),
+    format(MessageType::Cqr, 0x2b, &[], &[(p::RANGE_AND_STATUS, 1, 1), (p::CIRCUIT_STATE, 1, 32)], false),
+    format(MessageType::Cpg, 0x2c, &[(p::EVENT, 1)], &[], true),
+    format(MessageType::Ucic, 0x2e, &[], &[], false),
+    format(MessageType::Cfn, 0x2f, &[], CAUSE, true),
 ];
 
-impl Kind {
+impl MessageType {
     /// All types.
     pub fn all() -> impl Iterator<Item = Self> {
         FORMATS.iter().map(|format| format.kind)
--- a/crates/isup/src/lib.rs
+++ b/crates/isup/src/lib.rs
@@ -15,7 +15,7 @@
 pub use build::{CalledNumber, CircuitState, Iam, Processing};
 pub use causes::{cause, Cause};
 pub use error::Error;
-pub use format::Kind;
+pub use format::MessageType;
 pub use m3ua::{Codec, Data, Packet, StreamError, PACKET_MAX};
 pub use message::{Message, CIC_MAX, MESSAGE_MAX};
 pub use params::{param, Compatibility, Param, Range};
--- a/crates/isup/src/m3ua.rs
+++ b/crates/isup/src/m3ua.rs
@@ -9,7 +9,7 @@
 
 /// Longest packet that is read: a message, its parameter's headers, and room for parameters that are passed over.
 pub const PACKET_MAX: usize = 1_024;
-const HEAD: usize = 8;
+const HEADER_LEN: usize = 8;
 /// Message class Transfer, type DATA (3.1.2).
 const DATA: (u8, u8) = (1, 1);
 /// ASP state maintenance (3.5.1, 3.5.2).
@@ -20,7 +20,7 @@
 /// Service indicator of ISUP (Q.704, 14.2.1).
 const ISUP: u8 = 5;
 /// OPC, DPC, SI, NI, MP and SLS before the user's octets.
-const LABEL: usize = 12;
+const ROUTING_LABEL_LEN: usize = 12;
 
 /// Protocol data: the routing label, and an ISUP message as octets.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -57,11 +57,11 @@
         if self.message.len() > MESSAGE_MAX {
             return Err(Error::Long(self.message.len()));
         }
-        let value = 4 + LABEL + self.message.len();
+        let value = 4 + ROUTING_LABEL_LEN + self.message.len();
         let padding = value.next_multiple_of(4) - value;
-        to.reserve(HEAD + value + padding);
+        to.reserve(HEADER_LEN + value + padding);
         to.put_slice(&[1, 0, DATA.0, DATA.1]);
-        to.put_u32((HEAD + value + padding) as u32);
+        to.put_u32((HEADER_LEN + value + padding) as u32);
         to.put_u16(PROTOCOL_DATA);
         to.put_u16(value as u16);
         to.put_u32(self.opc);
@@ -86,7 +86,7 @@
             Self::Other(class, kind) => (*class, *kind),
         };
         to.put_slice(&[1, 0, class, kind]);
-        to.put_u32(HEAD as u32);
+        to.put_u32(HEADER_LEN as u32);
         Ok(())
     }
 
@@ -98,7 +98,7 @@
             ASP_UP_ACK => return Ok(Self::AspUpAck),
             _ => return Ok(Self::Other(class, kind)),
         }
-        let mut rest = &octets[HEAD..];
+        let mut rest = &octets[HEADER_LEN..];
         while rest.len() >= 4 {
             let tag = u16::from_be_bytes([rest[0], rest[1]]);
             let length = usize::from(u16::from_be_bytes([rest[2], rest[3]]));
@@ -107,7 +107,7 @@
             }
             if tag == PROTOCOL_DATA {
                 let mut value = &rest[4..length];
-                if value.len() < LABEL {
+                if value.len() < ROUTING_LABEL_LEN {
                     return Err(Error::Packet(length));
                 }
                 let (opc, dpc) = (value.get_u32(), value.get_u32());
@@ -143,14 +143,14 @@
     type Error = StreamError;
 
     fn decode(&mut self, from: &mut BytesMut) -> Result<Option<Packet>, StreamError> {
-        if from.len() < HEAD {
+        if from.len() < HEADER_LEN {
             return Ok(None);
         }
         if from[0] != 1 {
             return Err(Error::Version(from[0]).into());
         }
         let length = u32::from_be_bytes([from[4], from[5], from[6], from[7]]) as usize;
-        if !(HEAD..=PACKET_MAX).contains(&length) {
+        if !(HEADER_LEN..=PACKET_MAX).contains(&length) {
             return Err(Error::Packet(length).into());
         }
         if from.len() < length {
--- a/crates/isup/src/message.rs
+++ b/crates/isup/src/message.rs
@@ -1,7 +1,7 @@
 //! One message as octets, and back (Q.763, 1.2 to 1.7).
 
 use crate::error::Error;
-use crate::format::Kind;
+use crate::format::MessageType;
 use crate::params::{param, Compatibility, Param, Range};
 
 /// Longest message: what an MTP signal unit carries without its label.
@@ -9,7 +9,7 @@
 /// Highest circuit identification code.
 pub const CIC_MAX: u16 = 0x0fff;
 /// Octets before the mandatory fixed part: circuit and type.
-const HEAD: usize = 3;
+const HEADER_LEN: usize = 3;
 
 /// One message on one circuit.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -17,14 +17,14 @@
     /// Circuit identification code, 12 bits.
     pub cic: u16,
     /// Its type.
-    pub kind: Kind,
+    pub kind: MessageType,
     /// Its parameters: mandatory ones in the order of the format, then optional ones as they came.
     pub params: Vec<Param>,
 }
 
 impl Message {
     /// A message without parameters yet.
-    pub fn new(kind: Kind, cic: u16) -> Self {
+    pub fn new(kind: MessageType, cic: u16) -> Self {
         Self { cic, kind, params: Vec::new() }
     }
 
@@ -99,17 +99,17 @@
     /// From octets.
     ///
     /// # Errors
-    /// What is wrong, and at which octet. A type that is not known is an error of its own: [`Message::unknown`]
+    /// What is wrong, and at which octet. A type that is not known is an error of its own: [`Message::read_unknown`]
     /// tells what its sender wants done with it.
     pub fn read(octets: &[u8]) -> Result<Self, Error> {
         if octets.len() > MESSAGE_MAX {
             return Err(Error::Long(octets.len()));
         }
         let (cic, code) = head(octets)?;
-        let kind = Kind::of(code).ok_or(Error::Type(code))?;
+        let kind = MessageType::of(code).ok_or(Error::Type(code))?;
         let format = kind.format();
         let mut message = Self::new(kind, cic);
-        let mut at = HEAD;
+        let mut at = HEADER_LEN;
         for (code, length) in format.fixed {
             let contents = octets.get(at..at + length).ok_or(Error::Short(octets.len()))?;
             message.params.push(Param::new(*code, contents));
@@ -142,10 +142,10 @@
     ///
     /// # Errors
     /// Where there is no head.
-    pub fn unknown(octets: &[u8]) -> Result<(u16, u8, Option<Compatibility>), Error> {
+    pub fn read_unknown(octets: &[u8]) -> Result<(u16, u8, Option<Compatibility>), Error> {
         let (cic, code) = head(octets)?;
         let mut params = Vec::new();
-        let start = follow(octets, HEAD, HEAD + 1).ok().flatten();
+        let start = follow(octets, HEADER_LEN, HEADER_LEN + 1).ok().flatten();
         let read = start.map(|start| read_optional(octets, start, &mut params));
         let told = params.iter().find(|param| param.code == param::MESSAGE_COMPATIBILITY);
         let told = told.filter(|_| read.is_some()).and_then(|param| param.octets.first());
--- a/crates/isup/src/params.rs
+++ b/crates/isup/src/params.rs
@@ -55,7 +55,7 @@
 
 impl Range {
     /// A range without status.
-    pub fn plain(range: u8) -> Self {
+    pub fn without_status(range: u8) -> Self {
         Self { range, status: Vec::new() }
     }
 
--- a/crates/isup/tests/messages.rs
+++ b/crates/isup/tests/messages.rs
@@ -1,7 +1,7 @@
 //! Messages and packets: octets written out by the specification, every message both ways, and what is none.
 
 use baydrift_isup::{
-    cause, param, CalledNumber, CircuitState, Codec, Data, Error, Iam, Kind, Message, Packet, Param,
+    cause, param, CalledNumber, CircuitState, Codec, Data, Error, Iam, Message, MessageType, Packet, Param,
     Processing, Range, MESSAGE_MAX,
 };
 use bytes::BytesMut;
@@ -22,9 +22,9 @@
     let optional = [0x20, 0x03, b'c', b'|', b'1', 0x00];
     assert_eq!(octets, [&fixed[..], &variable, &optional].concat());
     assert_eq!(Message::read(&octets).unwrap().as_iam(), Some(iam()));
-    assert_eq!(Message::new(Kind::Rlc, 5).write().unwrap(), [5, 0, 0x10, 0]);
-    assert_eq!(Message::new(Kind::Rsc, 5).write().unwrap(), [5, 0, 0x12]);
-    let rel = Message::caused(Kind::Rel, 5, cause::NORMAL_CLEARING).write().unwrap();
+    assert_eq!(Message::new(MessageType::Rlc, 5).write().unwrap(), [5, 0, 0x10, 0]);
+    assert_eq!(Message::new(MessageType::Rsc, 5).write().unwrap(), [5, 0, 0x12]);
+    let rel = Message::with_cause(MessageType::Rel, 5, cause::NORMAL_CLEARING).write().unwrap();
     assert_eq!(rel, [5, 0, 0x0c, 0x02, 0x00, 0x02, 0x82, 0x90]);
     assert_eq!(Message::read(&rel).unwrap().cause(), Some(cause::NORMAL_CLEARING));
 }
@@ -32,7 +32,7 @@
 #[test]
 fn ranges_carry_a_bit_a_circuit() {
     let status = vec![true, false, false, true, false, false, false, false, true];
-    let message = Message::ranged(Kind::Cgb, 32, &Range { range: 8, status });
+    let message = Message::with_range(MessageType::Cgb, 32, &Range { range: 8, status });
     let octets = message.write().unwrap();
     assert_eq!(octets, [32, 0, 0x18, 0, 1, 3, 8, 0b0000_1001, 1]);
     assert_eq!(Message::read(&octets).unwrap(), message);
@@ -57,13 +57,13 @@
     // Type 0x7f, one pointer, message compatibility: release, notify.
     let octets = [9, 0, 0x7f, 1, 0x38, 1, 0b0000_0110, 0];
     assert_eq!(Message::read(&octets), Err(Error::Type(0x7f)));
-    let (cic, code, wanted) = Message::unknown(&octets).unwrap();
+    let (cic, code, wanted) = Message::read_unknown(&octets).unwrap();
     let wanted = wanted.unwrap();
     assert_eq!(
         (cic, code, wanted.release, wanted.notify, wanted.discard_message),
         (9, 0x7f, true, true, false)
     );
-    assert_eq!(Message::unknown(&[9, 0, 0x7f]).unwrap().2, None);
+    assert_eq!(Message::read_unknown(&[9, 0, 0x7f]).unwrap().2, None);
     // Parameters that are not known are kept as they are.
     let rlc = [5, 0, 0x10, 1, 0xee, 2, 7, 8, 0x39, 2, 0xee, 0x80, 0];
     let read = Message::read(&rlc).unwrap();
@@ -80,13 +80,13 @@
     assert_eq!(Message::read(&[5, 0, 0x0c, 1, 0, 2, 0x82, 0x90]), Err(Error::Pointer(3)));
     assert_eq!(Message::read(&[5, 0, 0x0c, 0, 0, 2, 0x82, 0x90]), Err(Error::Pointer(3)));
     assert_eq!(Message::read(&[5, 0, 0x0c, 2, 0, 3, 0x82, 0x90]), Err(Error::Short(8)));
-    assert_eq!(Message::new(Kind::Iam, 1).write(), Err(Error::Missing(param::NATURE_OF_CONNECTION)));
-    assert_eq!(Message::new(Kind::Rsc, 0x1000).write(), Err(Error::Circuit(0x1000)));
+    assert_eq!(Message::new(MessageType::Iam, 1).write(), Err(Error::Missing(param::NATURE_OF_CONNECTION)));
+    assert_eq!(Message::new(MessageType::Rsc, 0x1000).write(), Err(Error::Circuit(0x1000)));
 }
 
 /// A message of any type with contents of all lengths that its format allows.
 fn any() -> impl Strategy<Value = Message> {
-    let kinds: Vec<_> = Kind::all().collect();
+    let kinds: Vec<_> = MessageType::all().collect();
     let optional = prop::collection::vec((0x40u8..=0xff, prop::collection::vec(any_octet(), 0..20)), 0..4);
     (prop::sample::select(kinds), 0u16..4_096, any_octet(), optional, 0u8..32).prop_map(
         |(kind, cic, fill, optional, range)| {
@@ -94,19 +94,27 @@
             let status = vec![fill & 1 == 1; usize::from(range) + 1];
             let range = Range { range, status: if kind.has_status() { status } else { Vec::new() } };
             let base = match kind {
-                Kind::Iam => Message::iam(cic, &iam()),
-                Kind::Sam => Message::new(kind, cic).with(param::SUBSEQUENT_NUMBER, sized(4)),
-                Kind::Cot => Message::new(kind, cic).with(param::CONTINUITY, sized(1)),
-                Kind::Acm | Kind::Con => Message::new(kind, cic).with(param::BACKWARD_CALL, sized(2)),
-                Kind::Sus | Kind::Res => Message::new(kind, cic).with(param::SUSPEND_RESUME, sized(1)),
-                Kind::Cpg => Message::new(kind, cic).with(param::EVENT, sized(1)),
-                Kind::Rel | Kind::Cfn => Message::caused(kind, cic, fill & 0x7f),
-                Kind::Cqr => {
-                    Message::ranged(kind, cic, &range).with(param::CIRCUIT_STATE, sized(range.circuits()))
+                MessageType::Iam => Message::iam(cic, &iam()),
+                MessageType::Sam => Message::new(kind, cic).with(param::SUBSEQUENT_NUMBER, sized(4)),
+                MessageType::Cot => Message::new(kind, cic).with(param::CONTINUITY, sized(1)),
+                MessageType::Acm | MessageType::Con => {
+                    Message::new(kind, cic).with(param::BACKWARD_CALL, sized(2))
                 }
-                Kind::Grs | Kind::Gra | Kind::Cgb | Kind::Cgu | Kind::Cgba | Kind::Cgua | Kind::Cqm => {
-                    Message::ranged(kind, cic, &range)
+                MessageType::Sus | MessageType::Res => {
+                    Message::new(kind, cic).with(param::SUSPEND_RESUME, sized(1))
                 }
+                MessageType::Cpg => Message::new(kind, cic).with(param::EVENT, sized(1)),
+                MessageType::Rel | MessageType::Cfn => Message::with_cause(kind, cic, fill & 0x7f),
+                MessageType::Cqr => {
+                    Message::with_range(kind, cic, &range).with(param::CIRCUIT_STATE, sized(range.circuits()))
+                }
+                MessageType::Grs
+                | MessageType::Gra
+                | MessageType::Cgb
+                | MessageType::Cgu
+                | MessageType::Cgba
+                | MessageType::Cgua
+                | MessageType::Cqm => Message::with_range(kind, cic, &range),
                 _ => Message::new(kind, cic),
             };
             let takes = base.clone().with(0xee, []).write().is_ok();
@@ -126,7 +134,7 @@
         prop_assert_eq!(Message::read(&octets).unwrap(), message);
         for end in 0..octets.len() {
             let _ = Message::read(&octets[..end]);
-            let _ = Message::unknown(&octets[..end]);
+            let _ = Message::read_unknown(&octets[..end]);
         }
     }
 
--- a/crates/signalling/src/map.rs
+++ b/crates/signalling/src/map.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use baydrift_isup::{param, CalledNumber, CircuitState, Error, Iam, Kind, Message, Processing, Range};
+use baydrift_isup::{param, CalledNumber, CircuitState, Error, Iam, Message, MessageType, Processing, Range};
 use baydrift_trunk::{Cic, Processing as Told, Setup, Signal};
 
 /// Why a message is no signal, or a signal no message.
@@ -25,7 +25,7 @@
     /// A signal for its circuit.
     Signal(Signal),
     /// Read, and of no consequence here: overlap digits, suspension, continuity, confusion, loop prevention.
-    Nothing(Kind),
+    Nothing(MessageType),
 }
 
 /// Calling party's category of an ordinary subscriber (Q.763, 3.11).
@@ -40,9 +40,9 @@
     }
 }
 
-fn ranged(kind: Kind, cic: Cic, status: &[bool]) -> Result<Message, MapError> {
+fn ranged(kind: MessageType, cic: Cic, status: &[bool]) -> Result<Message, MapError> {
     let range = Range { range: range_of(status.len())?, status: status.to_vec() };
-    Ok(Message::ranged(kind, cic, &range))
+    Ok(Message::with_range(kind, cic, &range))
 }
 
 /// A signal as a message.
@@ -62,28 +62,32 @@
             },
         )),
         Signal::Accepted => Ok(Message::acm(cic)),
-        Signal::Answered => plain(Kind::Anm),
+        Signal::Answered => plain(MessageType::Anm),
         // Progress (Q.763, 3.21).
-        Signal::Progress => Ok(Message::new(Kind::Cpg, cic).with(param::EVENT, [2])),
-        Signal::Release(cause) => Ok(Message::caused(Kind::Rel, cic, *cause)),
-        Signal::ReleaseComplete => plain(Kind::Rlc),
-        Signal::Reset => plain(Kind::Rsc),
-        Signal::Block => plain(Kind::Blo),
-        Signal::BlockAck => plain(Kind::Bla),
-        Signal::Unblock => plain(Kind::Ubl),
-        Signal::UnblockAck => plain(Kind::Uba),
-        Signal::Unequipped => plain(Kind::Ucic),
-        Signal::GroupReset(count) => {
-            Ok(Message::ranged(Kind::Grs, cic, &Range::plain(range_of(usize::from(*count))?)))
-        }
-        Signal::Query(count) => {
-            Ok(Message::ranged(Kind::Cqm, cic, &Range::plain(range_of(usize::from(*count))?)))
-        }
-        Signal::GroupResetAck(status) => ranged(Kind::Gra, cic, status),
-        Signal::GroupBlock(status) => ranged(Kind::Cgb, cic, status),
-        Signal::GroupBlockAck(status) => ranged(Kind::Cgba, cic, status),
-        Signal::GroupUnblock(status) => ranged(Kind::Cgu, cic, status),
-        Signal::GroupUnblockAck(status) => ranged(Kind::Cgua, cic, status),
+        Signal::Progress => Ok(Message::new(MessageType::Cpg, cic).with(param::EVENT, [2])),
+        Signal::Release(cause) => Ok(Message::with_cause(MessageType::Rel, cic, *cause)),
+        Signal::ReleaseComplete => plain(MessageType::Rlc),
+        Signal::Reset => plain(MessageType::Rsc),
+        Signal::Block => plain(MessageType::Blo),
+        Signal::BlockAck => plain(MessageType::Bla),
+        Signal::Unblock => plain(MessageType::Ubl),
+        Signal::UnblockAck => plain(MessageType::Uba),
+        Signal::Unequipped => plain(MessageType::Ucic),
+        Signal::GroupReset(count) => Ok(Message::with_range(
+            MessageType::Grs,
+            cic,
+            &Range::without_status(range_of(usize::from(*count))?),
+        )),
+        Signal::Query(count) => Ok(Message::with_range(
+            MessageType::Cqm,
+            cic,
+            &Range::without_status(range_of(usize::from(*count))?),
+        )),
+        Signal::GroupResetAck(status) => ranged(MessageType::Gra, cic, status),
+        Signal::GroupBlock(status) => ranged(MessageType::Cgb, cic, status),
+        Signal::GroupBlockAck(status) => ranged(MessageType::Cgba, cic, status),
+        Signal::GroupUnblock(status) => ranged(MessageType::Cgu, cic, status),
+        Signal::GroupUnblockAck(status) => ranged(MessageType::Cgua, cic, status),
         Signal::QueryReply(states) => {
             range_of(states.len())?;
             let states: Vec<_> = states.iter().map(|told| state(*told)).collect();
@@ -132,30 +136,30 @@
         Ok(circuits as u16)
     };
     let signal = match message.kind {
-        Kind::Iam => {
+        MessageType::Iam => {
             let iam = message.as_iam().ok_or(MapError::Number)?;
             Signal::Seize(Setup { number: Arc::from(iam.called.digits), reference: Arc::from(iam.reference) })
         }
-        Kind::Acm => Signal::Accepted,
+        MessageType::Acm => Signal::Accepted,
         // CON is ACM and ANM in one.
-        Kind::Anm | Kind::Con => Signal::Answered,
-        Kind::Cpg => Signal::Progress,
-        Kind::Rel => Signal::Release(message.cause().ok_or(Error::Missing(param::CAUSE))?),
-        Kind::Rlc => Signal::ReleaseComplete,
-        Kind::Rsc => Signal::Reset,
-        Kind::Blo => Signal::Block,
-        Kind::Bla => Signal::BlockAck,
-        Kind::Ubl => Signal::Unblock,
-        Kind::Uba => Signal::UnblockAck,
-        Kind::Ucic => Signal::Unequipped,
-        Kind::Grs => Signal::GroupReset(count()?),
-        Kind::Cqm => Signal::Query(count()?),
-        Kind::Gra => Signal::GroupResetAck(status()?),
-        Kind::Cgb => Signal::GroupBlock(status()?),
-        Kind::Cgba => Signal::GroupBlockAck(status()?),
-        Kind::Cgu => Signal::GroupUnblock(status()?),
-        Kind::Cgua => Signal::GroupUnblockAck(status()?),
-        Kind::Cqr => {
+        MessageType::Anm | MessageType::Con => Signal::Answered,
+        MessageType::Cpg => Signal::Progress,
+        MessageType::Rel => Signal::Release(message.cause().ok_or(Error::Missing(param::CAUSE))?),
+        MessageType::Rlc => Signal::ReleaseComplete,
+        MessageType::Rsc => Signal::Reset,
+        MessageType::Blo => Signal::Block,
+        MessageType::Bla => Signal::BlockAck,
+        MessageType::Ubl => Signal::Unblock,
+        MessageType::Uba => Signal::UnblockAck,
+        MessageType::Ucic => Signal::Unequipped,
+        MessageType::Grs => Signal::GroupReset(count()?),
+        MessageType::Cqm => Signal::Query(count()?),
+        MessageType::Gra => Signal::GroupResetAck(status()?),
+        MessageType::Cgb => Signal::GroupBlock(status()?),
+        MessageType::Cgba => Signal::GroupBlockAck(status()?),
+        MessageType::Cgu => Signal::GroupUnblock(status()?),
+        MessageType::Cgua => Signal::GroupUnblockAck(status()?),
+        MessageType::Cqr => {
             count()?;
             Signal::QueryReply(message.circuit_states()?.into_iter().map(told).collect())
         }
--- a/crates/signalling/src/office.rs
+++ b/crates/signalling/src/office.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use baydrift::interface::Micros;
-use baydrift_isup::{cause, Data, Error, Kind, Message};
+use baydrift_isup::{cause, Data, Error, Message, MessageType};
 use baydrift_trunk::decide::Claim;
 use baydrift_trunk::{CallKey, Cic, GroupId, Output, Setup, Trunks};
 
@@ -115,10 +115,10 @@
     /// A message whose type is not known: its sender is told where it wants that, or says nothing about it
     /// (Q.764, 2.9.5.2).
     fn confused(&mut self, data: &Data, done: &mut Done) {
-        let Ok((cic, _, wanted)) = Message::unknown(&data.message) else { return };
+        let Ok((cic, _, wanted)) = Message::read_unknown(&data.message) else { return };
         if wanted.is_none_or(|wanted| wanted.notify) {
             self.counts.confusions += 1;
-            let cfn = Message::caused(Kind::Cfn, cic, cause::MESSAGE_TYPE_UNKNOWN);
+            let cfn = Message::with_cause(MessageType::Cfn, cic, cause::MESSAGE_TYPE_UNKNOWN);
             if let Ok(octets) = cfn.write() {
                 done.0.push(self.data(data.opc, cic, octets));
             }
--- a/crates/signalling/tests/office.rs
+++ b/crates/signalling/tests/office.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use baydrift_isup::{Data, Error, Kind, Message};
+use baydrift_isup::{Data, Error, Message, MessageType};
 use baydrift_signalling::{message, signal, MapError, Meant, Office, OfficeError};
 use baydrift_trunk::decide::{Claim, Selection};
 use baydrift_trunk::{
@@ -49,7 +49,7 @@
     for wrong in [Signal::GroupReset(0), Signal::Query(33), Signal::GroupBlock(Vec::new())] {
         assert!(matches!(message(1, &wrong), Err(MapError::Range(_))));
     }
-    assert_eq!(signal(&Message::new(Kind::Lpa, 1)).unwrap(), Meant::Nothing(Kind::Lpa));
+    assert_eq!(signal(&Message::new(MessageType::Lpa, 1)).unwrap(), Meant::Nothing(MessageType::Lpa));
 }
 
 fn office(own_point: u32, far_point: u32) -> Office {
@@ -100,14 +100,14 @@
         one.hear(0, &data(2, 1, &[1, 0, 0x7f]), &mut done),
         Err(OfficeError::Message(Error::Type(0x7f)))
     );
-    assert_eq!(Message::read(&done.0.remove(0).message).unwrap().kind, Kind::Cfn);
+    assert_eq!(Message::read(&done.0.remove(0).message).unwrap().kind, MessageType::Cfn);
     assert!(one.hear(0, &data(2, 1, &[1, 0, 0x7f, 1, 0x38, 1, 0, 0]), &mut done).is_err());
     assert!(done.0.is_empty());
     // A circuit that is none is told so, and that is not answered in turn.
     let ninety = message(90, &Signal::Seize(setup())).unwrap().write().unwrap();
     one.hear(0, &data(2, 1, &ninety), &mut done).unwrap();
     let ucic = done.0.remove(0);
-    assert_eq!(Message::read(&ucic.message).unwrap().kind, Kind::Ucic);
+    assert_eq!(Message::read(&ucic.message).unwrap().kind, MessageType::Ucic);
     one.hear(0, &data(2, 1, &ucic.message), &mut done).unwrap();
     assert!(done.0.is_empty());
     assert_eq!((one.counts().refused, one.counts().confusions), (5, 1));
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -157,7 +157,7 @@
     loop {
         tokio::select! {
             frame = wire.next() => match frame {
-                Some(Ok(frame @ (Frame::Good(_) | Frame::Bad(..)))) => {
+                Some(Ok(frame @ (Frame::Valid(_) | Frame::Invalid(..)))) => {
                     let _ = to_model.send(ServerInput::Received(id, frame));
                 }
                 _ => {
