--- a/crates/diameter/src/avp.rs
+++ b/crates/diameter/src/avp.rs
@@ -5,63 +5,66 @@
 use crate::dict;
 use crate::fault::{result, Fault};
 
-/// Grouped AVPs nested deeper than this are refused: guards against a stack that the peer chooses.
+/// Maximum nesting depth of Grouped AVPs; deeper ones are rejected, so that a peer cannot exhaust the stack.
 pub const MAX_GROUP_DEPTH: usize = 8;
 
-const VENDOR: u8 = 0x80;
-const MANDATORY: u8 = 0x40;
-const PROTECTED: u8 = 0x20;
+/// The V bit of the AVP flags: a Vendor-ID follows.
+const FLAG_VENDOR: u8 = 0x80;
+/// The M bit of the AVP flags.
+const FLAG_MANDATORY: u8 = 0x40;
+/// The P bit of the AVP flags.
+const FLAG_PROTECTED: u8 = 0x20;
 
-/// One AVP. Its data is a slice of the message it came in.
+/// One AVP. A decoded AVP's data is a slice of the message's buffer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Avp {
     /// AVP Code.
     pub code: u32,
-    /// Vendor-ID; 0 where the V bit is not set.
+    /// Vendor-ID; 0 if the V bit is not set.
     pub vendor: u32,
-    /// The M bit: a receiver that does not know it refuses the message.
+    /// The M bit: a receiver that does not support the AVP rejects the message.
     pub mandatory: bool,
-    /// The P bit, kept as it came.
+    /// The P bit, kept as received.
     pub protected: bool,
     /// The data, without padding.
     pub data: Bytes,
 }
 
 impl Avp {
-    /// An AVP of the base namespace; its M bit as the dictionary has it.
+    /// Creates an AVP without Vendor-ID; the M bit is set according to the dictionary.
     pub fn new(code: u32, data: impl Into<Bytes>) -> Self {
         let mandatory = dict::find(0, code).is_some_and(|def| def.mandatory);
         Self { code, vendor: 0, mandatory, protected: false, data: data.into() }
     }
 
-    /// A vendor's AVP, not mandatory.
+    /// Creates a vendor-specific AVP without the M bit.
     pub fn vendor_specific(vendor: u32, code: u32, data: impl Into<Bytes>) -> Self {
         Self { code, vendor, mandatory: false, protected: false, data: data.into() }
     }
 
-    /// UTF8String, DiameterIdentity and the like.
+    /// Creates an AVP of type UTF8String, DiameterIdentity or DiameterURI.
     pub fn text(code: u32, text: &str) -> Self {
         Self::new(code, Bytes::copy_from_slice(text.as_bytes()))
     }
 
-    /// Unsigned32, Enumerated.
+    /// Creates an AVP of type Unsigned32 or Enumerated.
     pub fn u32(code: u32, value: u32) -> Self {
         Self::new(code, Bytes::copy_from_slice(&value.to_be_bytes()))
     }
 
-    /// Unsigned64.
+    /// Creates an AVP of type Unsigned64.
     pub fn u64(code: u32, value: u64) -> Self {
         Self::new(code, Bytes::copy_from_slice(&value.to_be_bytes()))
     }
 
-    /// Grouped.
+    /// Creates an AVP of type Grouped.
     pub fn group(code: u32, avps: &[Avp]) -> Self {
         let mut data = BytesMut::new();
         avps.iter().for_each(|avp| avp.write(&mut data));
         Self::new(code, data.freeze())
     }
 
-    /// Address (section 4.3.1): family 1 for IPv4, 2 for IPv6.
+    /// Creates an AVP of type Address (section 4.3.1): address family 1 for IPv4, 2 for IPv6.
     pub fn address(code: u32, address: std::net::IpAddr) -> Self {
         let mut data = BytesMut::new();
         match address {
@@ -77,7 +80,7 @@
         Self::new(code, data.freeze())
     }
 
-    /// The data as text.
+    /// The data as UTF-8 text.
     pub fn as_text(&self) -> Option<&str> {
         std::str::from_utf8(&self.data).ok()
     }
@@ -92,15 +95,15 @@
         self.data.as_ref().try_into().ok().map(u64::from_be_bytes)
     }
 
-    /// The AVPs of a Grouped one.
+    /// The AVPs inside a Grouped AVP.
     ///
     /// # Errors
-    /// As [`parse_all`].
+    /// 5014 if an AVP's length does not fit into the group.
     pub fn as_group(&self) -> Result<Vec<Avp>, Fault> {
         parse_all(self.data.clone())
     }
 
-    /// Bytes that [`Avp::write`] appends.
+    /// Number of bytes that [`Avp::write`] appends.
     pub fn encoded_len(&self) -> usize {
         padded(self.header_len() + self.data.len())
     }
@@ -113,13 +116,13 @@
         }
     }
 
-    /// Appends the AVP with its padding.
+    /// Appends the encoded AVP with its padding.
     pub fn write(&self, to: &mut BytesMut) {
         let length = self.header_len() + self.data.len();
         let mut flags = 0;
-        flags |= if self.vendor == 0 { 0 } else { VENDOR };
-        flags |= if self.mandatory { MANDATORY } else { 0 };
-        flags |= if self.protected { PROTECTED } else { 0 };
+        flags |= if self.vendor == 0 { 0 } else { FLAG_VENDOR };
+        flags |= if self.mandatory { FLAG_MANDATORY } else { 0 };
+        flags |= if self.protected { FLAG_PROTECTED } else { 0 };
         to.put_u32(self.code);
         to.put_u32(u32::from(flags) << 24 | (length as u32 & 0x00ff_ffff));
         if self.vendor != 0 {
@@ -134,13 +137,13 @@
     length.div_ceil(4) * 4
 }
 
-/// AVPs of most messages; room for so many is made at once.
+/// Initial capacity of a message's AVP list; enough for most messages.
 pub(crate) const TYPICAL_AVP_COUNT: usize = 16;
 
-/// All AVPs of a message's or group's body. The last one's padding may be missing inside a group.
+/// Decodes all AVPs of a message or of a Grouped AVP's data. The padding of the last AVP may be missing.
 ///
 /// # Errors
-/// 5014 with the AVP that has no room for what its header says (its data cut to what is there).
+/// 5014 with a Failed-AVP of the AVP whose length does not fit; its data is left empty.
 pub(crate) fn parse_all(mut body: Bytes) -> Result<Vec<Avp>, Fault> {
     let mut avps = Vec::with_capacity(if body.len() > 128 { TYPICAL_AVP_COUNT } else { 0 });
     while !body.is_empty() {
@@ -150,35 +153,35 @@
 }
 
 fn parse(body: &mut Bytes) -> Result<Avp, Fault> {
-    let short = |text: &str, avp: Avp| Fault::new(result::INVALID_AVP_LENGTH, text).with(avp);
+    let length_fault = |text: &str, avp: Avp| Fault::new(result::INVALID_AVP_LENGTH, text).with(avp);
     if body.len() < 8 {
         let text = format!("{} bytes are left, less than an AVP's header", body.len());
-        return Err(short(&text, Avp { mandatory: false, ..Avp::new(0, Bytes::new()) }));
+        return Err(length_fault(&text, Avp { mandatory: false, ..Avp::new(0, Bytes::new()) }));
     }
     let code = body.get_u32();
-    let word = body.get_u32();
-    let (flags, length) = ((word >> 24) as u8, (word & 0x00ff_ffff) as usize);
+    let flags_and_length = body.get_u32();
+    let (flags, length) = ((flags_and_length >> 24) as u8, (flags_and_length & 0x00ff_ffff) as usize);
     let mut avp = Avp {
         code,
         vendor: 0,
-        mandatory: flags & MANDATORY != 0,
-        protected: flags & PROTECTED != 0,
+        mandatory: flags & FLAG_MANDATORY != 0,
+        protected: flags & FLAG_PROTECTED != 0,
         data: Bytes::new(),
     };
-    let header = if flags & VENDOR != 0 { 12 } else { 8 };
-    if flags & VENDOR != 0 {
+    let header = if flags & FLAG_VENDOR != 0 { 12 } else { 8 };
+    if flags & FLAG_VENDOR != 0 {
         if body.len() < 4 {
-            return Err(short(&format!("AVP {code}: its vendor is missing"), avp));
+            return Err(length_fault(&format!("AVP {code}: its vendor is missing"), avp));
         }
         avp.vendor = body.get_u32();
     }
     if length < header {
-        return Err(short(&format!("AVP {code}: length {length} is less than its header"), avp));
+        return Err(length_fault(&format!("AVP {code}: length {length} is less than its header"), avp));
     }
     let size = length - header;
     if size > body.len() {
         let text = format!("AVP {code}: {size} bytes of data announced, {} there", body.len());
-        return Err(short(&text, avp));
+        return Err(length_fault(&text, avp));
     }
     avp.data = body.split_to(size);
     let padding = padded(length) - length;
--- a/crates/diameter/src/codec.rs
+++ b/crates/diameter/src/codec.rs
@@ -1,4 +1,4 @@
-//! From stream to messages and back.
+//! Decoding a byte stream into messages, and encoding messages.
 
 use bytes::{Buf, BytesMut};
 use tokio_util::codec::{Decoder, Encoder};
@@ -6,19 +6,20 @@
 use crate::fault::{result, Fault, StreamError};
 use crate::message::{Flags, Header, Message, HEADER_LEN};
 
-/// What one read gives: a message, or one whose header is sound and whose rest is not.
+/// Result of decoding one message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Frame {
-    /// A message.
+    /// A well-formed message.
     Valid(Message),
-    /// A message that can be answered, but not taken: header and what could be read of it.
+    /// A malformed message of which the header was decoded, so that it can be answered; without its AVPs.
     Invalid(Message, Fault),
 }
 
-/// Messages up to a length. Memory: at most one message beyond what the transport reads at once.
+/// Decoder and encoder of messages up to a maximum length. The decoder buffers at most one message in
+/// addition to one read of the transport.
 #[derive(Debug, Clone, Copy)]
 pub struct Codec {
-    /// Longest message taken or sent; at most 2^24 - 1, the format's own bound.
+    /// Maximum message length in bytes, received or sent; at most 2^24 - 1, the limit of the length field.
     pub max_message: usize,
 }
 
@@ -33,7 +34,7 @@
     type Error = StreamError;
 
     fn decode(&mut self, from: &mut BytesMut) -> Result<Option<Frame>, StreamError> {
-        // What is wrong shows in the first four bytes: nothing is stored for it.
+        // Version and length are checked before any memory is reserved for the message.
         let Some(start) = from.get(..4) else { return Ok(None) };
         if start[0] != 1 {
             return Err(StreamError::Version(start[0]));
@@ -43,7 +44,7 @@
             return Err(StreamError::Length(length));
         }
         if length > self.max_message {
-            return Err(StreamError::TooLong { length, most: self.max_message });
+            return Err(StreamError::TooLong { length, max: self.max_message });
         }
         if from.len() < length {
             from.reserve(length - from.len());
@@ -51,27 +52,27 @@
         }
         let mut body = from.split_to(length).freeze();
         body.advance(4);
-        let word = body.get_u32();
-        let (flags, reserved) = Flags::read((word >> 24) as u8);
+        let flags_and_code = body.get_u32();
+        let (flags, reserved) = Flags::read((flags_and_code >> 24) as u8);
         let header = Header {
             flags,
-            code: word & 0x00ff_ffff,
+            code: flags_and_code & 0x00ff_ffff,
             application: body.get_u32(),
             hop_by_hop: body.get_u32(),
             end_to_end: body.get_u32(),
         };
-        let bare = Message { header, avps: Vec::new() };
+        let header_only = Message { header, avps: Vec::new() };
         if reserved {
             let fault = Fault::new(result::INVALID_BIT_IN_HEADER, "a reserved command flag is set");
-            return Ok(Some(Frame::Invalid(bare, fault)));
+            return Ok(Some(Frame::Invalid(header_only, fault)));
         }
         if flags.request && flags.error || !flags.request && flags.retransmitted {
             let fault = Fault::new(result::INVALID_HDR_BITS, "command flags that exclude each other are set");
-            return Ok(Some(Frame::Invalid(bare, fault)));
+            return Ok(Some(Frame::Invalid(header_only, fault)));
         }
         Ok(Some(match Message::parse(header, body) {
             Ok(message) => Frame::Valid(message),
-            Err(fault) => Frame::Invalid(bare, fault),
+            Err(fault) => Frame::Invalid(header_only, fault),
         }))
     }
 }
@@ -82,7 +83,7 @@
     fn encode(&mut self, message: Message, to: &mut BytesMut) -> Result<(), StreamError> {
         let length = message.encoded_len();
         if length > self.max_message {
-            return Err(StreamError::TooLong { length, most: self.max_message });
+            return Err(StreamError::TooLong { length, max: self.max_message });
         }
         message.write(to);
         Ok(())
--- a/crates/diameter/src/credit.rs
+++ b/crates/diameter/src/credit.rs
@@ -1,28 +1,29 @@
-//! Credit control (RFC 8506) as calls: CCR initial sets up, CCR termination releases, ASR cuts.
+//! Credit control (RFC 8506) used for calls: an initial CCR sets up a call, a termination CCR releases it,
+//! and an ASR aborts it.
 
 use crate::avp::Avp;
 use crate::dict;
 use crate::fault::{result, Fault};
 use crate::message::{code, Message};
 
-/// The application's id (section 1.3).
+/// Application-Id of Diameter Credit-Control (section 1.3).
 pub const APPLICATION: u32 = 4;
 
 /// CC-Request-Type (section 8.3).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestType {
-    /// INITIAL_REQUEST: set the call up.
+    /// INITIAL_REQUEST: sets up the call.
     Initial,
     /// UPDATE_REQUEST.
     Update,
-    /// TERMINATION_REQUEST: release it.
+    /// TERMINATION_REQUEST: releases the call.
     Termination,
     /// EVENT_REQUEST.
     Event,
 }
 
 impl RequestType {
-    /// Its value on the wire.
+    /// Enumerated value in the AVP.
     pub fn value(self) -> u32 {
         match self {
             Self::Initial => 1,
@@ -32,12 +33,12 @@
         }
     }
 
-    fn of(value: u32) -> Option<Self> {
+    fn from_value(value: u32) -> Option<Self> {
         [Self::Initial, Self::Update, Self::Termination, Self::Event].into_iter().find(|t| t.value() == value)
     }
 }
 
-/// What a CCR says, as far as a call router needs it.
+/// Fields of a CCR that a call router needs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Ccr<'a> {
     /// Session-Id.
@@ -61,7 +62,7 @@
 }
 
 impl<'a> Ccr<'a> {
-    /// Reads a CCR; what section 3.1 wants in it must be there, once, and well-formed.
+    /// Reads a CCR; every AVP that section 3.1 requires must occur exactly once and be well-formed.
     ///
     /// # Errors
     /// 5005, 5009 or 5004 with Failed-AVP.
@@ -81,7 +82,7 @@
             return Err(fault.with(application.clone()));
         }
         let kind = dict::require(message, dict::CC_REQUEST_TYPE)?;
-        let request_type = kind.as_u32().and_then(RequestType::of).ok_or_else(|| {
+        let request_type = kind.as_u32().and_then(RequestType::from_value).ok_or_else(|| {
             Fault::new(result::INVALID_AVP_VALUE, "CC-Request-Type is none of 1 to 4").with(kind.clone())
         })?;
         let number = dict::require(message, dict::CC_REQUEST_NUMBER)?;
@@ -98,7 +99,7 @@
         })
     }
 
-    /// The data of the first Subscription-Id.
+    /// Subscription-Id-Data of the first Subscription-Id.
     pub fn subscription(message: &Message) -> Option<String> {
         let group = message.find(dict::SUBSCRIPTION_ID)?.as_group().ok()?;
         let data = group.iter().find(|avp| (avp.vendor, avp.code) == (0, dict::SUBSCRIPTION_ID_DATA))?;
@@ -106,7 +107,7 @@
     }
 }
 
-/// Who sends a request, and to which realm.
+/// Origin and destination of a request.
 #[derive(Debug, Clone, Copy)]
 pub struct Endpoints<'a> {
     /// Origin-Host.
@@ -119,7 +120,7 @@
     pub destination_host: Option<&'a str>,
 }
 
-/// A CCR with what section 3.1 wants in it.
+/// Creates a CCR with the AVPs that section 3.1 requires.
 pub fn request(
     endpoints: Endpoints<'_>,
     session: &str,
@@ -142,7 +143,7 @@
     message
 }
 
-/// A CCA to a CCR (section 3.2): what the request names comes back.
+/// Creates a CCA to a CCR (section 3.2), which repeats application, request type and request number.
 pub fn answer(request: &Message, result_code: u32, host: &str, realm: &str) -> Message {
     answer_with_origin(
         request,
@@ -151,7 +152,7 @@
     )
 }
 
-/// The same, by an end whose Origin-Host and Origin-Realm are made already.
+/// As [`answer`], with already encoded Origin-Host and Origin-Realm AVPs.
 pub fn answer_with_origin(request: &Message, result_code: u32, origin: &[Avp; 2]) -> Message {
     let mut answer = Message::answer(request, result_code);
     answer.avps.extend(origin.iter().cloned());
@@ -161,7 +162,7 @@
     answer
 }
 
-/// An ASR (RFC 6733, section 8.5.1).
+/// Creates an ASR (RFC 6733, section 8.5.1).
 pub fn abort(endpoints: Endpoints<'_>, session: &str) -> Message {
     let mut message = Message::request(code::ABORT_SESSION, APPLICATION)
         .with(Avp::text(dict::SESSION_ID, session))
--- a/crates/diameter/src/dict.rs
+++ b/crates/diameter/src/dict.rs
@@ -1,11 +1,11 @@
-//! The dictionary: RFC 6733 (section 4.5), RFC 8506 (section 8), RFC 7683 (section 7), RFC 8583 (section 7),
-//! and the few AVPs of RFC 2865 that they use.
+//! The AVP dictionary: RFC 6733 (section 4.5), RFC 8506 (section 8), RFC 7683 (section 7), RFC 8583
+//! (section 7), and the AVPs of RFC 2865 that they use.
 
 use crate::avp::{Avp, MAX_GROUP_DEPTH};
 use crate::fault::{result, Fault};
 use crate::message::Message;
 
-/// What an AVP's data is (RFC 6733, sections 4.2 and 4.3), as far as it can be checked.
+/// Data format of an AVP (RFC 6733, sections 4.2 and 4.3); formats that are checked alike share a variant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
     /// OctetString.
@@ -22,16 +22,16 @@
     Grouped,
 }
 
-/// One AVP of the dictionary.
+/// Definition of one AVP.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Def {
     /// AVP Code.
     pub code: u32,
-    /// Its name.
+    /// AVP name.
     pub name: &'static str,
-    /// Its data.
+    /// Data format.
     pub kind: Kind,
-    /// Whether senders set the M bit.
+    /// Whether a sender sets the M bit.
     pub mandatory: bool,
 }
 
@@ -278,7 +278,7 @@
     Def { code, name, kind, mandatory }
 }
 
-/// By code.
+/// All definitions, sorted by code for binary search.
 const DEFS: &[Def] = &[
     def(USER_NAME, "User-Name", Kind::Text, true),
     def(CLASS, "Class", Kind::Octets, true),
@@ -401,7 +401,7 @@
     def(QOS_FINAL_UNIT_INDICATION, "QoS-Final-Unit-Indication", Kind::Grouped, false),
 ];
 
-/// The definition of an AVP, if it is known. Vendors' AVPs are not.
+/// Looks up the definition of an AVP. Vendor-specific AVPs have none.
 pub fn find(vendor: u32, code: u32) -> Option<&'static Def> {
     if vendor != 0 {
         return None;
@@ -409,10 +409,11 @@
     DEFS.binary_search_by_key(&code, |def| def.code).ok().map(|at| &DEFS[at])
 }
 
-/// Checks every AVP of a message, groups and all: known where mandatory, of the right length and form.
+/// Checks every AVP of a message, including the contents of Grouped AVPs: an AVP with the M bit must be
+/// known, and the data must have the length and format of its definition.
 ///
 /// # Errors
-/// The first AVP that fails: 5001, 5004 or 5014, with Failed-AVP as RFC 6733, section 7.5 has it.
+/// 5001, 5004 or 5014 for the first AVP that fails, with Failed-AVP as in RFC 6733, section 7.5.
 pub fn check(message: &Message) -> Result<(), Fault> {
     message.avps.iter().try_for_each(|avp| check_avp(avp, 1))
 }
@@ -425,17 +426,17 @@
         }
         return Ok(());
     };
-    let least = match def.kind {
+    let min_len = match def.kind {
         Kind::U32 => 4,
         Kind::U64 => 8,
         Kind::Address => 6,
         Kind::Octets | Kind::Text | Kind::Grouped => 0,
     };
     let exact = matches!(def.kind, Kind::U32 | Kind::U64);
-    if avp.data.len() < least || exact && avp.data.len() != least {
-        let text = format!("{}: {} bytes of data, {least} wanted", def.name, avp.data.len());
-        // The offending AVP with the least data that would do, all noughts.
-        let failed = Avp { data: vec![0; least].into(), ..avp.clone() };
+    if avp.data.len() < min_len || exact && avp.data.len() != min_len {
+        let text = format!("{}: {} bytes of data, {min_len} wanted", def.name, avp.data.len());
+        // Failed-AVP has the offending AVP with zero-filled data of the minimum length (section 7.5).
+        let failed = Avp { data: vec![0; min_len].into(), ..avp.clone() };
         return Err(Fault::new(result::INVALID_AVP_LENGTH, text).with(failed));
     }
     match def.kind {
@@ -448,27 +449,27 @@
             Err(Fault::new(result::INVALID_AVP_VALUE, text)
                 .with(Avp { data: Default::default(), ..avp.clone() }))
         }
-        // What failed elsewhere is quoted as it was, unknown or broken.
+        // Failed-AVP quotes the AVP that a peer rejected, which may be unknown or malformed.
         Kind::Grouped if avp.code == FAILED_AVP => Ok(()),
         Kind::Grouped => avp.as_group()?.iter().try_for_each(|inner| check_avp(inner, depth + 1)),
         _ => Ok(()),
     }
 }
 
-/// An AVP that must be there.
+/// Returns an AVP that must occur exactly once.
 ///
 /// # Errors
-/// 5005 with an empty example in Failed-AVP, 5009 where it comes twice.
+/// 5005 with a zero-filled example in Failed-AVP if it is missing, 5009 if it occurs more than once.
 pub fn require(message: &Message, code: u32) -> Result<&Avp, Fault> {
     let mut all = message.all(code);
     let name = find(0, code).map_or("AVP", |def| def.name);
     let Some(first) = all.next() else {
-        let least = match find(0, code).map(|def| def.kind) {
+        let min_len = match find(0, code).map(|def| def.kind) {
             Some(Kind::U32) => 4,
             Some(Kind::U64) => 8,
             _ => 0,
         };
-        let example = Avp::new(code, vec![0; least]);
+        let example = Avp::new(code, vec![0; min_len]);
         return Err(Fault::new(result::MISSING_AVP, format!("{name} is missing")).with(example));
     };
     match all.next() {
--- a/crates/diameter/src/fault.rs
+++ b/crates/diameter/src/fault.rs
@@ -1,4 +1,4 @@
-//! Result codes, and what can be wrong with a message or a stream.
+//! Result codes, and the errors of a message and of a stream.
 
 use crate::avp::Avp;
 
@@ -24,7 +24,7 @@
     pub const INVALID_AVP_BITS: u32 = 3009;
     /// DIAMETER_UNKNOWN_PEER.
     pub const UNKNOWN_PEER: u32 = 3010;
-    /// DIAMETER_END_USER_SERVICE_DENIED (RFC 8506): here, the number dialled is busy.
+    /// DIAMETER_END_USER_SERVICE_DENIED (RFC 8506): used when the number called is busy.
     pub const END_USER_SERVICE_DENIED: u32 = 4010;
     /// DIAMETER_ELECTION_LOST.
     pub const ELECTION_LOST: u32 = 4003;
@@ -36,7 +36,7 @@
     pub const INVALID_AVP_VALUE: u32 = 5004;
     /// DIAMETER_MISSING_AVP.
     pub const MISSING_AVP: u32 = 5005;
-    /// DIAMETER_RESOURCES_EXCEEDED: here, no free line.
+    /// DIAMETER_RESOURCES_EXCEEDED: used when no circuit is free.
     pub const RESOURCES_EXCEEDED: u32 = 5006;
     /// DIAMETER_AVP_OCCURS_TOO_MANY_TIMES.
     pub const AVP_OCCURS_TOO_MANY_TIMES: u32 = 5009;
@@ -55,54 +55,57 @@
     /// DIAMETER_NO_COMMON_SECURITY.
     pub const NO_COMMON_SECURITY: u32 = 5017;
 
-    /// Whether a code is a protocol error, so that its answer has the E bit (RFC 6733, section 7.1.3).
+    /// Whether a Result-Code is a protocol error (3xxx), whose answer has the E bit set (RFC 6733,
+    /// section 7.1.3).
     pub fn is_protocol_error(code: u32) -> bool {
         code / 1000 == 3
     }
 }
 
-/// What is wrong with one message; the stream after it is sound.
+/// An error in one message; the messages after it can still be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{text} ({code})")]
 pub struct Fault {
-    /// The Result-Code of the answer.
+    /// Result-Code of the error answer.
     pub code: u32,
-    /// What is wrong, for Error-Message and logs.
+    /// Description of the error, for Error-Message and logs.
     pub text: String,
-    /// The AVP that Failed-AVP names (RFC 6733, section 7.5), where the RFC asks for one. Boxed: faults are
-    /// rare and travel in every result.
+    /// Content of Failed-AVP, if the RFC requires one (RFC 6733, section 7.5). Boxed to keep `Result`s small,
+    /// since faults are rare.
     pub failed: Option<Box<Avp>>,
 }
 
 impl Fault {
-    /// A fault without Failed-AVP.
+    /// Creates a fault without Failed-AVP.
     pub fn new(code: u32, text: impl Into<String>) -> Self {
         Self { code, text: text.into(), failed: None }
     }
 
-    /// With the AVP that failed.
+    /// Adds the content of Failed-AVP.
     pub fn with(mut self, failed: Avp) -> Self {
         self.failed = Some(Box::new(failed));
         self
     }
 }
 
-/// Why nothing more can be read from a stream.
+/// An error after which a stream cannot be decoded any further.
 #[derive(Debug, thiserror::Error)]
 pub enum StreamError {
-    /// Another version than 1: the length that follows means nothing (5011).
-    #[error("version {0} where a message starts: only version 1 is spoken (RFC 6733, section 3)")]
+    /// The version is not 1, so the length field cannot be trusted (5011).
+    #[error(
+        "unsupported version {0} in a message header: only version 1 is supported (RFC 6733, section 3)"
+    )]
     Version(u8),
-    /// Shorter than a header, or no multiple of 4 (5015).
-    #[error("a message of {0} bytes: at least 20 and a multiple of 4 are needed (RFC 6733, section 3)")]
+    /// The message length is less than a header or not a multiple of 4 (5015).
+    #[error("invalid message length {0}: must be at least 20 and a multiple of 4 (RFC 6733, section 3)")]
     Length(usize),
-    /// Longer than this end takes.
-    #[error("a message of {length} bytes is announced; this end takes {most}")]
+    /// The message is longer than the configured maximum.
+    #[error("message length {length} exceeds the maximum of {max} bytes")]
     TooLong {
-        /// Announced.
+        /// Length of the message in bytes.
         length: usize,
-        /// Taken.
-        most: usize,
+        /// Configured maximum in bytes.
+        max: usize,
     },
     /// The transport failed.
     #[error("transport: {0}")]
--- a/crates/diameter/src/lib.rs
+++ b/crates/diameter/src/lib.rs
@@ -1,11 +1,12 @@
-//! Diameter as RFC 6733 has it, without I/O: bytes and time in, bytes and events out.
+//! Diameter base protocol (RFC 6733) without I/O: the driver passes in messages and the time, and carries out
+//! the resulting actions.
 //!
-//! [`Codec`] is a `tokio-util` decoder and encoder whose AVPs are slices of what was read. [`Peer`] is the
-//! peer state machine of section 5.6 with the watchdog of RFC 3539 ([`Watchdog`]) in it. [`credit`] reads
-//! and writes the messages of credit control (RFC 8506), [`load`] the load reports that ride on answers.
+//! [`Codec`] is a `tokio-util` decoder and encoder; decoded AVPs are slices of the receive buffer. [`Peer`]
+//! is the peer state machine of section 5.6, including the watchdog of RFC 3539 ([`Watchdog`]). [`credit`]
+//! reads and writes credit-control messages (RFC 8506), [`load`] the load reports carried in answers.
 //!
-//! What is wrong with a message is a [`Fault`], which holds the answer that the RFC asks for; what is wrong
-//! with a stream, so that nothing after it can be read, is a [`StreamError`].
+//! A [`Fault`] is an error in one message and holds the contents of the error answer that the RFC requires. A
+//! [`StreamError`] is an error after which the rest of the stream cannot be decoded.
 
 mod avp;
 mod codec;
@@ -27,5 +28,5 @@
 };
 pub use watchdog::{Watchdog, WatchdogAction, WatchdogEvent, WatchdogState};
 
-/// Time in whole microseconds, as the decision module counts it.
+/// Time in microseconds, as in the `baydrift` crate.
 pub use baydrift::interface::Micros;
--- a/crates/diameter/src/message.rs
+++ b/crates/diameter/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages: header and AVPs (RFC 6733, section 3).
+//! Diameter messages: header and AVPs (RFC 6733, section 3).
 
 use bytes::{BufMut, Bytes, BytesMut};
 
@@ -25,11 +25,11 @@
 pub struct Flags {
     /// R: a request.
     pub request: bool,
-    /// P: may be proxied.
+    /// P: may be proxied, relayed or redirected.
     pub proxiable: bool,
     /// E: a protocol error.
     pub error: bool,
-    /// T: perhaps sent before, by a connection that was lost.
+    /// T: potentially retransmitted after a link failover.
     pub retransmitted: bool,
 }
 
@@ -41,7 +41,7 @@
             | u8::from(self.retransmitted) << 4
     }
 
-    /// The flags, and whether a reserved bit is set.
+    /// Returns the flags, and whether a reserved bit is set.
     pub(crate) fn read(byte: u8) -> (Self, bool) {
         let bit = |n: u8| byte >> n & 1 == 1;
         let flags = Self { request: bit(7), proxiable: bit(6), error: bit(5), retransmitted: bit(4) };
@@ -49,7 +49,7 @@
     }
 }
 
-/// A message's header without its length.
+/// Message header without version and length.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Header {
     /// Command flags.
@@ -58,26 +58,26 @@
     pub code: u32,
     /// Application-ID.
     pub application: u32,
-    /// Changed on each hop; matches answers to requests there.
+    /// Hop-by-Hop Identifier: matches answers to requests on one connection.
     pub hop_by_hop: u32,
-    /// Kept from end to end; with Origin-Host it names a request.
+    /// End-to-End Identifier: unchanged by agents; identifies a request together with Origin-Host.
     pub end_to_end: u32,
 }
 
-/// Bytes of a header.
+/// Length of a message header in bytes.
 pub(crate) const HEADER_LEN: usize = 20;
 
-/// A message.
+/// A Diameter message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Message {
-    /// Its header.
+    /// Message header.
     pub header: Header,
-    /// Its AVPs, in their order.
+    /// AVPs in the order of the message.
     pub avps: Vec<Avp>,
 }
 
 impl Message {
-    /// A request without AVPs.
+    /// Creates a request without AVPs; proxiable unless it belongs to the base protocol (application 0).
     pub fn request(code: u32, application: u32) -> Self {
         let proxiable = application != 0;
         let flags = Flags { request: true, proxiable, ..Flags::default() };
@@ -87,8 +87,8 @@
         }
     }
 
-    /// An answer to a request: the same ids, the E bit by the result, Session-Id first, then Result-Code;
-    /// Proxy-Info comes back in its order (section 6.2).
+    /// Creates an answer to a request: the same identifiers, the E bit according to the Result-Code,
+    /// Session-Id first, then Result-Code, then the request's Proxy-Info AVPs in their order (section 6.2).
     pub fn answer(request: &Message, result_code: u32) -> Self {
         let flags = Flags {
             request: false,
@@ -104,7 +104,7 @@
         answer
     }
 
-    /// The answer that a fault asks for, with Error-Message and Failed-AVP.
+    /// Creates the answer to a request with this fault, including Error-Message and Failed-AVP.
     pub fn error_answer(request: &Message, fault: &Fault, host: &str, realm: &str) -> Self {
         let mut answer = Self::answer(request, fault.code);
         answer.push(Avp::text(dict::ORIGIN_HOST, host));
@@ -121,33 +121,33 @@
         self.avps.push(avp);
     }
 
-    /// The same with one more AVP.
+    /// Returns the message with one more AVP.
     pub fn with(mut self, avp: Avp) -> Self {
         self.push(avp);
         self
     }
 
-    /// The first AVP of a base code.
+    /// First AVP with this code and no vendor.
     pub fn find(&self, code: u32) -> Option<&Avp> {
         self.all(code).next()
     }
 
-    /// All AVPs of a base code.
+    /// All AVPs with this code and no vendor.
     pub fn all(&self, code: u32) -> impl Iterator<Item = &Avp> {
         self.avps.iter().filter(move |avp| avp.code == code && avp.vendor == 0)
     }
 
-    /// The text of the first AVP of a base code.
+    /// First AVP with this code and no vendor, as text.
     pub fn text(&self, code: u32) -> Option<&str> {
         self.find(code)?.as_text()
     }
 
-    /// The number in the first AVP of a base code.
+    /// First AVP with this code and no vendor, as Unsigned32.
     pub fn number(&self, code: u32) -> Option<u32> {
         self.find(code)?.as_u32()
     }
 
-    /// The Result-Code; 0 where there is none.
+    /// Result-Code; 0 if there is none.
     pub fn result(&self) -> u32 {
         self.number(dict::RESULT_CODE).unwrap_or(0)
     }
@@ -156,12 +156,12 @@
         Ok(Self { header, avps: parse_all(body)? })
     }
 
-    /// Bytes that [`Message::write`] appends.
+    /// Number of bytes that [`Message::write`] appends.
     pub fn encoded_len(&self) -> usize {
         HEADER_LEN + self.avps.iter().map(Avp::encoded_len).sum::<usize>()
     }
 
-    /// Appends the message.
+    /// Appends the encoded message.
     pub fn write(&self, to: &mut BytesMut) {
         let length = self.encoded_len();
         to.reserve(length);
--- a/crates/diameter/src/watchdog.rs
+++ b/crates/diameter/src/watchdog.rs
@@ -1,71 +1,75 @@
-//! The watchdog of RFC 3539, section 3.4: its states, and its table of appendix A as it stands there.
+//! The watchdog algorithm of RFC 3539, section 3.4, with the state transitions of its appendix A.
 
 use crate::Micros;
 
-/// States of section 3.4.1.
+/// Watchdog states (section 3.4.1).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WatchdogState {
-    /// Never connected yet.
+    /// INITIAL: not connected since the start.
     Initial,
-    /// Up.
+    /// OKAY: the connection is up.
     Okay,
-    /// One watchdog unanswered: failed over, but not closed.
+    /// SUSPECT: a watchdog request is unanswered; failed over, but the transport is still open.
     Suspect,
-    /// Closed.
+    /// DOWN: the transport is closed.
     Down,
-    /// Connected anew: three answers are wanted before it is used.
+    /// REOPEN: reconnected; not used before three watchdog answers were received.
     Reopen,
 }
 
-/// What the watchdog hears.
+/// Input of the watchdog.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WatchdogEvent {
-    /// Capabilities were exchanged.
+    /// The capabilities exchange succeeded.
     ConnectionUp,
-    /// The transport is gone.
+    /// The transport closed.
     ConnectionDown,
-    /// A watchdog answer.
+    /// A watchdog answer (DWA) was received.
     Answer,
-    /// Any other message.
+    /// Any other message was received.
     Other,
-    /// Its timer may be due.
+    /// The watchdog timer may have expired; has no effect before it is due.
     Tick,
 }
 
-/// What the watchdog wants done.
+/// Action requested by the watchdog.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WatchdogAction {
     /// Send a DWR.
     SendWatchdog,
-    /// What is out goes elsewhere; nothing new is sent.
+    /// Move pending requests to another peer and send no new ones to this one.
     Failover,
-    /// The peer is used again.
+    /// Use the peer again.
     Failback,
     /// Close the transport.
     Close,
-    /// Try to connect.
+    /// Try to open a transport.
     AttemptOpen,
 }
 
-/// Answers wanted in REOPEN before the peer is used.
+/// Watchdog answers needed in REOPEN before the peer is used (section 3.4.1).
 const REOPEN_ANSWERS: i8 = 3;
 
-/// One peer's watchdog. Time and chance are given; nothing is read.
+/// Watchdog of one peer. The caller passes in the time and the random numbers.
 #[derive(Debug, Clone)]
 pub struct Watchdog {
     state: WatchdogState,
     /// Tw without jitter.
     interval: Micros,
-    /// Most that a draw takes off or adds.
+    /// Largest amount by which an interval is shortened or lengthened.
     jitter: Micros,
+    /// Whether a watchdog request is unanswered.
     pending: bool,
+    /// Watchdog answers received in REOPEN; -1 after a request went unanswered there.
     answers: i8,
+    /// When the timer expires.
     due: Micros,
 }
 
 impl Watchdog {
-    /// A watchdog in INITIAL, whose first tick asks for a connection. RFC 3539 asks for an interval of 6 s or more and a jitter of 2 s; in tests and
-    /// closed networks both are smaller, the jitter a third of the interval at most.
+    /// A watchdog in INITIAL, whose first tick requests a connection. RFC 3539 requires an interval (Tw) of
+    /// at least 6 s and a jitter of 2 s; tests and closed networks may use shorter ones, with a jitter of at
+    /// most a third of the interval.
     pub fn new(interval: Micros) -> Self {
         let interval = interval.max(3);
         Self {
@@ -78,17 +82,18 @@
         }
     }
 
-    /// Its state.
+    /// Current state.
     pub fn state(&self) -> WatchdogState {
         self.state
     }
 
-    /// When [`WatchdogEvent::Tick`] is wanted.
+    /// When the next [`WatchdogEvent::Tick`] is needed.
     pub fn due(&self) -> Micros {
         self.due
     }
 
-    /// Takes one event; `draw` is chance in 0 to 1, for the jitter.
+    /// Handles one event and appends the resulting actions to `out`; `draw` is a random number from 0 to 1
+    /// for the jitter.
     pub fn handle(&mut self, now: Micros, draw: f64, event: WatchdogEvent, out: &mut Vec<WatchdogAction>) {
         use WatchdogAction::{AttemptOpen, Close, Failback, Failover, SendWatchdog};
         use WatchdogEvent::{Answer, ConnectionDown, ConnectionUp, Other, Tick};
@@ -99,28 +104,28 @@
         match (self.state, event) {
             (Initial, ConnectionUp) => {
                 self.pending = false;
-                self.set(now, draw);
+                self.restart_timer(now, draw);
                 self.state = Okay;
             }
             (Down, ConnectionUp) => {
                 self.answers = 0;
                 self.pending = true;
                 out.push(SendWatchdog);
-                self.set(now, draw);
+                self.restart_timer(now, draw);
                 self.state = Reopen;
             }
             (Okay, Answer) => {
                 self.pending = false;
-                self.set(now, draw);
+                self.restart_timer(now, draw);
             }
-            (Okay, Other) => self.set(now, draw),
-            // The table leaves the watchdog pending where another message came first. If the peer swallowed it,
-            // the first quiet interval, hours later, would then fail over a peer that was asked nothing since:
-            // it is asked anew instead.
+            (Okay, Other) => self.restart_timer(now, draw),
+            // Appendix A leaves the request pending if another message arrives first. If the peer lost that
+            // request, the first idle interval, possibly hours later, would fail over without a new request
+            // having been sent. Clearing `pending` here makes that interval send one first.
             (Suspect, Answer | Other) => {
                 self.pending = false;
                 out.push(Failback);
-                self.set(now, draw);
+                self.restart_timer(now, draw);
                 self.state = Okay;
             }
             (Reopen, Answer) => {
@@ -128,59 +133,61 @@
                 self.answers += 1;
                 if self.answers >= REOPEN_ANSWERS {
                     out.push(Failback);
-                    self.set(now, draw);
+                    self.restart_timer(now, draw);
                     self.state = Okay;
                 }
             }
             (Okay, Tick) if !self.pending => {
                 self.pending = true;
                 out.push(SendWatchdog);
-                self.set(now, draw);
+                self.restart_timer(now, draw);
             }
             (Okay, Tick) => {
                 out.push(Failover);
-                self.set(now, draw);
+                self.restart_timer(now, draw);
                 self.state = Suspect;
             }
             (Suspect, Tick) => {
                 out.push(Close);
-                self.set(now, draw);
+                self.restart_timer(now, draw);
                 self.state = Down;
             }
             (Reopen, Tick) if !self.pending => {
                 self.pending = true;
                 out.push(SendWatchdog);
-                self.set(now, draw);
+                self.restart_timer(now, draw);
             }
             (Reopen, Tick) if self.answers < 0 => {
                 out.push(Close);
-                self.set(now, draw);
+                self.restart_timer(now, draw);
                 self.state = Down;
             }
             (Reopen, Tick) => {
                 self.answers = -1;
-                self.set(now, draw);
+                self.restart_timer(now, draw);
             }
             (Initial | Down, Tick) => {
                 out.push(AttemptOpen);
-                self.set(now, draw);
+                self.restart_timer(now, draw);
             }
             (Okay, ConnectionDown) => {
                 out.push(Failover);
-                self.set(now, draw);
+                self.restart_timer(now, draw);
                 self.state = Down;
             }
             (Suspect | Reopen, ConnectionDown) => {
-                self.set(now, draw);
+                self.restart_timer(now, draw);
                 self.state = Down;
             }
-            // Nothing is heard from one that is not connected, and no connection comes up twice.
+            // Not connected: there is nothing to receive. REOPEN waits for watchdog answers only.
             (Initial | Down, Answer | Other | ConnectionDown) | (Reopen, Other) => {}
+            // Already connected.
             (Okay | Suspect | Reopen, ConnectionUp) => {}
         }
     }
 
-    fn set(&mut self, now: Micros, draw: f64) {
+    /// Restarts the timer with jitter (SetWatchdog in appendix A).
+    fn restart_timer(&mut self, now: Micros, draw: f64) {
         let jitter = (draw.clamp(0.0, 1.0) * 2.0 - 1.0) * self.jitter as f64;
         self.due = now.saturating_add((self.interval as f64 + jitter).max(1.0) as Micros);
     }
--- a/crates/diameter/tests/codec.rs
+++ b/crates/diameter/tests/codec.rs
@@ -1,4 +1,5 @@
-//! Bytes: good ones both ways, against an independent implementation, and bad ones of every kind.
+//! Encoding and decoding: round trips, comparison with an independent implementation (the `diameter`
+//! crate), and malformed input.
 
 use std::io::Cursor;
 use std::sync::Arc;
@@ -14,40 +15,40 @@
 use proptest::test_runner::RngSeed;
 use tokio_util::codec::{Decoder, Encoder};
 
-fn bytes(message: &Message) -> BytesMut {
+fn encode(message: &Message) -> BytesMut {
     let mut to = BytesMut::new();
-    Codec::default().encode(message.clone(), &mut to).expect("short enough");
+    Codec::default().encode(message.clone(), &mut to).expect("within the maximum length");
     to
 }
 
-fn read(mut from: BytesMut) -> Result<Option<Frame>, StreamError> {
+fn decode(mut from: BytesMut) -> Result<Option<Frame>, StreamError> {
     Codec::default().decode(&mut from)
 }
 
-fn ccr() -> Message {
-    let ends = Endpoints {
+fn sample_ccr() -> Message {
+    let endpoints = Endpoints {
         origin_host: "client.test",
         origin_realm: "test",
         destination_realm: "core.test",
         destination_host: Some("s1.core.test"),
     };
-    let mut message = credit::request(ends, "client.test;1;2", "grid@test", RequestType::Initial, 0);
+    let mut message = credit::request(endpoints, "client.test;1;2", "grid@test", RequestType::Initial, 0);
     (message.header.hop_by_hop, message.header.end_to_end) = (7, 9);
     message.with(Avp::text(dict::CALLED_STATION_ID, "5550100"))
 }
 
-fn fault_of(message: &Message) -> u32 {
+fn check_fault(message: &Message) -> u32 {
     dict::check(message).expect_err("faulty").code
 }
 
 #[test]
-fn what_is_written_reads_back_at_every_cut() {
-    let message = ccr();
-    let whole = bytes(&message);
-    for cut in 0..whole.len() {
-        let mut part = BytesMut::from(&whole[..cut]);
+fn round_trip_split_at_every_byte() {
+    let message = sample_ccr();
+    let encoded = encode(&message);
+    for cut in 0..encoded.len() {
+        let mut part = BytesMut::from(&encoded[..cut]);
         assert!(Codec::default().decode(&mut part).expect("no error").is_none(), "cut at {cut}");
-        part.extend_from_slice(&whole[cut..]);
+        part.extend_from_slice(&encoded[cut..]);
         assert_eq!(Codec::default().decode(&mut part).unwrap(), Some(Frame::Valid(message.clone())));
         assert!(part.is_empty());
     }
@@ -55,60 +56,61 @@
 }
 
 #[test]
-fn the_oracle_reads_what_we_write() {
+fn reference_implementation_decodes_our_encoding() {
     let dict = Arc::new(Dictionary::new(&[&DEFAULT_DICT_XML]));
-    let theirs = DiameterMessage::decode_from(&mut Cursor::new(&bytes(&ccr())[..]), dict).expect("readable");
-    assert_eq!(theirs.get_command_code(), CommandCode::CreditControl);
-    assert_eq!((theirs.get_hop_by_hop_id(), theirs.get_end_to_end_id()), (7, 9));
-    assert_eq!(theirs.get_avps().len(), ccr().avps.len());
-    assert_eq!(theirs.get_avp(dict::ORIGIN_HOST).unwrap().get_identity().unwrap().value(), "client.test");
+    let reference =
+        DiameterMessage::decode_from(&mut Cursor::new(&encode(&sample_ccr())[..]), dict).expect("readable");
+    assert_eq!(reference.get_command_code(), CommandCode::CreditControl);
+    assert_eq!((reference.get_hop_by_hop_id(), reference.get_end_to_end_id()), (7, 9));
+    assert_eq!(reference.get_avps().len(), sample_ccr().avps.len());
+    assert_eq!(reference.get_avp(dict::ORIGIN_HOST).unwrap().get_identity().unwrap().value(), "client.test");
     assert_eq!(
-        theirs.get_avp(dict::SESSION_ID).unwrap().get_utf8string().unwrap().value(),
+        reference.get_avp(dict::SESSION_ID).unwrap().get_utf8string().unwrap().value(),
         "client.test;1;2"
     );
-    let mut again = Vec::new();
-    theirs.encode_to(&mut again).unwrap();
-    assert_eq!(again, bytes(&ccr()));
+    let mut re_encoded = Vec::new();
+    reference.encode_to(&mut re_encoded).unwrap();
+    assert_eq!(re_encoded, encode(&sample_ccr()));
 }
 
 #[test]
-fn we_read_what_the_oracle_writes() {
+fn decodes_reference_implementation_encoding() {
     let dict = Arc::new(Dictionary::new(&[&DEFAULT_DICT_XML]));
     let (code, app) = (CommandCode::CreditControl, ApplicationId::CreditControl);
-    let mut theirs = DiameterMessage::new(code, app, 0xc0, 1123158610, 3102381851, dict.clone());
-    theirs.add_avp(dict::SESSION_ID, None, M, UTF8String::new("oracle;1;3").into());
-    theirs.add_avp(dict::ORIGIN_HOST, None, M, Identity::new("oracle.test").into());
-    theirs.add_avp(dict::ORIGIN_REALM, None, M, Identity::new("test").into());
-    theirs.add_avp(dict::DESTINATION_REALM, None, M, Identity::new("core.test").into());
-    theirs.add_avp(dict::AUTH_APPLICATION_ID, None, M, Unsigned32::new(4).into());
-    theirs.add_avp(dict::SERVICE_CONTEXT_ID, None, M, UTF8String::new("grid@test").into());
-    theirs.add_avp(dict::CC_REQUEST_TYPE, None, M, Enumerated::new(1).into());
-    theirs.add_avp(dict::CC_REQUEST_NUMBER, None, M, Unsigned32::new(0).into());
-    theirs.add_avp(dict::CC_TOTAL_OCTETS, None, M, Unsigned64::new(1 << 40).into());
+    let mut reference = DiameterMessage::new(code, app, 0xc0, 1123158610, 3102381851, dict.clone());
+    reference.add_avp(dict::SESSION_ID, None, M, UTF8String::new("oracle;1;3").into());
+    reference.add_avp(dict::ORIGIN_HOST, None, M, Identity::new("oracle.test").into());
+    reference.add_avp(dict::ORIGIN_REALM, None, M, Identity::new("test").into());
+    reference.add_avp(dict::DESTINATION_REALM, None, M, Identity::new("core.test").into());
+    reference.add_avp(dict::AUTH_APPLICATION_ID, None, M, Unsigned32::new(4).into());
+    reference.add_avp(dict::SERVICE_CONTEXT_ID, None, M, UTF8String::new("grid@test").into());
+    reference.add_avp(dict::CC_REQUEST_TYPE, None, M, Enumerated::new(1).into());
+    reference.add_avp(dict::CC_REQUEST_NUMBER, None, M, Unsigned32::new(0).into());
+    reference.add_avp(dict::CC_TOTAL_OCTETS, None, M, Unsigned64::new(1 << 40).into());
     let mut raw = Vec::new();
-    theirs.encode_to(&mut raw).unwrap();
-    let Ok(Some(Frame::Valid(ours))) = read(BytesMut::from(&raw[..])) else { panic!("not read") };
-    assert_eq!(dict::check(&ours), Ok(()));
-    let ccr = credit::Ccr::read(&ours).expect("complete");
+    reference.encode_to(&mut raw).unwrap();
+    let Ok(Some(Frame::Valid(decoded))) = decode(BytesMut::from(&raw[..])) else { panic!("not read") };
+    assert_eq!(dict::check(&decoded), Ok(()));
+    let ccr = credit::Ccr::read(&decoded).expect("complete");
     assert_eq!((ccr.session, ccr.request_type), ("oracle;1;3", RequestType::Initial));
-    assert_eq!(ours.find(dict::CC_TOTAL_OCTETS).unwrap().as_u64(), Some(1 << 40));
-    assert_eq!(&bytes(&ours)[..], &raw[..]);
+    assert_eq!(decoded.find(dict::CC_TOTAL_OCTETS).unwrap().as_u64(), Some(1 << 40));
+    assert_eq!(&encode(&decoded)[..], &raw[..]);
 }
 
 #[test]
-fn a_stream_that_cannot_go_on_says_why() {
-    let start = |bytes: &[u8]| read(BytesMut::from(bytes));
+fn invalid_version_or_length_ends_the_stream() {
+    let start = |bytes: &[u8]| decode(BytesMut::from(bytes));
     assert!(matches!(start(&[2, 0, 0, 20]), Err(StreamError::Version(2))));
     assert!(matches!(start(&[1, 0, 0, 16]), Err(StreamError::Length(16))));
     assert!(matches!(start(&[1, 0, 0, 21]), Err(StreamError::Length(21))));
-    // 16 MB announced: refused on four bytes, before anything is reserved for it.
+    // A length of 16 MB is rejected after four bytes, before memory is reserved for it.
     assert!(matches!(start(&[1, 0xff, 0xff, 0xfc]), Err(StreamError::TooLong { length: 0xff_fffc, .. })));
     assert!(matches!(start(&[1, 0, 0]), Ok(None)));
 }
 
 #[test]
-fn a_bad_message_keeps_its_ids_and_the_stream_goes_on() {
-    let good = bytes(&ccr());
+fn malformed_message_does_not_end_the_stream() {
+    let good = encode(&sample_ccr());
     type Case = (&'static str, fn(&mut BytesMut), u32);
     let cases: [Case; 5] = [
         ("reserved flag", |m| m[4] |= 0x04, result::INVALID_BIT_IN_HEADER),
@@ -129,44 +131,45 @@
             result::INVALID_AVP_LENGTH,
         ),
     ];
-    for (what, damage, code) in cases {
+    for (case, corrupt, code) in cases {
         let mut raw = good.clone();
-        damage(&mut raw);
+        corrupt(&mut raw);
         raw.extend_from_slice(&good);
         let mut codec = Codec::default();
-        let Some(Frame::Invalid(bare, fault)) = codec.decode(&mut raw).expect("goes on") else {
-            panic!("{what}")
+        let Some(Frame::Invalid(header_only, fault)) = codec.decode(&mut raw).expect("no stream error")
+        else {
+            panic!("{case}")
         };
-        assert_eq!((bare.header.hop_by_hop, fault.code), (7, code), "{what}");
-        assert_eq!(fault.failed.is_some(), code == result::INVALID_AVP_LENGTH, "{what}");
-        assert_eq!(codec.decode(&mut raw).unwrap(), Some(Frame::Valid(ccr())), "{what}");
-        // The answer that the fault asks for is itself in order.
-        let refusal = Message::error_answer(&bare, &fault, "front.test", "test");
-        assert_eq!(refusal.header.flags.error, result::is_protocol_error(code));
-        assert!(matches!(read(bytes(&refusal)), Ok(Some(Frame::Valid(_)))));
+        assert_eq!((header_only.header.hop_by_hop, fault.code), (7, code), "{case}");
+        assert_eq!(fault.failed.is_some(), code == result::INVALID_AVP_LENGTH, "{case}");
+        assert_eq!(codec.decode(&mut raw).unwrap(), Some(Frame::Valid(sample_ccr())), "{case}");
+        // The error answer for the fault is itself well-formed.
+        let error_answer = Message::error_answer(&header_only, &fault, "front.test", "test");
+        assert_eq!(error_answer.header.flags.error, result::is_protocol_error(code));
+        assert!(matches!(decode(encode(&error_answer)), Ok(Some(Frame::Valid(_)))));
     }
 }
 
 #[test]
-fn the_dictionary_turns_down_what_it_must() {
-    let with = |avp: Avp| ccr().with(avp);
+fn dictionary_check_rejects_invalid_avps() {
+    let with = |avp: Avp| sample_ccr().with(avp);
     let unknown = Avp { mandatory: true, ..Avp::vendor_specific(9999, 1, vec![1]) };
-    assert_eq!(fault_of(&with(unknown.clone())), result::AVP_UNSUPPORTED);
+    assert_eq!(check_fault(&with(unknown.clone())), result::AVP_UNSUPPORTED);
     assert_eq!(dict::check(&with(Avp { mandatory: false, ..unknown.clone() })), Ok(()));
-    assert_eq!(fault_of(&with(Avp::new(dict::CC_TIME, vec![1, 2]))), result::INVALID_AVP_LENGTH);
-    assert_eq!(fault_of(&with(Avp::new(dict::USER_NAME, vec![0xff, 0xfe]))), result::INVALID_AVP_VALUE);
-    // Inside groups as well; and not deeper than the limit.
+    assert_eq!(check_fault(&with(Avp::new(dict::CC_TIME, vec![1, 2]))), result::INVALID_AVP_LENGTH);
+    assert_eq!(check_fault(&with(Avp::new(dict::USER_NAME, vec![0xff, 0xfe]))), result::INVALID_AVP_VALUE);
+    // Grouped AVPs are checked recursively, and rejected beyond the maximum nesting depth.
     let inside = Avp::group(dict::SUBSCRIPTION_ID, &[unknown]);
-    assert_eq!(fault_of(&with(inside)), result::AVP_UNSUPPORTED);
+    assert_eq!(check_fault(&with(inside)), result::AVP_UNSUPPORTED);
     let mut nested = Avp::u32(dict::CC_TIME, 1);
     for _ in 0..2_000 {
         nested = Avp::group(dict::GRANTED_SERVICE_UNIT, &[nested]);
     }
-    assert_eq!(fault_of(&with(nested)), result::INVALID_AVP_VALUE);
+    assert_eq!(check_fault(&with(nested)), result::INVALID_AVP_VALUE);
 }
 
 #[test]
-fn a_ccr_without_what_it_needs_names_it() {
+fn ccr_reports_missing_and_repeated_avps() {
     let needed = [
         dict::SESSION_ID,
         dict::ORIGIN_HOST,
@@ -178,19 +181,19 @@
         dict::CC_REQUEST_NUMBER,
     ];
     for code in needed {
-        let mut message = ccr();
+        let mut message = sample_ccr();
         message.avps.retain(|avp| avp.code != code);
         let fault = credit::Ccr::read(&message).expect_err("incomplete");
         assert_eq!((fault.code, fault.failed.unwrap().code), (result::MISSING_AVP, code));
-        let twice = ccr().with(ccr().find(code).unwrap().clone());
+        let twice = sample_ccr().with(sample_ccr().find(code).unwrap().clone());
         assert_eq!(credit::Ccr::read(&twice).unwrap_err().code, result::AVP_OCCURS_TOO_MANY_TIMES);
     }
 }
 
 #[test]
-fn proxies_get_their_state_back_in_order() {
+fn answer_returns_proxy_info_in_order() {
     let state = |n| Avp::group(dict::PROXY_INFO, &[Avp::text(dict::PROXY_HOST, n)]);
-    let request = ccr().with(state("a.test")).with(state("b.test"));
+    let request = sample_ccr().with(state("a.test")).with(state("b.test"));
     let answer = credit::answer(&request, result::SUCCESS, "front.test", "test");
     let back: Vec<_> = answer.all(dict::PROXY_INFO).cloned().collect();
     assert_eq!(back, [state("a.test"), state("b.test")]);
@@ -198,7 +201,7 @@
 }
 
 #[test]
-fn load_runs_the_right_way_and_comes_back_whole() {
+fn load_report_round_trip() {
     let report = baydrift::interface::Report {
         free: Some(12.0),
         lines: Some(40.0),
@@ -209,15 +212,15 @@
         rate: Some(31.5),
         hold_back: Some(0.2),
     };
-    let mut message = credit::answer(&ccr(), result::SUCCESS, "s1.core.test", "core.test");
+    let mut message = credit::answer(&sample_ccr(), result::SUCCESS, "s1.core.test", "core.test");
     load::write(&report, "s1.core.test", 1, &mut message);
     assert_eq!(dict::check(&message), Ok(()));
     let back = load::read(&message);
     assert!((back.busy.unwrap() - 0.75).abs() < 1e-4, "{back:?}");
     assert_eq!(baydrift::interface::Report { busy: report.busy, ..back }, report);
-    // RFC 8583: a high value is a server with little load.
+    // RFC 8583: a high Load-Value means little load.
     let value = |v| Avp::group(dict::LOAD, &[Avp::u64(dict::LOAD_VALUE, v)]);
-    let busy = |v| load::read(&ccr().with(value(v))).busy;
+    let busy = |v| load::read(&sample_ccr().with(value(v))).busy;
     assert_eq!((busy(65_535), busy(0), busy(65_536)), (Some(0.0), Some(1.0), None));
 }
 
@@ -247,16 +250,16 @@
     #![proptest_config(config())]
 
     #[test]
-    fn any_message_comes_back(avps in proptest::collection::vec(avp(), 0..12), ids in any::<[u32; 3]>()) {
+    fn any_message_round_trips(avps in proptest::collection::vec(avp(), 0..12), ids in any::<[u32; 3]>()) {
         let header = Header { code: 272, application: ids[0], hop_by_hop: ids[1], end_to_end: ids[2], ..Header::default() };
         let message = Message { header, avps };
-        prop_assert_eq!(read(bytes(&message)).unwrap(), Some(Frame::Valid(message)));
+        prop_assert_eq!(decode(encode(&message)).unwrap(), Some(Frame::Valid(message)));
     }
 
     #[test]
-    fn any_bytes_are_read_or_refused_in_bounds(noise in proptest::collection::vec(any::<u8>(), 0..300), sound in any::<bool>()) {
-        let mut from = BytesMut::from(&noise[..]);
-        if sound && from.len() >= 20 {
+    fn arbitrary_bytes_keep_the_buffer_bounded(bytes in proptest::collection::vec(any::<u8>(), 0..300), valid_header in any::<bool>()) {
+        let mut from = BytesMut::from(&bytes[..]);
+        if valid_header && from.len() >= 20 {
             let length = (from.len() / 4 * 4) as u32;
             from[..4].copy_from_slice(&(1 << 24 | length).to_be_bytes());
         }
--- a/crates/isup/src/build.rs
+++ b/crates/isup/src/build.rs
@@ -1,4 +1,4 @@
-//! Messages by what they say.
+//! Typed constructors and accessors of messages.
 
 use crate::causes::Cause;
 use crate::error::Error;
@@ -6,31 +6,31 @@
 use crate::message::Message;
 use crate::params::{param, Range};
 
-/// A called number (Q.763, 3.9): digits 0 to 9 and the codes b, c and f, at most 32.
+/// Called party number (Q.763, 3.9): digits 0 to 9 and the codes b, c and f, at most 32.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CalledNumber {
-    /// Nature of address (3 national, 4 international).
+    /// Nature of address (3: national, 4: international).
     pub nature: u8,
     /// Digits, each 0 to 15.
     pub digits: Vec<u8>,
 }
 
 impl CalledNumber {
-    /// As contents of the parameter: two digits an octet, the earlier one lower.
+    /// Encodes the parameter's contents: two digits per octet, the first one in the lower half.
     pub fn octets(&self) -> Vec<u8> {
         let odd = u8::from(self.digits.len() % 2 == 1) << 7;
-        // ISDN numbering plan; routing to an internal number is allowed.
+        // ISDN numbering plan; routing to an internal network number is allowed.
         let mut octets = vec![odd | self.nature & 0x7f, 0x10];
-        for two in self.digits.chunks(2) {
-            octets.push(two[0] & 0x0f | two.get(1).map_or(0, |digit| digit << 4));
+        for pair in self.digits.chunks(2) {
+            octets.push(pair[0] & 0x0f | pair.get(1).map_or(0, |digit| digit << 4));
         }
         octets
     }
 
-    /// From the parameter.
+    /// Decodes the parameter's contents.
     pub fn read(octets: &[u8]) -> Option<Self> {
         let [first, _, digits @ ..] = octets else { return None };
-        let mut all: Vec<_> = digits.iter().flat_map(|two| [two & 0x0f, two >> 4]).collect();
+        let mut all: Vec<_> = digits.iter().flat_map(|pair| [pair & 0x0f, pair >> 4]).collect();
         if first & 0x80 != 0 {
             all.pop();
         }
@@ -38,47 +38,47 @@
     }
 }
 
-/// What an IAM says (Q.763, table 32), as far as this project has a use for it.
+/// Contents of an IAM (Q.763, table 32) that this project uses.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Iam {
-    /// The number called.
+    /// Called party number.
     pub called: CalledNumber,
-    /// Calling party's category (10 ordinary subscriber).
+    /// Calling party's category (10: ordinary calling subscriber).
     pub category: u8,
-    /// A continuity check is to be done on this circuit.
+    /// Whether a continuity check is required on this circuit.
     pub continuity: bool,
-    /// A reference of the caller's side, as user-to-user information; empty for none.
+    /// Reference assigned by the calling side, carried as user-to-user information; empty if there is none.
     pub reference: Vec<u8>,
 }
 
-/// The call processing half of a circuit's state (Q.763, 3.14, bits D and C).
+/// Call processing state of a circuit (Q.763, 3.14, bits D and C).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Processing {
-    /// Changing just now.
+    /// In transition between two states.
     Transient,
-    /// No such circuit.
+    /// The circuit does not exist.
     Unequipped,
-    /// Busy by the other end's call.
+    /// Busy with an incoming call.
     IncomingBusy,
-    /// Busy by an own call.
+    /// Busy with an outgoing call.
     OutgoingBusy,
     /// Idle.
     Idle,
 }
 
-/// One octet of a CQR.
+/// State of one circuit in a CQR.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CircuitState {
-    /// What it is used for.
+    /// Call processing state.
     pub processing: Processing,
-    /// Blocked by the end that tells.
+    /// Blocked by the exchange that sent the CQR.
     pub locally_blocked: bool,
-    /// Blocked by the end that asked.
+    /// Blocked by the exchange that sent the CQM.
     pub remotely_blocked: bool,
 }
 
 impl CircuitState {
-    /// As an octet.
+    /// Encodes the state.
     pub fn octet(self) -> u8 {
         let blocked = u8::from(self.locally_blocked) | u8::from(self.remotely_blocked) << 1;
         match self.processing {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// From an octet; spare codes count as transient: nothing is concluded from them.
+    /// Decodes a state; spare codes are read as transient, so that nothing is concluded from them.
     pub fn read(octet: u8) -> Self {
         let processing = match (octet >> 2 & 0b11, octet & 0b11) {
             (0, 0b11) => Processing::Unequipped,
@@ -99,13 +99,17 @@
             (2, _) => Processing::OutgoingBusy,
             _ => Processing::Idle,
         };
-        let told = octet >> 2 & 0b11 != 0;
-        Self { processing, locally_blocked: told && octet & 1 == 1, remotely_blocked: told && octet & 2 == 2 }
+        let has_blocking = octet >> 2 & 0b11 != 0;
+        Self {
+            processing,
+            locally_blocked: has_blocking && octet & 1 == 1,
+            remotely_blocked: has_blocking && octet & 2 == 2,
+        }
     }
 }
 
 impl Message {
-    /// IAM.
+    /// Creates an IAM.
     pub fn iam(cic: u16, iam: &Iam) -> Self {
         let continuity = if iam.continuity { 0b0000_0100 } else { 0 };
         let message = Self::new(MessageType::Iam, cic)
@@ -120,7 +124,8 @@
         message.with(param::USER_TO_USER, iam.reference.clone())
     }
 
-    /// What an IAM says; `None` for another message, or one whose number cannot be read.
+    /// Contents of an IAM; `None` if this is another message type or the called party number cannot be
+    /// decoded.
     pub fn as_iam(&self) -> Option<Iam> {
         if self.kind != MessageType::Iam {
             return None;
@@ -133,22 +138,23 @@
         })
     }
 
-    /// ACM: subscriber free.
+    /// Creates an ACM with called party's status "subscriber free".
     pub fn acm(cic: u16) -> Self {
         Self::new(MessageType::Acm, cic).with(param::BACKWARD_CALL, [0b0000_0100, 0x04])
     }
 
-    /// REL or CFN, with its cause.
+    /// Creates a message that has cause indicators (REL or CFN).
     pub fn with_cause(kind: MessageType, cic: u16, value: u8) -> Self {
         Self::new(kind, cic).with(param::CAUSE, Cause::new(value).octets())
     }
 
-    /// Its cause value.
+    /// Cause value of the cause indicators.
     pub fn cause(&self) -> Option<u8> {
         Cause::read(self.find(param::CAUSE)?).map(|cause| cause.value)
     }
 
-    /// A message on a range of circuits; group blocking and its kin are maintenance oriented (Q.763, 3.13).
+    /// Creates a message for a range of circuits; the type of group blocking and unblocking messages is
+    /// "maintenance oriented" (Q.763, 3.13).
     pub fn with_range(kind: MessageType, cic: u16, range: &Range) -> Self {
         let message = match kind {
             MessageType::Cgb | MessageType::Cgu | MessageType::Cgba | MessageType::Cgua => {
@@ -159,17 +165,17 @@
         message.with(param::RANGE_AND_STATUS, range.octets())
     }
 
-    /// CQR.
+    /// Creates a CQR.
     pub fn cqr(cic: u16, states: &[CircuitState]) -> Self {
         let range = Range::without_status(states.len().saturating_sub(1) as u8);
         let octets: Vec<_> = states.iter().map(|state| state.octet()).collect();
         Self::with_range(MessageType::Cqr, cic, &range).with(param::CIRCUIT_STATE, octets)
     }
 
-    /// States that a CQR tells.
+    /// Circuit states of a CQR.
     ///
     /// # Errors
-    /// Where there are more or fewer of them than its range has circuits.
+    /// A parameter is missing, or the number of states differs from the number of circuits in the range.
     pub fn circuit_states(&self) -> Result<Vec<CircuitState>, Error> {
         let range = self.range()?;
         let octets = self.find(param::CIRCUIT_STATE).ok_or(Error::Missing(param::CIRCUIT_STATE))?;
--- a/crates/isup/src/causes.rs
+++ b/crates/isup/src/causes.rs
@@ -1,6 +1,6 @@
-//! Cause values (Q.850, as Q.763, 3.12 carries them).
+//! Cause indicators (Q.763, 3.12) with the cause values of Q.850.
 
-/// Cause values that this project says or asks for.
+/// Cause values that this project sends or evaluates.
 #[allow(missing_docs)]
 pub mod cause {
     pub const UNALLOCATED: u8 = 1;
@@ -20,27 +20,29 @@
     pub const PROTOCOL_ERROR: u8 = 111;
 }
 
-/// Cause indicators: where, and why.
+/// Cause indicators: location and cause value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Cause {
-    /// Location (0 user, 2 public network, 10 beyond an interworking point).
+    /// Location (0: user, 2: public network serving the local user, 10: network beyond an interworking
+    /// point).
     pub location: u8,
     /// Cause value.
     pub value: u8,
 }
 
 impl Cause {
-    /// A cause of this network's own.
+    /// Creates a cause located in the public network.
     pub fn new(value: u8) -> Self {
         Self { location: 2, value }
     }
 
-    /// As contents of the parameter, by the ITU-T's coding standard.
+    /// Encodes the parameter's contents, with the ITU-T coding standard.
     pub fn octets(self) -> Vec<u8> {
         vec![0x80 | self.location & 0x0f, 0x80 | self.value & 0x7f]
     }
 
-    /// From the parameter; a first octet that is extended is followed by one more.
+    /// Decodes the parameter's contents. If the extension bit of the first octet is 0, octet 1a precedes the
+    /// cause value.
     pub fn read(octets: &[u8]) -> Option<Self> {
         let location = octets.first()? & 0x0f;
         let at = if octets[0] & 0x80 == 0 { 2 } else { 1 };
--- a/crates/isup/src/error.rs
+++ b/crates/isup/src/error.rs
@@ -1,50 +1,52 @@
-//! What is wrong with octets that are no message, and where.
+//! Errors of decoding and encoding.
 
-/// Why octets cannot be read, or a message cannot be written. Offsets are in octets from the start of the message.
+/// Why octets cannot be decoded or a message cannot be encoded. Offsets are in octets from the start of the
+/// message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// It ends before its format does.
-    #[error("it ends at octet {0}, within its format")]
+    /// The message ends before its format is complete.
+    #[error("message truncated at octet {0}")]
     Short(usize),
-    /// It is longer than any message may be.
-    #[error("{0} octets: longer than any message")]
+    /// The message is longer than the maximum length.
+    #[error("message too long: {0} octets")]
     Long(usize),
-    /// A pointer leads out of the message, or back into what came before it (Q.763, 1.5).
-    #[error("the pointer at octet {0} leads nowhere")]
+    /// A pointer is missing, or points outside the message or before the end of the pointers (Q.763, 1.5).
+    #[error("invalid pointer at octet {0}")]
     Pointer(usize),
-    /// A parameter's length is not what its definition allows.
-    #[error("parameter {code:#04x} at octet {at}: {length} octets are not allowed")]
+    /// A parameter's length is outside the range of the message format.
+    #[error("parameter {code:#04x} at octet {at}: invalid length of {length} octets")]
     Length {
-        /// Its code.
+        /// Parameter code.
         code: u8,
-        /// Where it is.
+        /// Offset of the parameter.
         at: usize,
-        /// Its length.
+        /// Length of the contents in octets.
         length: usize,
     },
-    /// A parameter that the format needs is not there.
+    /// A mandatory parameter is missing.
     #[error("parameter {0:#04x} is missing")]
     Missing(u8),
-    /// Range and status disagree (Q.763, 3.43).
-    #[error("range {range} wants {wanted} octets of status, there are {got}")]
+    /// The status does not match the range (Q.763, 3.43).
+    #[error("range {range} requires {wanted} octets of status, got {got}")]
     Status {
-        /// The range.
+        /// Value of the range field.
         range: u8,
-        /// Octets of status that belong to it.
+        /// Octets required for this range.
         wanted: usize,
-        /// Octets there are.
+        /// Octets present.
         got: usize,
     },
-    /// The message's type is none of this crate's (Q.763, table 4): see its compatibility information.
-    #[error("message type {0:#04x} is not known")]
+    /// The message type is not supported (Q.763, table 4); the message's compatibility information tells
+    /// how to handle it.
+    #[error("unknown message type {0:#04x}")]
     Type(u8),
-    /// A circuit identification code of more than 12 bits.
-    #[error("circuit {0} has more than 12 bits")]
+    /// The circuit identification code has more than 12 bits.
+    #[error("circuit identification code {0} exceeds 12 bits")]
     Circuit(u16),
-    /// A packet's version is not 1 (RFC 4666, 3.1.1).
-    #[error("M3UA version {0} is not 1")]
+    /// The M3UA version is not 1 (RFC 4666, 3.1.1).
+    #[error("unsupported M3UA version {0}, only 1 is supported")]
     Version(u8),
-    /// A packet's length, or that of a parameter in it, makes no sense.
-    #[error("M3UA: {0} octets make no sense here")]
+    /// The length of an M3UA packet, or of a parameter in it, is invalid.
+    #[error("invalid M3UA length of {0} octets")]
     Packet(usize),
 }
--- a/crates/isup/src/format.rs
+++ b/crates/isup/src/format.rs
@@ -1,8 +1,8 @@
-//! The format of each message type, once for reader and writer (Q.763, clause 4).
+//! The format of each message type, shared by decoder and encoder (Q.763, clause 4).
 
 use crate::params::param as p;
 
-/// Message types (Q.763, table 4) by their own names.
+/// Message types (Q.763, table 4), named by their acronyms.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[allow(missing_docs)]
 pub enum MessageType {
@@ -36,13 +36,16 @@
     Cfn,
 }
 
-/// What a type's messages consist of: fixed parts with their lengths, variable parts with the least and most of
-/// theirs, and whether optional parts may follow.
+/// Format of one message type. Lengths are in octets.
 pub(crate) struct Format {
     pub(crate) kind: MessageType,
+    /// Message type code.
     pub(crate) code: u8,
+    /// Mandatory fixed part: parameter code and length.
     pub(crate) fixed: &'static [(u8, usize)],
+    /// Mandatory variable part: parameter code, minimum and maximum length.
     pub(crate) variable: &'static [(u8, usize, usize)],
+    /// Whether the message may have an optional part.
     pub(crate) optional: bool,
 }
 
@@ -56,10 +59,13 @@
     Format { kind, code, fixed, variable, optional }
 }
 
+/// Cause indicators as the only variable parameter.
 const CAUSE: &[(u8, usize, usize)] = &[(p::CAUSE, 2, 30)];
-/// A range alone, and a range with its status: one octet, and up to 32 more.
+/// Range and status without the status subfield: one octet.
 const RANGE: &[(u8, usize, usize)] = &[(p::RANGE_AND_STATUS, 1, 1)];
+/// Range and status with 1 to 32 octets of status.
 const STATUS: &[(u8, usize, usize)] = &[(p::RANGE_AND_STATUS, 2, 33)];
+/// Circuit group supervision message type as the only fixed parameter.
 const GROUP: &[(u8, usize)] = &[(p::GROUP_SUPERVISION_TYPE, 1)];
 
 pub(crate) const FORMATS: [Format; 28] = [
@@ -105,27 +111,27 @@
 ];
 
 impl MessageType {
-    /// All types.
+    /// All message types.
     pub fn all() -> impl Iterator<Item = Self> {
         FORMATS.iter().map(|format| format.kind)
     }
 
     pub(crate) fn format(self) -> &'static Format {
-        // Each kind has its row; the first stands for one that had none, which a test rules out.
+        // Every type has a row, so the fallback to the first one is never used.
         FORMATS.iter().find(|format| format.kind == self).unwrap_or(&FORMATS[0])
     }
 
-    /// Its code in a message.
+    /// Message type code.
     pub fn code(self) -> u8 {
         self.format().code
     }
 
-    /// Whether its range has a status (Q.763, 3.43).
+    /// Whether the range and status parameter has a status subfield (Q.763, 3.43).
     pub fn has_status(self) -> bool {
-        self.format().variable.iter().any(|(code, least, _)| *code == p::RANGE_AND_STATUS && *least > 1)
+        self.format().variable.iter().any(|(code, min, _)| *code == p::RANGE_AND_STATUS && *min > 1)
     }
 
-    pub(crate) fn of(code: u8) -> Option<Self> {
+    pub(crate) fn from_code(code: u8) -> Option<Self> {
         FORMATS.iter().find(|format| format.code == code).map(|format| format.kind)
     }
 }
--- a/crates/isup/src/lib.rs
+++ b/crates/isup/src/lib.rs
@@ -1,8 +1,9 @@
-//! ISUP between two exchanges: messages by Q.763, carried in M3UA DATA by RFC 4666, here over TCP in place of SCTP.
+//! ISUP messages (Q.763) between two exchanges, carried in M3UA DATA (RFC 4666) over TCP instead of SCTP.
 //!
-//! [`Message`] is one message on one circuit: its type, and parameters as octets in the order of their format.
-//! The format of each type (mandatory fixed, mandatory variable, optional) stands once, in a table that reader and
-//! writer share. Bounds: a message of at most [`MESSAGE_MAX`] octets, a packet of at most [`PACKET_MAX`].
+//! [`Message`] is one message for one circuit: its type, and its parameters as octets in the order of the
+//! message format. One table describes the format of every message type (mandatory fixed, mandatory
+//! variable and optional part); decoder and encoder share it. A message has at most [`MESSAGE_MAX`] octets,
+//! a packet at most [`PACKET_MAX`].
 
 mod build;
 mod causes;
--- a/crates/isup/src/m3ua.rs
+++ b/crates/isup/src/m3ua.rs
@@ -1,5 +1,5 @@
-//! M3UA packets (RFC 4666, clause 3): the common header, and DATA with its protocol data. Over TCP the header's
-//! length frames; SCTP's message boundaries are what TCP lacks here.
+//! M3UA packets (RFC 4666, clause 3): the common header, and DATA with its Protocol Data parameter. Unlike
+//! SCTP, TCP has no message boundaries, so packets are framed by the length in the common header.
 
 use bytes::{Buf, BufMut, BytesMut};
 use tokio_util::codec::{Decoder, Encoder};
@@ -7,52 +7,56 @@
 use crate::error::Error;
 use crate::message::MESSAGE_MAX;
 
-/// Longest packet that is read: a message, its parameter's headers, and room for parameters that are passed over.
+/// Maximum packet length in octets: an ISUP message, the M3UA headers, and room for parameters that are
+/// ignored.
 pub const PACKET_MAX: usize = 1_024;
+/// Length of the common header in octets.
 const HEADER_LEN: usize = 8;
 /// Message class Transfer, type DATA (3.1.2).
 const DATA: (u8, u8) = (1, 1);
-/// ASP state maintenance (3.5.1, 3.5.2).
+/// Message class ASP State Maintenance, type ASP Up (3.5.1).
 const ASP_UP: (u8, u8) = (3, 1);
+/// Message class ASP State Maintenance, type ASP Up Acknowledgement (3.5.2).
 const ASP_UP_ACK: (u8, u8) = (3, 4);
 /// Parameter tag of Protocol Data (3.3.1).
 const PROTOCOL_DATA: u16 = 0x0210;
 /// Service indicator of ISUP (Q.704, 14.2.1).
 const ISUP: u8 = 5;
-/// OPC, DPC, SI, NI, MP and SLS before the user's octets.
+/// Length in octets of OPC, DPC, SI, NI, MP and SLS, which precede the user protocol data.
 const ROUTING_LABEL_LEN: usize = 12;
 
-/// Protocol data: the routing label, and an ISUP message as octets.
+/// Protocol Data: routing label and encoded ISUP message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Data {
     /// Originating point code.
     pub opc: u32,
     /// Destination point code.
     pub dpc: u32,
-    /// Signalling link selection; the low bits of the circuit's code, so that a circuit's messages keep their order.
+    /// Signalling link selection: the low bits of the circuit identification code, so that messages of a
+    /// circuit stay in order.
     pub sls: u8,
-    /// The message.
+    /// Encoded ISUP message.
     pub message: Vec<u8>,
 }
 
-/// One packet.
+/// One M3UA packet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Packet {
     /// DATA for ISUP.
     Data(Data),
-    /// The sender is ready for traffic (ASPUP).
+    /// ASP Up: the sender is ready for traffic.
     AspUp,
-    /// So is the receiver of that: from now on there is traffic (ASPUP ACK).
+    /// ASP Up Acknowledgement: the receiver of ASP Up is ready too, and traffic may start.
     AspUpAck,
-    /// Another class and type: management and the like, passed over by who has no use for it.
+    /// Another message class and type, such as management; not decoded. Also DATA for a user other than ISUP.
     Other(u8, u8),
 }
 
 impl Data {
-    /// As a whole packet.
+    /// Appends an encoded DATA packet.
     ///
     /// # Errors
-    /// Where the message is too long.
+    /// The ISUP message is too long.
     pub fn write(&self, to: &mut BytesMut) -> Result<(), Error> {
         if self.message.len() > MESSAGE_MAX {
             return Err(Error::Long(self.message.len()));
@@ -74,10 +78,10 @@
 }
 
 impl Packet {
-    /// As a whole packet; all but DATA are said without parameters.
+    /// Appends the encoded packet; all types but DATA are written without parameters.
     ///
     /// # Errors
-    /// Where the message is too long.
+    /// The ISUP message is too long.
     pub fn write(&self, to: &mut BytesMut) -> Result<(), Error> {
         let (class, kind) = match self {
             Self::Data(data) => return data.write(to),
@@ -123,17 +127,17 @@
     }
 }
 
-/// Packets on a stream of octets.
+/// Decoder and encoder of packets on a byte stream.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Codec;
 
-/// Why a stream of packets ends.
+/// Error after which a stream cannot be decoded any further.
 #[derive(Debug, thiserror::Error)]
 pub enum StreamError {
-    /// The transport.
+    /// The transport failed.
     #[error("transport: {0}")]
     Io(#[from] std::io::Error),
-    /// What came is no packet: where the next one begins cannot be told.
+    /// A packet is malformed, so the start of the next one is unknown.
     #[error(transparent)]
     Packet(#[from] Error),
 }
--- a/crates/isup/src/params.rs
+++ b/crates/isup/src/params.rs
@@ -1,4 +1,4 @@
-//! Parameters: codes (Q.763, table 5) and the few whose contents this end reads.
+//! Parameter codes (Q.763, table 5), and the contents of those parameters that are decoded.
 
 use crate::error::Error;
 
@@ -28,55 +28,56 @@
     pub const HOP_COUNTER: u8 = 0x3d;
 }
 
-/// One parameter: its code and its contents, without length or pointer.
+/// One parameter: code and contents, without length or pointer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Param {
-    /// Its code.
+    /// Parameter code.
     pub code: u8,
-    /// Its contents.
+    /// Contents.
     pub octets: Vec<u8>,
 }
 
 impl Param {
-    /// A parameter.
+    /// Creates a parameter.
     pub fn new(code: u8, octets: impl Into<Vec<u8>>) -> Self {
         Self { code, octets: octets.into() }
     }
 }
 
-/// Range and status (Q.763, 3.43): circuits from a message's own on, and a bit for each where the message has them.
+/// Range and status (Q.763, 3.43): a range of circuits that starts at the message's circuit, and, for some
+/// message types, one status bit for each circuit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Range {
     /// One less than the number of circuits.
     pub range: u8,
-    /// A bit a circuit, the message's own first; empty where the message has none (GRS, CQM, CQR).
+    /// One bit for each circuit, in order; empty for message types without a status (GRS, CQM, CQR).
     pub status: Vec<bool>,
 }
 
 impl Range {
-    /// A range without status.
+    /// Creates a range without status.
     pub fn without_status(range: u8) -> Self {
         Self { range, status: Vec::new() }
     }
 
-    /// Circuits in it.
+    /// Number of circuits in the range.
     pub fn circuits(&self) -> usize {
         usize::from(self.range) + 1
     }
 
-    /// As contents of the parameter.
+    /// Encodes the parameter's contents.
     pub fn octets(&self) -> Vec<u8> {
         let mut octets = vec![self.range];
-        for eight in self.status.chunks(8) {
-            octets.push(eight.iter().enumerate().fold(0, |octet, (bit, set)| octet | u8::from(*set) << bit));
+        for bits in self.status.chunks(8) {
+            octets.push(bits.iter().enumerate().fold(0, |octet, (bit, set)| octet | u8::from(*set) << bit));
         }
         octets
     }
 
-    /// From the parameter; `with_status` where the message has one.
+    /// Decodes the parameter's contents; `with_status` if the message type has a status subfield.
     ///
     /// # Errors
-    /// Where the length of the status is not that of the range.
+    /// The contents are empty, or the length of the status does not match the range.
     pub fn read(octets: &[u8], with_status: bool) -> Result<Self, Error> {
         let Some((range, status)) = octets.split_first() else { return Err(Error::Short(0)) };
         let circuits = usize::from(*range) + 1;
@@ -90,23 +91,24 @@
     }
 }
 
-/// What to do with what is not known (Q.763, 3.33 and 3.41; Q.764, 2.9.5), from its first octet.
+/// Compatibility information (Q.763, 3.33 and 3.41; Q.764, 2.9.5): how to handle an unknown message or
+/// parameter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Compatibility {
     /// Release the call.
     pub release: bool,
-    /// Send a notification (CFN).
+    /// Send a notification (CFN) to the originator.
     pub notify: bool,
     /// Discard the message.
     pub discard_message: bool,
-    /// Discard the parameter; of a parameter's information alone.
+    /// Discard the parameter; only meaningful in parameter compatibility information.
     pub discard_parameter: bool,
 }
 
 impl Compatibility {
-    /// From an instruction indicator.
+    /// Decodes the first octet of the instruction indicators.
     pub fn read(octet: u8) -> Self {
-        let bit = |place: u8| octet >> place & 1 == 1;
+        let bit = |index: u8| octet >> index & 1 == 1;
         Self { release: bit(1), notify: bit(2), discard_message: bit(3), discard_parameter: bit(4) }
     }
 }
--- a/crates/isup/tests/messages.rs
+++ b/crates/isup/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Messages and packets: octets written out by the specification, every message both ways, and what is none.
+//! ISUP messages and M3UA packets: encodings given by the specification, round trips, and malformed input.
 
 use baydrift_isup::{
     cause, param, CalledNumber, CircuitState, Codec, Data, Error, Iam, Message, MessageType, Packet, Param,
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn an_iam_has_the_octets_of_the_specification() {
+fn encodings_match_the_specification() {
     let message = Message::iam(0x123, &iam());
     let octets = message.write().unwrap();
     let fixed = [0x23, 0x01, 0x01, 0x00, 0x20, 0x01, 0x0a, 0x00];
@@ -30,13 +30,13 @@
 }
 
 #[test]
-fn ranges_carry_a_bit_a_circuit() {
+fn range_status_has_one_bit_per_circuit() {
     let status = vec![true, false, false, true, false, false, false, false, true];
     let message = Message::with_range(MessageType::Cgb, 32, &Range { range: 8, status });
     let octets = message.write().unwrap();
     assert_eq!(octets, [32, 0, 0x18, 0, 1, 3, 8, 0b0000_1001, 1]);
     assert_eq!(Message::read(&octets).unwrap(), message);
-    // A status of the wrong length, and one where none belongs.
+    // A status of the wrong length, and a status in a message type that has none.
     let wrong = [32, 0, 0x18, 0, 1, 2, 8, 0];
     assert_eq!(Message::read(&wrong), Err(Error::Status { range: 8, wanted: 2, got: 1 }));
     assert!(matches!(Message::read(&[32, 0, 0x17, 1, 2, 8, 0]), Err(Error::Length { .. })));
@@ -53,8 +53,8 @@
 }
 
 #[test]
-fn what_is_not_known_says_what_to_do_with_it() {
-    // Type 0x7f, one pointer, message compatibility: release, notify.
+fn unknown_type_returns_compatibility_information() {
+    // Type 0x7f, one pointer, message compatibility information: release call, send notification.
     let octets = [9, 0, 0x7f, 1, 0x38, 1, 0b0000_0110, 0];
     assert_eq!(Message::read(&octets), Err(Error::Type(0x7f)));
     let (cic, code, wanted) = Message::read_unknown(&octets).unwrap();
@@ -64,7 +64,7 @@
         (9, 0x7f, true, true, false)
     );
     assert_eq!(Message::read_unknown(&[9, 0, 0x7f]).unwrap().2, None);
-    // Parameters that are not known are kept as they are.
+    // Unknown parameters are kept unchanged.
     let rlc = [5, 0, 0x10, 1, 0xee, 2, 7, 8, 0x39, 2, 0xee, 0x80, 0];
     let read = Message::read(&rlc).unwrap();
     assert_eq!(read.params[0], Param::new(0xee, [7, 8]));
@@ -72,10 +72,10 @@
 }
 
 #[test]
-fn what_is_no_message_is_named() {
+fn malformed_messages_are_rejected() {
     assert_eq!(Message::read(&[1, 0]), Err(Error::Short(2)));
     assert_eq!(Message::read(&[0; MESSAGE_MAX + 1]), Err(Error::Long(MESSAGE_MAX + 1)));
-    // Pointers: beyond the end, back into the head, none where one must be.
+    // Pointers: past the end, into the pointers, zero for a mandatory parameter, to a part that is cut short.
     assert_eq!(Message::read(&[5, 0, 0x0c, 9, 0, 2, 0x82, 0x90]), Err(Error::Pointer(3)));
     assert_eq!(Message::read(&[5, 0, 0x0c, 1, 0, 2, 0x82, 0x90]), Err(Error::Pointer(3)));
     assert_eq!(Message::read(&[5, 0, 0x0c, 0, 0, 2, 0x82, 0x90]), Err(Error::Pointer(3)));
@@ -84,8 +84,8 @@
     assert_eq!(Message::new(MessageType::Rsc, 0x1000).write(), Err(Error::Circuit(0x1000)));
 }
 
-/// A message of any type with contents of all lengths that its format allows.
-fn any() -> impl Strategy<Value = Message> {
+/// A message of any type, with optional parameters if its format allows them.
+fn any_message() -> impl Strategy<Value = Message> {
     let kinds: Vec<_> = MessageType::all().collect();
     let optional = prop::collection::vec((0x40u8..=0xff, prop::collection::vec(any_octet(), 0..20)), 0..4);
     (prop::sample::select(kinds), 0u16..4_096, any_octet(), optional, 0u8..32).prop_map(
@@ -117,8 +117,11 @@
                 | MessageType::Cqm => Message::with_range(kind, cic, &range),
                 _ => Message::new(kind, cic),
             };
-            let takes = base.clone().with(0xee, []).write().is_ok();
-            optional.into_iter().filter(|_| takes).fold(base, |m, (code, octets)| m.with(code, octets))
+            let has_optional_part = base.clone().with(0xee, []).write().is_ok();
+            optional
+                .into_iter()
+                .filter(|_| has_optional_part)
+                .fold(base, |m, (code, octets)| m.with(code, octets))
         },
     )
 }
@@ -129,7 +132,7 @@
 
 proptest! {
     #[test]
-    fn every_message_reads_back_and_none_cut_short_does_harm(message in any()) {
+    fn round_trip_and_truncation_without_panic(message in any_message()) {
         let octets = message.write().unwrap();
         prop_assert_eq!(Message::read(&octets).unwrap(), message);
         for end in 0..octets.len() {
@@ -139,37 +142,37 @@
     }
 
     #[test]
-    fn any_octets_are_a_message_or_an_error(octets in prop::collection::vec(any_octet(), 0..300)) {
+    fn arbitrary_octets_decode_or_fail(octets in prop::collection::vec(any_octet(), 0..300)) {
         if let Ok(message) = Message::read(&octets) {
             prop_assert_eq!(Message::read(&message.write().unwrap()).unwrap(), message);
         }
     }
 
     #[test]
-    fn packets_survive_any_split(messages in prop::collection::vec(any(), 1..5), cut in 1usize..40) {
+    fn packets_decode_at_any_split(messages in prop::collection::vec(any_message(), 1..5), cut in 1usize..40) {
         let mut codec = Codec;
         let mut all = BytesMut::new();
         let data: Vec<_> = messages
             .iter()
             .map(|m| Data { opc: 1, dpc: 2, sls: m.cic as u8, message: m.write().unwrap() })
             .collect();
-        let mut said = vec![Packet::AspUp, Packet::AspUpAck, Packet::Other(0, 1)];
-        said.extend(data.into_iter().map(Packet::Data));
-        for packet in said.clone() {
+        let mut packets = vec![Packet::AspUp, Packet::AspUpAck, Packet::Other(0, 1)];
+        packets.extend(data.into_iter().map(Packet::Data));
+        for packet in packets.clone() {
             codec.encode(packet, &mut all).unwrap();
         }
-        let (mut from, mut seen) = (BytesMut::new(), Vec::new());
+        let (mut from, mut decoded) = (BytesMut::new(), Vec::new());
         for part in all.chunks(cut) {
             from.extend_from_slice(part);
             while let Some(packet) = codec.decode(&mut from).unwrap() {
-                seen.push(packet);
+                decoded.push(packet);
             }
         }
-        prop_assert_eq!(seen, said);
+        prop_assert_eq!(decoded, packets);
     }
 
     #[test]
-    fn a_stream_of_anything_ends_or_waits(octets in prop::collection::vec(any_octet(), 0..200)) {
+    fn arbitrary_stream_does_not_panic(octets in prop::collection::vec(any_octet(), 0..200)) {
         let mut from = BytesMut::from(&octets[..]);
         let mut codec = Codec;
         for _ in 0..octets.len() {
