--- a/crates/diameter/tests/codec.rs
+++ b/crates/diameter/tests/codec.rs
@@ -251,13 +251,22 @@
 
     #[test]
     fn any_message_round_trips(avps in proptest::collection::vec(avp(), 0..12), ids in any::<[u32; 3]>()) {
-        let header = Header { code: 272, application: ids[0], hop_by_hop: ids[1], end_to_end: ids[2], ..Header::default() };
+        let header = Header {
+            code: 272,
+            application: ids[0],
+            hop_by_hop: ids[1],
+            end_to_end: ids[2],
+            ..Header::default()
+        };
         let message = Message { header, avps };
         prop_assert_eq!(decode(encode(&message)).unwrap(), Some(Frame::Valid(message)));
     }
 
     #[test]
-    fn arbitrary_bytes_keep_the_buffer_bounded(bytes in proptest::collection::vec(any::<u8>(), 0..300), valid_header in any::<bool>()) {
+    fn arbitrary_bytes_keep_the_buffer_bounded(
+        bytes in proptest::collection::vec(any::<u8>(), 0..300),
+        valid_header in any::<bool>(),
+    ) {
         let mut from = BytesMut::from(&bytes[..]);
         if valid_header && from.len() >= 20 {
             let length = (from.len() / 4 * 4) as u32;
--- a/crates/diameter/tests/peers.rs
+++ b/crates/diameter/tests/peers.rs
@@ -300,12 +300,19 @@
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { cases: 256, rng_seed: RngSeed::Fixed(3), failure_persistence: None, ..Default::default() })]
+    #![proptest_config(ProptestConfig {
+        cases: 256,
+        rng_seed: RngSeed::Fixed(3),
+        failure_persistence: None,
+        ..Default::default()
+    })]
 
     /// Arbitrary inputs in any order: every request on the open transport is answered or delivered exactly
     /// once.
     #[test]
-    fn arbitrary_inputs_answer_each_request_once(steps in proptest::collection::vec((0u8..8, any::<u32>(), any::<bool>()), 1..40)) {
+    fn arbitrary_inputs_answer_each_request_once(
+        steps in proptest::collection::vec((0u8..8, any::<u32>(), any::<bool>()), 1..40),
+    ) {
         let (mut a, _) = open_pair();
         let mut now = 10;
         for (step, random, initiator) in steps {
@@ -323,10 +330,16 @@
                 5 => PeerInput::Tick,
                 _ => PeerInput::Received(side, valid_frame(&message)),
             };
-            let is_request = matches!(&input, PeerInput::Received(s, Frame::Valid(m)) if m.header.flags.request && a.side() == Some(*s));
+            let is_request = matches!(
+                &input,
+                PeerInput::Received(s, Frame::Valid(m)) if m.header.flags.request && a.side() == Some(*s)
+            );
             let out = handle(&mut a, now, input);
             if is_request {
-                let answered = out.iter().filter(|o| matches!(o, PeerOutput::Send(..) | PeerOutput::Request(_))).count();
+                let answered = out
+                    .iter()
+                    .filter(|o| matches!(o, PeerOutput::Send(..) | PeerOutput::Request(_)))
+                    .count();
                 prop_assert_eq!(answered, 1, "{:?}", out);
             }
         }
--- a/crates/isup/tests/messages.rs
+++ b/crates/isup/tests/messages.rs
@@ -149,7 +149,10 @@
     }
 
     #[test]
-    fn packets_decode_at_any_split(messages in prop::collection::vec(any_message(), 1..5), cut in 1usize..40) {
+    fn packets_decode_at_any_split(
+        messages in prop::collection::vec(any_message(), 1..5),
+        cut in 1usize..40,
+    ) {
         let mut codec = Codec;
         let mut all = BytesMut::new();
         let data: Vec<_> = messages
