--- a/crates/call/src/engine.rs
+++ b/crates/call/src/engine.rs
@@ -12,7 +12,7 @@
 use baydrift::Controller;
 use baydrift_fleet::Lives;
 
-use crate::guard::{Before, Breach, Guard};
+use crate::guard::{Breach, CallProgress, Guard};
 use crate::held::{Attempt, Held, Phase, Stage, WAITING_MAX};
 use crate::memory::Memory;
 use crate::orphans::{Orphan, Orphans};
@@ -20,8 +20,8 @@
 use crate::shared::Shared;
 use crate::timers::{Timer, Timers};
 use crate::types::{
-    AttemptEnd, AttemptId, Final, Input, Known, LinkId, LinkState, Offer, Output, Process, Refusal,
-    ReleaseResult, Request, Said, Session,
+    AttemptEnd, AttemptId, CallStatus, Final, Input, LinkId, LinkState, Offer, Output, Process, Refusal,
+    ReleaseResult, Request, Retransmission, Session,
 };
 
 /// The engine answers a call itself so long before its caller gives up, should the module not have.
@@ -60,19 +60,19 @@
     /// Calls in set-up from one link at once; more are refused.
     pub in_set_up_per_link: usize,
     /// Answered calls remembered.
-    pub memory: usize,
+    pub cached_answers: usize,
     /// For so long.
-    pub memory_keep: Micros,
+    pub cached_answer_ttl: Micros,
     /// Attempts that wait for a release.
-    pub orphans: usize,
+    pub detached_attempts: usize,
     /// Servers in the pool.
     pub servers: usize,
     /// A release unanswered for so long counts as done.
     pub release_timeout: Micros,
     /// A standing call whose owner has no link for so long is released.
-    pub away: Micros,
+    pub client_absence: Micros,
     /// Rule 3: nothing new later than this after a drain was told.
-    pub grace: Micros,
+    pub drain_grace: Micros,
     /// Rule 4's last line: set-ups a second that a cold server may be sent, by all fronts together.
     pub cold_rate: Option<f64>,
 }
@@ -82,13 +82,13 @@
         Self {
             calls: 200_000,
             in_set_up_per_link: 5_000,
-            memory: 100_000,
-            memory_keep: 60_000_000,
-            orphans: 50_000,
+            cached_answers: 100_000,
+            cached_answer_ttl: 60_000_000,
+            detached_attempts: 50_000,
             servers: 256,
             release_timeout: 2_000_000,
-            away: 30_000_000,
-            grace: 1_000_000,
+            client_absence: 30_000_000,
+            drain_grace: 1_000_000,
             cold_rate: None,
         }
     }
@@ -200,7 +200,7 @@
             return Err(EngineError::Zero("servers"));
         }
         Ok(Self {
-            guard: Guard::new(&settings, limits.grace, limits.cold_rate),
+            guard: Guard::new(&settings, limits.drain_grace, limits.cold_rate),
             once: settings.classes.iter().map(|class| class.repeat == Repeat::Never).collect(),
             pool: Pool::new(settings.ramp_time, limits.servers),
             policy,
@@ -216,8 +216,8 @@
             by_owner: BTreeMap::new(),
             links: BTreeMap::new(),
             in_set_up: BTreeMap::new(),
-            memory: Memory::new(limits.memory, limits.memory_keep),
-            orphans: Orphans::new(limits.orphans),
+            memory: Memory::new(limits.cached_answers, limits.cached_answer_ttl),
+            orphans: Orphans::new(limits.detached_attempts),
             orphans_at: None,
             timers: Timers::default(),
             next_call: 1,
@@ -231,25 +231,25 @@
     }
 
     /// The process starts now, by a clock that did not start with it. Otherwise its first input is its start.
-    pub fn starts(&mut self, now: Micros) {
+    pub fn set_start_time(&mut self, now: Micros) {
         self.started = Some(now);
         if self.pool.presumes() {
-            self.awaits_list(now);
+            self.expect_server_list(now);
         }
     }
 
     /// What is heard from now on may have waited so long to be read, since this process stood still; 0 when it is over.
-    pub fn set_waited(&mut self, span: Micros) {
+    pub fn set_input_delay(&mut self, span: Micros) {
         self.waited = span;
     }
 
     /// How long what is heard now may have waited to be read.
-    pub fn waited(&self) -> Micros {
+    pub fn input_delay(&self) -> Micros {
         self.waited
     }
 
     /// A list that tells of starts will be pushed to this process: until it comes, any server may have just started.
-    pub fn awaits_list(&mut self, now: Micros) {
+    pub fn expect_server_list(&mut self, now: Micros) {
         self.now = self.now.max(now);
         let changed = self.pool.presume(self.now);
         self.tell_list(changed);
@@ -258,13 +258,13 @@
 
     /// Takes one input, at a time that never goes back, then lets time pass; appends what is to be done.
     pub fn handle(&mut self, now: Micros, input: Input<P>, out: &mut Vec<Output<P>>) {
-        self.hear(now, input, out);
+        self.apply(now, input, out);
         self.fire(out);
     }
 
     /// Takes one input and leaves what is due to a later [`Input::Tick`]. Where several inputs wait, all
     /// are heard first: after an own stall a drain, or an answer that came in time, counts before a timer.
-    pub fn hear(&mut self, now: Micros, input: Input<P>, out: &mut Vec<Output<P>>) {
+    pub fn apply(&mut self, now: Micros, input: Input<P>, out: &mut Vec<Output<P>>) {
         self.now = self.now.max(now);
         self.started.get_or_insert(self.now);
         match input {
@@ -279,18 +279,18 @@
             }
             Input::ClientUp { link, owner, restarted } => self.client_up(link, owner, restarted, out),
             Input::ClientDown(link) => self.client_down(link),
-            Input::Stands { attempt, report } => self.stands(attempt, report, out),
+            Input::Established { attempt, report } => self.stands(attempt, report, out),
             Input::Ended { attempt, end } => self.ended(attempt, end, out),
             Input::Cut { attempt, report } => self.over(attempt, Outcome::Reset, report, out),
-            Input::Over { attempt, report } => self.over(attempt, Outcome::Ok, report, out),
+            Input::Cleared { attempt, report } => self.over(attempt, Outcome::Ok, report, out),
             Input::Adopted { session, class, server } => self.adopt(session, class, server, out),
             Input::ReleaseDone { attempt, report } => self.release_done(attempt, report),
             Input::ServerLink { server, state } => self.server_link(server, state, out),
-            Input::Drains(server) => {
+            Input::DrainAnnounced(server) => {
                 let entry = self.pool.drains(self.now, server);
                 self.tell_list(entry.into_iter().collect());
             }
-            Input::News { server, report } => self.news(server, report),
+            Input::LoadReport { server, report } => self.news(server, report),
             Input::List(kind, entries) => self.list(kind, &entries, out),
             Input::Peer { from, payload } => self.peer(from, payload, out),
             Input::Tick => {}
@@ -322,12 +322,12 @@
 
     /// What is known of a call by its name. Drivers whose callers never repeat a name ask this first, so that the
     /// memory of answers gives no 'stands' to a name that is used again.
-    pub fn knows(&mut self, session: &Session) -> Option<Known> {
+    pub fn call_status(&mut self, session: &Session) -> Option<CallStatus> {
         let held = self.sessions.get(session).and_then(|id| self.calls.get(id));
         match held.map(|held| held.phase) {
-            Some(Phase::Standing(_)) => Some(Known::Standing),
-            Some(_) => Some(Known::InSetUp),
-            None => self.memory.get(self.now, session).map(|_| Known::Over),
+            Some(Phase::Standing(_)) => Some(CallStatus::Established),
+            Some(_) => Some(CallStatus::InSetUp),
+            None => self.memory.get(self.now, session).map(|_| CallStatus::Ended),
         }
     }
 
@@ -352,18 +352,18 @@
     }
 
     /// Attempts that wait for a release, and those whose release is unanswered.
-    pub fn orphans(&self) -> usize {
+    pub fn detached_attempts(&self) -> usize {
         let releasing = |a: &&Attempt| matches!(a.stage, Stage::Releasing { owed: false });
         self.orphans.len() + self.attempts.values().filter(releasing).count()
     }
 
     /// Answers remembered.
-    pub fn remembered(&self) -> usize {
+    pub fn cached_answers(&self) -> usize {
         self.memory.len()
     }
 
     /// Timers set.
-    pub fn timers(&self) -> usize {
+    pub fn pending_timers(&self) -> usize {
         self.timers.len()
     }
 
@@ -400,8 +400,8 @@
                 lag: 0,
                 report: Report::default(),
             }),
-            Action::TellPeer { to, payload } => out.push(Output::Tell { to, payload }),
-            Action::Watch => out.push(Output::Watch),
+            Action::TellPeer { to, payload } => out.push(Output::SendToPeer { to, payload }),
+            Action::Watch => out.push(Output::Subscribe),
             Action::Timer { at, token } => self.timers.set(at, Timer::Module(token)),
             Action::Log(text) => out.push(Output::Log(text)),
         }
@@ -424,8 +424,11 @@
             self.guard.count(Breach::Answered);
             return self.not_sent(id, index, server, Outcome::Moot);
         };
-        let before =
-            Before { out: matches!(held.phase, Phase::Out(_)), sent: held.sent, unsure_at: held.unsure_at };
+        let before = CallProgress {
+            out: matches!(held.phase, Phase::Out(_)),
+            sent: held.sent,
+            unsure_at: held.unsure_at,
+        };
         let left_at = self.pool.left_at(server);
         let shared = self.shared.is_some() && self.pool.is_told_cold(now, server);
         let cold = self.pool.is_cold(now, server) && !shared;
@@ -505,7 +508,7 @@
             held.away_since = None;
             if matches!(held.phase, Phase::Standing(_)) {
                 let (request, session) = (*request, session.clone());
-                return out.push(Output::Answer { request, session, answer: Final::Stands });
+                return out.push(Output::Answer { request, session, answer: Final::Established });
             }
             if held.waiting.contains(request) {
                 return;
@@ -540,8 +543,8 @@
         // still: how long its caller still waits nobody here knows, and word that it left may come behind.
         let patience = offer.gives_up_in.saturating_add(self.waited);
         let young = self.now < self.started.unwrap_or(self.now).saturating_add(patience);
-        let lay = self.waited > 0 && young && offer.said != Said::Once;
-        if offer.said == Said::Perhaps && unsure_for > 0 || lay {
+        let lay = self.waited > 0 && young && offer.retransmission != Retransmission::First;
+        if offer.retransmission == Retransmission::Unknown && unsure_for > 0 || lay {
             // It cannot wait as a marked one does: its caller may leave meanwhile, and nobody would hear of it.
             let why = Refusal::JustStarted;
             return self.turn_away(*request, session.clone(), unsure_for, why, out);
@@ -596,7 +599,7 @@
         // Guards against a process that was killed with this call out, and came back at once: the one before may
         // have set it up until it ended.
         let sure_at = self.sure_at();
-        if offer.said == Said::Again && self.now < sure_at {
+        if offer.retransmission == Retransmission::Repeated && self.now < sure_at {
             self.timers.set(sure_at, Timer::Sure(id));
             if let Some(held) = self.calls.get_mut(&id) {
                 held.untold = Some((self.now, call));
@@ -661,7 +664,7 @@
     }
 
     fn release_standing(&mut self, id: CallId, attempt: AttemptId, out: &mut Vec<Output<P>>) {
-        self.forget_call(id, Final::Stands);
+        self.forget_call(id, Final::Established);
         self.release(attempt, true, out);
     }
 
@@ -697,7 +700,7 @@
             held.waiting.retain(|request| request.link != link);
             if alone {
                 held.away_since = Some(self.now);
-                self.timers.set(self.now.saturating_add(self.limits.away), Timer::Away(id));
+                self.timers.set(self.now.saturating_add(self.limits.client_absence), Timer::Away(id));
             }
         }
     }
@@ -723,7 +726,7 @@
     fn give(&mut self, id: CallId, answer: Final, out: &mut Vec<Output<P>>) {
         let Some(held) = self.calls.get_mut(&id) else { return };
         match answer {
-            Final::Stands => self.counts.stands += 1,
+            Final::Established => self.counts.stands += 1,
             Final::Refused { .. } => self.counts.refused += 1,
             Final::Failed => self.counts.failed += 1,
         }
@@ -762,7 +765,7 @@
         if let Some(held) = self.calls.get_mut(&call) {
             held.phase = Phase::Standing(id);
         }
-        self.give(call, Final::Stands, out);
+        self.give(call, Final::Established, out);
     }
 
     fn ended(&mut self, id: AttemptId, end: AttemptEnd, out: &mut Vec<Output<P>>) {
@@ -888,7 +891,7 @@
             Some((Stage::Standing, call)) => {
                 self.counts.cut += u64::from(outcome != Outcome::Ok);
                 self.tell_over(call, outcome, out);
-                self.forget_call(call, Final::Stands);
+                self.forget_call(call, Final::Established);
                 self.end_attempt(id, end, true);
             }
             // It stood there and came to its end, only its answer was lost: over is over. Guards against setting up
@@ -909,7 +912,7 @@
         let session = held.session.clone();
         match self.links.iter().rev().find(|(_, other)| *other == owner) {
             Some((link, _)) => out.push(Output::Cut { link: *link, session, class: held.class }),
-            None => out.push(Output::Over { session, outcome }),
+            None => out.push(Output::Cleared { session, outcome }),
         }
     }
 
@@ -920,7 +923,7 @@
         }
         if self.calls.len() >= self.limits.calls {
             self.counts.bound += 1;
-            return out.push(Output::Over { session, outcome: Outcome::Reset });
+            return out.push(Output::Cleared { session, outcome: Outcome::Reset });
         }
         let (call, now) = (self.new_call_id(), self.now);
         let stage = Stage::Standing;
@@ -1100,7 +1103,8 @@
 
     fn away(&mut self, id: CallId, out: &mut Vec<Output<P>>) {
         let Some(held) = self.calls.get(&id) else { return };
-        let long = held.away_since.is_some_and(|at| self.now >= at.saturating_add(self.limits.away));
+        let long =
+            held.away_since.is_some_and(|at| self.now >= at.saturating_add(self.limits.client_absence));
         if let (Phase::Standing(attempt), true) = (held.phase, long) {
             self.counts.away += 1;
             self.release_standing(id, attempt, out);
--- a/crates/call/src/engine/fleet.rs
+++ b/crates/call/src/engine/fleet.rs
@@ -5,7 +5,7 @@
 use baydrift_fleet::{Lives, Spec as LivesSpec, Terms as LivesTerms};
 
 use super::Engine;
-use crate::shared::{Beat, Shared, Sharing, BEAT};
+use crate::shared::{Beat, BudgetSharing, Shared, BEAT};
 use crate::timers::Timer;
 use crate::types::Output;
 
@@ -17,12 +17,12 @@
 const LIVES_TURN: Micros = 10_000;
 
 fn tell<P>(kind: u8, to: u32, word: &[u8]) -> Output<P> {
-    Output::Tell { to, payload: [&[kind], word].concat() }
+    Output::SendToPeer { to, payload: [&[kind], word].concat() }
 }
 
 impl<P: Clone> Engine<P> {
     /// The fleet shares what cold servers are sent. A front that stands alone, or whose settings say nothing of it, does not.
-    pub fn shares(&mut self, sharing: Sharing) {
+    pub fn enable_budget_sharing(&mut self, sharing: BudgetSharing) {
         self.shared = Some(Shared::new(sharing));
         self.timers.set(self.now, Timer::Budgets);
     }
@@ -38,13 +38,13 @@
     }
 
     /// The fleet's fronts tell each other who lives.
-    pub fn learns_who_lives(&mut self, spec: LivesSpec) {
+    pub fn enable_membership(&mut self, spec: LivesSpec) {
         self.lives = Some(Lives::new(LivesTerms::default(), spec, self.now));
         self.timers.set(self.now, Timer::Lives);
     }
 
     /// Who of the fleet is believed alive, where fronts tell.
-    pub fn lives(&self) -> Option<&Lives> {
+    pub fn membership(&self) -> Option<&Lives> {
         self.lives.as_ref()
     }
 
--- a/crates/call/src/guard.rs
+++ b/crates/call/src/guard.rs
@@ -54,7 +54,7 @@
 
 /// The state of a call that a set-up is checked against.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Before {
+pub struct CallProgress {
     /// Another attempt is out.
     pub out: bool,
     /// Set-ups carried out so far.
@@ -99,7 +99,7 @@
     pub fn check(
         &mut self,
         now: Micros,
-        before: Before,
+        before: CallProgress,
         server: ServerId,
         left_at: Option<Micros>,
         cold: bool,
--- a/crates/call/src/lib.rs
+++ b/crates/call/src/lib.rs
@@ -55,8 +55,8 @@
 mod types;
 
 pub use engine::{Counts, Engine, EngineError, Limits, Policy};
-pub use shared::Sharing;
+pub use shared::BudgetSharing;
 pub use types::{
-    AttemptEnd, AttemptId, Final, Input, Known, LinkId, LinkState, Offer, Output, Process, Refusal,
-    ReleaseResult, Request, Said, Session,
+    AttemptEnd, AttemptId, CallStatus, Final, Input, LinkId, LinkState, Offer, Output, Process, Refusal,
+    ReleaseResult, Request, Retransmission, Session,
 };
--- a/crates/call/src/shared.rs
+++ b/crates/call/src/shared.rs
@@ -12,7 +12,7 @@
 
 /// How a fleet shares.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Sharing {
+pub struct BudgetSharing {
     /// Set-ups that a cold server may be sent in a second, by all fronts together.
     pub units: u32,
     /// Fronts by the settings, and which this one is.
@@ -51,7 +51,7 @@
 /// The hands of this front, one a server.
 #[derive(Debug)]
 pub(crate) struct Shared {
-    sharing: Sharing,
+    sharing: BudgetSharing,
     hands: BTreeMap<ServerId, Hand>,
     /// Calls offered in the last window, by tenths of it.
     offered: [u32; 10],
@@ -59,7 +59,7 @@
 }
 
 impl Shared {
-    pub(crate) fn new(sharing: Sharing) -> Self {
+    pub(crate) fn new(sharing: BudgetSharing) -> Self {
         Self { sharing, hands: BTreeMap::new(), offered: [0; 10], tenth: 0 }
     }
 
@@ -83,7 +83,7 @@
     }
 
     fn hand(&mut self, now: Micros, server: ServerId) -> &mut Hand {
-        let Sharing { units, fronts, ordinal, incarnation } = self.sharing;
+        let BudgetSharing { units, fronts, ordinal, incarnation } = self.sharing;
         self.hands.entry(server).or_insert_with(|| {
             let budget = BudgetId(server);
             let share = Share::new(budget, units, fronts);
--- a/crates/call/src/types.rs
+++ b/crates/call/src/types.rs
@@ -52,20 +52,20 @@
     /// It stood, was cut and comes again.
     pub was_cut: bool,
     /// It may have been said before, perhaps to a process that ran here before this one.
-    pub said: Said,
+    pub retransmission: Retransmission,
     /// What the driver wants back with each set-up; dropped with the final answer.
     pub payload: P,
 }
 
 /// Whether an offer may have been made to a process that ran here before this one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Said {
+pub enum Retransmission {
     /// It is made for the first time.
-    Once,
+    First,
     /// Its client marks it as made before. It says so when its caller leaves.
-    Again,
+    Repeated,
     /// Nobody can tell, and nothing is said when its caller leaves.
-    Perhaps,
+    Unknown,
 }
 
 /// How an attempt ended without standing.
@@ -132,7 +132,7 @@
     /// A client's link is lost, with whatever waited there.
     ClientDown(LinkId),
     /// A set-up stands.
-    Stands {
+    Established {
         /// Which.
         attempt: AttemptId,
         /// The load report on the answer.
@@ -153,7 +153,7 @@
         report: Report,
     },
     /// The server ends a call that stands, as it should end.
-    Over {
+    Cleared {
         /// Which.
         attempt: AttemptId,
         /// The load report on it.
@@ -183,9 +183,9 @@
         state: LinkState,
     },
     /// A server said itself that it drains.
-    Drains(ServerId),
+    DrainAnnounced(ServerId),
     /// Unasked news of a server's load.
-    News {
+    LoadReport {
         /// The server.
         server: ServerId,
         /// The report.
@@ -210,13 +210,13 @@
 
 /// What is known of a call by its name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Known {
+pub enum CallStatus {
     /// In set-up.
     InSetUp,
     /// It stands.
-    Standing,
+    Established,
     /// Answered or over, and still remembered.
-    Over,
+    Ended,
 }
 
 /// Why a call is refused.
@@ -236,7 +236,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Final {
     /// It stands.
-    Stands,
+    Established,
     /// Turned away, with advice to stay away so long (0: none).
     Refused {
         /// Stay-away advice.
@@ -321,7 +321,7 @@
     },
     /// A standing call has come to its end, and its owner has no link that the engine knows: whoever routes by
     /// call tells the caller.
-    Over {
+    Cleared {
         /// The call.
         session: Session,
         /// `Ok` where it ended as it should, else cut.
@@ -337,14 +337,14 @@
         session: Session,
     },
     /// Send a message to another front.
-    Tell {
+    SendToPeer {
         /// Its ordinal.
         to: u32,
         /// What to say.
         payload: Vec<u8>,
     },
     /// Subscribe to the pool list, again if need be.
-    Watch,
+    Subscribe,
     /// A line for the log.
     Log(String),
 }
--- a/crates/call/tests/calls.rs
+++ b/crates/call/tests/calls.rs
@@ -5,7 +5,8 @@
 use baydrift::interface::{ListKind, Note, Outcome, Repeat, Report, ServerState};
 use baydrift_call::guard::Breach;
 use baydrift_call::{
-    AttemptEnd, Final, Input, Known, Limits, LinkId, LinkState, Output, Process, Refusal, ReleaseResult, Said,
+    AttemptEnd, CallStatus, Final, Input, Limits, LinkId, LinkState, Output, Process, Refusal, ReleaseResult,
+    Retransmission,
 };
 use common::*;
 
@@ -18,7 +19,7 @@
     assert_eq!(releases(&out), [attempt]);
     assert!(out.iter().any(|o| matches!(o, Output::AnswerRelease { result: ReleaseResult::Done, .. })));
     w.input(Input::ReleaseDone { attempt, report: Report::default() });
-    assert_eq!((w.engine.calls_held(), w.engine.orphans()), (0, 0));
+    assert_eq!((w.engine.calls_held(), w.engine.detached_attempts()), (0, 0));
 }
 
 #[test]
@@ -35,7 +36,7 @@
     // The late answer of the first changes nothing.
     assert!(w.stands(first).is_empty());
     assert_eq!(w.engine.counts().late, 1);
-    assert_eq!(answers(&w.stands(second)), [Final::Stands]);
+    assert_eq!(answers(&w.stands(second)), [Final::Established]);
 }
 
 #[test]
@@ -66,15 +67,15 @@
     // Before the answer, by a new link: both wait, both get it.
     w.client_up(2, false);
     assert!(w.offer_by(1, request(2, 9), 0).is_empty());
-    assert_eq!(answers(&w.stands(attempt)), [Final::Stands, Final::Stands]);
+    assert_eq!(answers(&w.stands(attempt)), [Final::Established, Final::Established]);
     // After it, while the call stands, and after it is over.
-    assert_eq!(answers(&w.offer_by(1, request(2, 10), 0)), [Final::Stands]);
+    assert_eq!(answers(&w.offer_by(1, request(2, 10), 0)), [Final::Established]);
     w.input(Input::Released { session: session(1), request: request(2, 11) });
     let out = w.offer_by(1, request(2, 12), 0);
-    assert_eq!((answers(&out), set_ups(&out)), (vec![Final::Stands], 0));
+    assert_eq!((answers(&out), set_ups(&out)), (vec![Final::Established], 0));
     assert_eq!(w.engine.counts().taken, 1);
     // Remembered for its time only.
-    w.pass(Limits::default().memory_keep + S);
+    w.pass(Limits::default().cached_answer_ttl + S);
     assert_eq!(set_ups(&w.offer_by(1, request(2, 13), 0)), 1);
 }
 
@@ -96,10 +97,10 @@
     // the same answer, also later.
     let mut w = World::new(Limits::default());
     let refused = Final::Refused { retry_after: 300 * MS, why: Refusal::JustStarted };
-    assert_eq!(answers(&w.said(5, Said::Perhaps)), [refused]);
+    assert_eq!(answers(&w.said(5, Retransmission::Unknown)), [refused]);
     assert_eq!(set_ups(&w.pass(5 * S)), 0);
-    assert_eq!(answers(&w.said(5, Said::Perhaps)), [refused]);
-    assert!(set_up(&w.said(6, Said::Perhaps)).is_some());
+    assert_eq!(answers(&w.said(5, Retransmission::Unknown)), [refused]);
+    assert!(set_up(&w.said(6, Retransmission::Unknown)).is_some());
     // Long after the start there is nothing to wait for.
     assert!(set_up(&w.repeat(4)).is_some());
 }
@@ -111,24 +112,27 @@
     let refused = Final::Refused { retry_after: 0, why: Refusal::JustStarted };
     let mut w = World::new(Limits::default());
     w.repeat(1);
-    w.engine.set_waited(S);
+    w.engine.set_input_delay(S);
     let out = w.pass(S);
     assert_eq!((answers(&out), set_ups(&out)), (vec![refused], 0));
     // Read after the stall: marked, or where nobody marks. A new one, and one by a process so old that no caller of
     // the one before waits any more, go on.
-    assert_eq!((answers(&w.repeat(2)), answers(&w.said(3, Said::Perhaps))), (vec![refused], vec![refused]));
+    assert_eq!(
+        (answers(&w.repeat(2)), answers(&w.said(3, Retransmission::Unknown))),
+        (vec![refused], vec![refused])
+    );
     assert!(set_up(&w.offer(4)).is_some());
-    w.engine.set_waited(0);
+    w.engine.set_input_delay(0);
     assert!(set_up(&w.repeat(5)).is_some());
     w.pass(30 * S);
-    w.engine.set_waited(S);
+    w.engine.set_input_delay(S);
     assert!(set_up(&w.repeat(6)).is_some());
 }
 
 #[test]
 fn a_server_that_nobody_told_of_yet_counts_as_cold_until_the_first_list() {
     let mut w = World::new(Limits::default());
-    w.engine.awaits_list(w.now);
+    w.engine.expect_server_list(w.now);
     w.pass(500 * MS);
     // Many calls at once: no more go to either than a cold one may get. Seed 2741 pushed one over (rule 4).
     let before = (1..=40).map(|n| set_ups(&w.offer(n))).sum::<usize>();
@@ -138,7 +142,7 @@
     assert!(after >= 30, "{after} set-ups to servers that are warm");
     // No list comes: a second later they count as its configuration says.
     let mut w = World::new(Limits::default());
-    w.engine.awaits_list(w.now);
+    w.engine.expect_server_list(w.now);
     w.pass(S + 10 * MS);
     let after = (1..=40).map(|n| set_ups(&w.offer(n))).sum::<usize>();
     assert!(after >= 30, "{after} set-ups after a second without a list");
@@ -154,7 +158,7 @@
     assert!(w.stands(attempt).is_empty());
     w.input(Input::ReleaseDone { attempt, report: Report::default() });
     let rest = w.pass(5 * S);
-    assert_eq!((answers(&rest).len(), set_ups(&rest), w.engine.orphans()), (0, 0, 0));
+    assert_eq!((answers(&rest).len(), set_ups(&rest), w.engine.detached_attempts()), (0, 0, 0));
 }
 
 #[test]
@@ -194,7 +198,7 @@
     w.pass(2_100 * MS);
     let out = w.link(server, LinkState::Up(Process::Same));
     assert_eq!(releases(&out), [out_there]);
-    assert_eq!(w.engine.orphans(), 0);
+    assert_eq!(w.engine.detached_attempts(), 0);
     // With its transport goes its release, and is said on the next.
     let (second, server) = set_up(&w.offer(2)).unwrap();
     assert_eq!(releases(&w.link(server, LinkState::Suspect)), [second]);
@@ -220,9 +224,9 @@
         let list = Input::List(ListKind::Delta, vec![entry(0, ServerState::Draining)]);
         match order {
             0 => drop(w.input(list)),
-            1 => drop(w.input(Input::Drains(0))),
-            2 => drop((w.input(list), w.input(Input::Drains(0)))),
-            _ => drop((w.input(Input::Drains(0)), w.input(list))),
+            1 => drop(w.input(Input::DrainAnnounced(0))),
+            2 => drop((w.input(list), w.input(Input::DrainAnnounced(0)))),
+            _ => drop((w.input(Input::DrainAnnounced(0)), w.input(list))),
         }
         for id in 0..50 {
             assert!(set_up(&w.offer(id)).is_none_or(|(_, server)| server == 1), "order {order}");
@@ -252,12 +256,12 @@
     // No one is there to be answered, but the call goes on for who asks again.
     assert!(w.stands(attempt).is_empty());
     w.client_up(2, false);
-    assert_eq!(answers(&w.offer_by(2, request(2, 1), 0)), [Final::Stands]);
+    assert_eq!(answers(&w.offer_by(2, request(2, 1), 0)), [Final::Established]);
     w.input(Input::ClientDown(LinkId(2)));
-    let out = w.pass(Limits::default().away + S);
+    let out = w.pass(Limits::default().client_absence + S);
     assert_eq!(releases(&out), [standing, attempt]);
     w.pass(3 * S);
-    assert_eq!((w.engine.calls_held(), w.engine.orphans(), w.engine.calls_in_set_up()), (0, 0, 0));
+    assert_eq!((w.engine.calls_held(), w.engine.detached_attempts(), w.engine.calls_in_set_up()), (0, 0, 0));
 }
 
 #[test]
@@ -272,7 +276,13 @@
 
 #[test]
 fn bounds_refuse_with_an_answer_of_their_own() {
-    let limits = Limits { calls: 3, in_set_up_per_link: 2, memory: 2, orphans: 1, ..Limits::default() };
+    let limits = Limits {
+        calls: 3,
+        in_set_up_per_link: 2,
+        cached_answers: 2,
+        detached_attempts: 1,
+        ..Limits::default()
+    };
     let mut w = World::new(limits);
     w.offer(1);
     w.offer(2);
@@ -284,10 +294,10 @@
     assert_eq!(w.engine.counts().bound, 2);
     // Memory of answers and orphans are bounded too, and what is lost is counted.
     w.offer_by(6, request(2, 3), 0);
-    assert_eq!((w.engine.remembered(), w.engine.counts().forgotten), (2, 1));
+    assert_eq!((w.engine.cached_answers(), w.engine.counts().forgotten), (2, 1));
     w.link(0, LinkState::Down);
     w.link(1, LinkState::Down);
-    assert_eq!(w.engine.orphans(), 1);
+    assert_eq!(w.engine.detached_attempts(), 1);
     assert!(w.engine.counts().given_up >= 1);
 }
 
@@ -300,7 +310,7 @@
     }
     w.input(Input::List(ListKind::Delta, vec![entry(1, ServerState::Draining)]));
     w.link(0, LinkState::Down);
-    let waiting = w.engine.orphans();
+    let waiting = w.engine.detached_attempts();
     let at_once = releases(&w.link(0, LinkState::Up(Process::Same))).len();
     assert!(waiting > 16 && at_once == 16, "{waiting} {at_once}");
     let later = releases(&w.pass(500 * MS)).len();
@@ -352,10 +362,10 @@
 fn a_call_ends_by_its_servers_word_also_when_its_answer_was_lost() {
     let mut w = World::new(Limits::default());
     let standing = w.standing(1);
-    w.input(Input::Over { attempt: standing, report: Report::default() });
+    w.input(Input::Cleared { attempt: standing, report: Report::default() });
     assert_eq!((w.engine.calls_held(), w.engine.counts().cut), (0, 0));
     let (attempt, _) = set_up(&w.offer(2)).unwrap();
-    let mut out = w.input(Input::Over { attempt, report: Report::default() });
+    let mut out = w.input(Input::Cleared { attempt, report: Report::default() });
     out.extend(w.pass(3 * S));
     assert_eq!((answers(&out), set_ups(&out)), (vec![Final::Failed], 0));
     assert_eq!(w.engine.calls_held(), 0);
@@ -367,11 +377,11 @@
     let adopted = |w: &mut World| w.input(Input::Adopted { session: session(1), class: 0, server: 0 });
     let out = adopted(&mut w);
     let Some(Output::Adopted { attempt, server: 0, .. }) = out.first() else { panic!("{out:?}") };
-    assert_eq!(w.engine.knows(&session(1)), Some(Known::Standing));
+    assert_eq!(w.engine.call_status(&session(1)), Some(CallStatus::Established));
     let attempt = *attempt;
     assert!(adopted(&mut w).is_empty());
     let out = w.input(Input::Released { session: session(1), request: request(1, 50) });
     assert_eq!((releases(&out), set_ups(&out)), (vec![attempt], 0));
-    assert_eq!(w.engine.knows(&session(1)), Some(Known::Over));
-    assert_eq!(w.engine.knows(&session(2)), None);
+    assert_eq!(w.engine.call_status(&session(1)), Some(CallStatus::Ended));
+    assert_eq!(w.engine.call_status(&session(2)), None);
 }
--- a/crates/call/tests/common/mod.rs
+++ b/crates/call/tests/common/mod.rs
@@ -8,8 +8,8 @@
     Class, Entry, ListKind, Micros, Repeat, Report, ReportPath, ServerState, Settings,
 };
 use baydrift_call::{
-    AttemptId, Engine, Final, Input, Limits, LinkId, LinkState, Offer, Output, Process, Request, Said,
-    Session,
+    AttemptId, Engine, Final, Input, Limits, LinkId, LinkState, Offer, Output, Process, Request,
+    Retransmission, Session,
 };
 
 pub const MS: Micros = 1_000;
@@ -69,7 +69,7 @@
         gives_up_in: 3 * S,
         redial: None,
         was_cut: false,
-        said: Said::Once,
+        retransmission: Retransmission::First,
         payload: id,
     }
 }
@@ -136,12 +136,12 @@
 
     /// A call that its client marks as said before.
     pub fn repeat(&mut self, id: u32) -> Vec<Output<u32>> {
-        self.said(id, Said::Again)
+        self.said(id, Retransmission::Repeated)
     }
 
-    pub fn said(&mut self, id: u32, said: Said) -> Vec<Output<u32>> {
+    pub fn said(&mut self, id: u32, said: Retransmission) -> Vec<Output<u32>> {
         let offer = offered(id, request(1, u64::from(id)), 0);
-        self.input(Input::Offered(Offer { said, ..offer }))
+        self.input(Input::Offered(Offer { retransmission: said, ..offer }))
     }
 
     pub fn offer(&mut self, id: u32) -> Vec<Output<u32>> {
@@ -149,13 +149,13 @@
     }
 
     pub fn stands(&mut self, attempt: AttemptId) -> Vec<Output<u32>> {
-        self.input(Input::Stands { attempt, report: Report::default() })
+        self.input(Input::Established { attempt, report: Report::default() })
     }
 
     /// Offers a call that stands at once; its attempt.
     pub fn standing(&mut self, id: u32) -> AttemptId {
         let attempt = set_up(&self.offer(id)).expect("a ready server").0;
-        assert_eq!(answers(&self.stands(attempt)), [Final::Stands]);
+        assert_eq!(answers(&self.stands(attempt)), [Final::Established]);
         attempt
     }
 }
--- a/crates/call/tests/properties.rs
+++ b/crates/call/tests/properties.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use baydrift::interface::{ListKind, Micros, Note, Outcome, Report, ServerState};
-use baydrift_call::guard::{Before, Breach, Guard};
+use baydrift_call::guard::{Breach, CallProgress, Guard};
 use baydrift_call::{AttemptEnd, AttemptId, Input, Limits, LinkId, LinkState, Output, Process, Session};
 use common::*;
 use proptest::prelude::*;
@@ -140,7 +140,7 @@
                     let report = Report { wait_s: Some(0.1), ..Report::default() };
                     let outcomes = [Outcome::Full, Outcome::Error, Outcome::Reset, Outcome::Timeout];
                     match how {
-                        0 => Input::Stands { attempt, report },
+                        0 => Input::Established { attempt, report },
                         5 => Input::ReleaseDone { attempt, report },
                         how => {
                             let outcome = outcomes[usize::from(how) - 1];
@@ -228,13 +228,13 @@
 fn the_guard_catches_each_breach() {
     let mut guard = Guard::new(&settings(), S, Some(2.0));
     let now = 10 * S;
-    let fine = Before::default();
+    let fine = CallProgress::default();
     assert_eq!(guard.check(now, fine, 0, None, false), Ok(()));
     let cases = [
-        (Before { out: true, ..fine }, None, Breach::SecondAttempt),
-        (Before { sent: 5, ..fine }, None, Breach::TooMany),
+        (CallProgress { out: true, ..fine }, None, Breach::SecondAttempt),
+        (CallProgress { sent: 5, ..fine }, None, Breach::TooMany),
         (fine, Some(now - S - 1), Breach::Drained),
-        (Before { unsure_at: Some(now - 299 * MS), ..fine }, None, Breach::TooSoon),
+        (CallProgress { unsure_at: Some(now - 299 * MS), ..fine }, None, Breach::TooSoon),
     ];
     for (before, left_at, breach) in cases {
         assert_eq!(guard.check(now, before, 0, left_at, false), Err(breach));
--- a/crates/call/tests/shared.rs
+++ b/crates/call/tests/shared.rs
@@ -3,11 +3,11 @@
 mod common;
 
 use baydrift::interface::{Entry, ListKind, ServerState};
-use baydrift_call::{Input, Limits, LinkState, Output, Process, Sharing};
+use baydrift_call::{BudgetSharing, Input, Limits, LinkState, Output, Process};
 use common::{set_ups, settings, World, MS, S};
 
-fn sharing(ordinal: u32, units: u32) -> Sharing {
-    Sharing { units, fronts: 2, ordinal, incarnation: u64::from(ordinal) + 1 }
+fn sharing(ordinal: u32, units: u32) -> BudgetSharing {
+    BudgetSharing { units, fronts: 2, ordinal, incarnation: u64::from(ordinal) + 1 }
 }
 
 /// Server 0 starts now, as the list tells; server 1 is gone.
@@ -19,7 +19,7 @@
 
 fn told(out: &[Output<u32>]) -> Vec<(u32, Vec<u8>)> {
     let told = out.iter().filter_map(|output| match output {
-        Output::Tell { to, payload } if payload.first() == Some(&0xb0) => Some((*to, payload.clone())),
+        Output::SendToPeer { to, payload } if payload.first() == Some(&0xb0) => Some((*to, payload.clone())),
         _ => None,
     });
     told.collect()
@@ -61,7 +61,7 @@
 fn two(units: u32) -> [World; 2] {
     [0, 1].map(|ordinal| {
         let mut w = World::new(Limits::default());
-        w.engine.shares(sharing(ordinal, units));
+        w.engine.enable_budget_sharing(sharing(ordinal, units));
         // What a process before may have lent or spent is over.
         w.pass(6 * S);
         cold(&mut w);
@@ -93,7 +93,7 @@
 #[test]
 fn a_process_that_has_just_started_spends_nothing_that_the_one_before_may_have_lent() {
     let mut w = World::new(Limits::default());
-    w.engine.shares(sharing(0, 10));
+    w.engine.enable_budget_sharing(sharing(0, 10));
     w.pass(100 * MS);
     cold(&mut w);
     let sent = |w: &mut World, first: u32| -> usize {
--- a/crates/cli/benches/cost.rs
+++ b/crates/cli/benches/cost.rs
@@ -569,7 +569,7 @@
                     gives_up_in: 3_000_000,
                     redial: None,
                     was_cut: false,
-                    said: baydrift_call::Said::Once,
+                    retransmission: baydrift_call::Retransmission::First,
                     payload: (),
                 }),
                 &mut out,
@@ -579,7 +579,7 @@
                 _ => None,
             });
             if let Some(attempt) = attempt {
-                engine.handle(now + 100, Input::Stands { attempt, report: Report::default() }, &mut out);
+                engine.handle(now + 100, Input::Established { attempt, report: Report::default() }, &mut out);
                 standing.push_back((session, attempt));
             }
             if standing.len() > 700 {
--- a/crates/config/src/front.rs
+++ b/crates/config/src/front.rs
@@ -90,7 +90,7 @@
         watchdog: front.time("watchdog", 50 * MS..=HOUR).unwrap_or(6 * S),
         stop_within: front.time("stop-within", 0..=HOUR).unwrap_or(5 * S),
         seed: front.whole("seed", 0..=u64::MAX),
-        limits: Limits { grace, cold_rate, ..limits },
+        limits: Limits { drain_grace: grace, cold_rate, ..limits },
         links,
         clients: all(document, problems, "client").into_iter().map(client).collect(),
         text: one(document, problems, "text").map(text),
@@ -264,8 +264,8 @@
     };
     set(&mut limits.calls, "calls", 1..=10_000_000);
     set(&mut limits.in_set_up_per_link, "calls-in-set-up-per-link", 1..=1_000_000);
-    set(&mut limits.memory, "remembered-answers", 0..=10_000_000);
-    set(&mut limits.orphans, "orphans", 0..=10_000_000);
+    set(&mut limits.cached_answers, "remembered-answers", 0..=10_000_000);
+    set(&mut limits.detached_attempts, "orphans", 0..=10_000_000);
     set(&mut limits.servers, "servers", 1..=10_000);
     set(&mut links.connections, "connections", 1..=100_000);
     set(&mut links.half_open, "half-open", 1..=100_000);
@@ -276,9 +276,9 @@
             *to = value;
         }
     };
-    time(&mut limits.memory_keep, "remember-for", 0..=24 * HOUR);
+    time(&mut limits.cached_answer_ttl, "remember-for", 0..=24 * HOUR);
     time(&mut limits.release_timeout, "release-timeout", MS..=HOUR);
-    time(&mut limits.away, "away", 0..=24 * HOUR);
+    time(&mut limits.client_absence, "away", 0..=24 * HOUR);
     time(&mut links.handshake, "handshake", MS..=HOUR);
     time(&mut links.write, "write", MS..=HOUR);
     node.done();
--- a/crates/config/tests/config.rs
+++ b/crates/config/tests/config.rs
@@ -36,7 +36,7 @@
     assert_eq!((config.settings.fronts, config.settings.ordinal), (3, 1));
     assert_eq!(config.classes[1].contexts.len(), 2);
     assert_eq!(config.settings.classes[1].aim, 1_500_000);
-    assert_eq!((config.limits.grace, config.limits.cold_rate), (500_000, Some(12.5)));
+    assert_eq!((config.limits.drain_grace, config.limits.cold_rate), (500_000, Some(12.5)));
     assert_eq!((config.limits.calls, config.links.half_open), (1000, 8));
     assert_eq!(config.fleet.unwrap().fronts.len(), 2);
 }
--- a/crates/desk/src/commands.rs
+++ b/crates/desk/src/commands.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use baydrift::interface::Micros;
-use baydrift_call::{Final, Input, LinkId, Offer, ReleaseResult, Request, Said, Session};
+use baydrift_call::{Final, Input, LinkId, Offer, ReleaseResult, Request, Retransmission, Session};
 use baydrift_diameter::credit::{self, Ccr, Ends, RequestType};
 use baydrift_diameter::{dict, Avp, Fault};
 use baydrift_exchange::{Do, Heard, Turn};
@@ -412,7 +412,11 @@
             redial: None,
             was_cut: false,
             // Over datagrams a transaction is said again, and looks as it did the first time.
-            said: if client.exchange.is_reliable() { Said::Once } else { Said::Perhaps },
+            retransmission: if client.exchange.is_reliable() {
+                Retransmission::First
+            } else {
+                Retransmission::Unknown
+            },
             payload: Payload { request: Arc::new(message), name: get("bdc/ref").map(Arc::from), span },
         };
         Ok((offer, patience))
@@ -559,7 +563,7 @@
         let key = (link, context);
         let mut refused = false;
         let result = match told {
-            Told::Answer(Final::Stands) => {
+            Told::Answer(Final::Established) => {
                 if let Some(entry) = self.text.contexts.get_mut(&key) {
                     (entry.stands, entry.since) = (true, now);
                 }
--- a/crates/desk/src/desk.rs
+++ b/crates/desk/src/desk.rs
@@ -8,8 +8,8 @@
 use baydrift_call::guard::Breach;
 use baydrift_call::Process;
 use baydrift_call::{
-    AttemptEnd, AttemptId, Counts, Engine, EngineError, Final, Input, LinkId, LinkState, Offer, Output,
-    Policy, ReleaseResult, Request, Said, Session, Sharing,
+    AttemptEnd, AttemptId, BudgetSharing, Counts, Engine, EngineError, Final, Input, LinkId, LinkState,
+    Offer, Output, Policy, ReleaseResult, Request, Retransmission, Session,
 };
 use baydrift_config::Config;
 use baydrift_diameter::credit::{self, Ccr, Ends, RequestType};
@@ -309,16 +309,21 @@
     fn with_engine(config: &Config, boot: Boot, mut engine: Engine<Payload>) -> Self {
         engine.handle(0, Input::List(ListKind::Full, Roster::first(config)), &mut Vec::new());
         if config.pool.is_some() {
-            engine.awaits_list(0);
+            engine.expect_server_list(0);
         }
         let (fronts, ordinal) = (config.settings.fronts, config.settings.ordinal);
         let fleet = config.fleet.as_ref();
         if let Some(units) = config.limits.cold_rate.filter(|_| fleet.is_some_and(|fleet| fleet.lends)) {
-            engine.shares(Sharing { units: units as u32, fronts, ordinal, incarnation: boot.incarnation });
+            engine.enable_budget_sharing(BudgetSharing {
+                units: units as u32,
+                fronts,
+                ordinal,
+                incarnation: boot.incarnation,
+            });
         }
         if fleet.is_some_and(|fleet| fleet.lives) {
             let (incarnation, seed) = (boot.state_id, boot.incarnation);
-            engine.learns_who_lives(baydrift_fleet::Spec { ordinal, fronts, incarnation, seed });
+            engine.enable_membership(baydrift_fleet::Spec { ordinal, fronts, incarnation, seed });
         }
         let trunk = TrunkSide::new(config);
         for (link, owner) in trunk.links() {
@@ -387,7 +392,7 @@
                 let end = AttemptEnd::plain(Outcome::Moot);
                 self.engine(now, Input::Ended { attempt, end }, out);
             }
-            DeskInput::ServerDrains(server) => self.engine(now, Input::Drains(server), out),
+            DeskInput::ServerDrains(server) => self.engine(now, Input::DrainAnnounced(server), out),
             DeskInput::ServerAnswer { server, attempt, kind, message } => {
                 self.server_answer(now, server, attempt, kind, &message, out);
             }
@@ -422,11 +427,11 @@
     /// What is heard from now on may have waited so long to be read, since this process stood still: its callers'
     /// patience has run meanwhile.
     pub fn set_waited(&mut self, span: Micros) {
-        self.engine.set_waited(span);
+        self.engine.set_input_delay(span);
     }
 
     pub(crate) fn waited(&self) -> Micros {
-        self.engine.waited()
+        self.engine.input_delay()
     }
 
     /// Takes a pushed pool list.
@@ -454,7 +459,7 @@
 
     /// The process starts now, by a clock that did not start with it: virtual time's.
     pub fn starts(&mut self, now: Micros) {
-        self.engine.starts(now);
+        self.engine.set_start_time(now);
     }
 
     /// How often the engine held back what would have broken a rule.
@@ -474,7 +479,7 @@
 
     /// Who of the fleet is believed alive, where the settings let fronts tell.
     pub fn lives(&self) -> Option<&baydrift_fleet::Lives> {
-        self.engine.lives()
+        self.engine.membership()
     }
 
     /// What this front has of the fleet's budget of each server, where the settings let fronts share.
@@ -492,9 +497,9 @@
         Held {
             calls: self.engine.calls_held(),
             in_set_up: self.engine.calls_in_set_up(),
-            orphans: self.engine.orphans(),
+            orphans: self.engine.detached_attempts(),
             tickets: self.tickets.len(),
-            remembered: self.engine.remembered(),
+            remembered: self.engine.cached_answers(),
         }
     }
 
@@ -575,7 +580,7 @@
         debug!(server, attempt = attempt.0, ?kind, result = message.result(), "answer");
         let input = match (kind, end_of(message)) {
             (Kind::Release, _) => Input::ReleaseDone { attempt, report: load::read(message) },
-            (Kind::SetUp, None) => Input::Stands { attempt, report: load::read(message) },
+            (Kind::SetUp, None) => Input::Established { attempt, report: load::read(message) },
             (Kind::SetUp, Some(end)) => Input::Ended { attempt, end },
         };
         self.engine(now, input, out);
@@ -636,7 +641,7 @@
 
     fn trunk_news(&mut self, now: Micros, news: News, out: &mut Vec<DeskOutput>) {
         let input = match news {
-            News::Stands(attempt, report) => Input::Stands { attempt, report },
+            News::Stands(attempt, report) => Input::Established { attempt, report },
             News::Ended(attempt, end) => Input::Ended { attempt, end },
             News::Over(attempt, report) => Input::Cut { attempt, report },
             News::Released(attempt, report) => Input::ReleaseDone { attempt, report },
@@ -675,7 +680,7 @@
             gives_up_in: class.1.saturating_sub(self.waited()),
             redial: None,
             was_cut: false,
-            said: Said::Once,
+            retransmission: Retransmission::First,
             payload: Payload { request: Arc::new(message), name: reference.clone(), span },
         }
     }
@@ -698,7 +703,7 @@
         if input == Input::Tick {
             self.engine.handle(now, input, &mut outputs);
         } else {
-            self.engine.hear(now, input, &mut outputs);
+            self.engine.apply(now, input, &mut outputs);
         }
         for output in outputs.drain(..) {
             self.carry_out(now, output, out);
@@ -769,10 +774,10 @@
                 out.push(DeskOutput::ToClient { link, message: credit::abort(ends, &session.id) });
             }
             // Callers here are told by their links, and no call is taken over.
-            Output::Over { .. } | Output::Adopted { .. } => {}
-            Output::Tell { to, payload } => out.push(DeskOutput::ToFront { to, payload }),
+            Output::Cleared { .. } | Output::Adopted { .. } => {}
+            Output::SendToPeer { to, payload } => out.push(DeskOutput::ToFront { to, payload }),
             // Lists are pushed: there is nothing to subscribe to.
-            Output::Watch => {}
+            Output::Subscribe => {}
             Output::Log(text) => tracing::info!("{text}"),
         }
     }
@@ -866,7 +871,11 @@
                 gives_up_in: facts.gives_up.saturating_sub(waited),
                 redial: None,
                 was_cut: false,
-                said: if message.header.flags.retransmitted { Said::Again } else { Said::Once },
+                retransmission: if message.header.flags.retransmitted {
+                    Retransmission::Repeated
+                } else {
+                    Retransmission::First
+                },
                 payload: Payload { request: message.clone(), name: None, span },
             }))
         }
--- a/crates/desk/src/meaning.rs
+++ b/crates/desk/src/meaning.rs
@@ -25,7 +25,7 @@
 /// The Result-Code and Error-Message of a final answer.
 pub fn code_of(answer: Final) -> (u32, Option<&'static str>) {
     match answer {
-        Final::Stands => (result::SUCCESS, None),
+        Final::Established => (result::SUCCESS, None),
         Final::Refused { .. } => (result::TOO_BUSY, Some("refused")),
         Final::Failed => (result::UNABLE_TO_COMPLY, Some("failed")),
     }
@@ -34,7 +34,7 @@
 /// The cause value with which a far end's call is released by its final answer; `None` when it stands.
 pub fn cause_of(answer: Final) -> Option<u8> {
     match answer {
-        Final::Stands => None,
+        Final::Established => None,
         Final::Refused { .. } => Some(cause::SWITCHING_CONGESTION),
         Final::Failed => Some(cause::TEMPORARY_FAILURE),
     }
--- a/crates/node/src/state/callers.rs
+++ b/crates/node/src/state/callers.rs
@@ -6,7 +6,7 @@
 use std::net::IpAddr;
 
 use baydrift::interface::{Micros, Outcome};
-use baydrift_call::{Input as Moment, Known, LinkId, Offer, Request, Said};
+use baydrift_call::{CallStatus, Input as Moment, LinkId, Offer, Request, Retransmission};
 use baydrift_platform::list::server_id;
 use baydrift_platform::setup::SetUp;
 use baydrift_platform::{Cause, Code, Fault, Id, Kind, Message};
@@ -120,8 +120,8 @@
         let tenant = tenant.ok_or(wrong(Code::TENANT, "unknown tenant"))?;
         let session = self.session(call);
         if let Some(at) = &setup.at {
-            let known = self.engine.knows(&session);
-            if known == Some(Known::Standing) || known.is_none() {
+            let known = self.engine.call_status(&session);
+            if known == Some(CallStatus::Established) || known.is_none() {
                 self.stands_already(link, call);
             }
             let server = server_id(at);
@@ -136,9 +136,9 @@
         if setup.width < 1.0 || self.wording.widths.get(class).is_some_and(|most| setup.width > *most) {
             return Err(wrong(Code::FIGURES, "width out of range"));
         }
-        match self.engine.knows(&session) {
+        match self.engine.call_status(&session) {
             // Guards against an answer that two set-ups could claim: on one connection nobody can tell them apart.
-            Some(Known::InSetUp) if self.calls.get(&call).is_some_and(|own| own.link == link) => {
+            Some(CallStatus::InSetUp) if self.calls.get(&call).is_some_and(|own| own.link == link) => {
                 self.close_caller(link, out);
                 return Ok(());
             }
@@ -173,7 +173,7 @@
             redial: self.wording.marks_redials.then_some(setup.redial),
             was_cut: setup.was_cut,
             // Each set-up has an id of its own, also a caller's second one.
-            said: Said::Once,
+            retransmission: Retransmission::First,
             payload,
         };
         self.engine(Moment::Offered(offer), out);
--- a/crates/node/src/state/mod.rs
+++ b/crates/node/src/state/mod.rs
@@ -215,10 +215,10 @@
         let limits = Limits {
             calls: max_open.min(CALLS_MAX) as usize,
             in_set_up_per_link: PER_LINK_MAX,
-            memory: MEMORY.0,
-            memory_keep: MEMORY.1,
+            cached_answers: MEMORY.0,
+            cached_answer_ttl: MEMORY.1,
             servers: baydrift_platform::list::SERVERS_MAX,
-            grace: config.wording.grace,
+            drain_grace: config.wording.grace,
             ..Limits::default()
         };
         let bounds = servers::Bounds::of(config);
@@ -311,8 +311,8 @@
             self.servers.open(),
             in_set_up,
             stand,
-            self.engine.remembered(),
-            self.engine.timers(),
+            self.engine.cached_answers(),
+            self.engine.pending_timers(),
         ]
     }
 
@@ -369,7 +369,7 @@
     /// Hands the engine a moment and carries out what it orders.
     fn engine(&mut self, moment: Moment<Payload>, out: &mut Vec<Output>) {
         let mut orders = Vec::new();
-        self.engine.hear(self.now, moment, &mut orders);
+        self.engine.apply(self.now, moment, &mut orders);
         self.carry_out(orders, out);
     }
 
@@ -387,7 +387,7 @@
                         self.answered(call, answer, out);
                     }
                 }
-                Order::Over { session, outcome } => {
+                Order::Cleared { session, outcome } => {
                     if let Some(call) = id_of(&session) {
                         self.call_over(call, outcome, out);
                     }
@@ -400,10 +400,10 @@
                         self.flights.insert(attempt, flight);
                     }
                 }
-                Order::Tell { to, payload } => out.push(Output::ToPeer(to, payload)),
+                Order::SendToPeer { to, payload } => out.push(Output::ToPeer(to, payload)),
                 Order::Log(text) => tracing::info!("{text}"),
                 // The list is polled, callers are told by their calls, and a name is never asked for twice.
-                Order::Watch | Order::Cut { .. } | Order::AnswerRelease { .. } | Order::Dropped(_) => {}
+                Order::Subscribe | Order::Cut { .. } | Order::AnswerRelease { .. } | Order::Dropped(_) => {}
             }
         }
     }
@@ -415,8 +415,8 @@
     /// The final answer on its way to the caller.
     fn answered(&mut self, call: Id, answer: Final, out: &mut Vec<Output>) {
         match (answer, self.answer.take()) {
-            (Final::Stands, Some(description)) => self.tell_stands(call, description, out),
-            (Final::Stands, None) => self.tell_refused(call, false, out),
+            (Final::Established, Some(description)) => self.tell_stands(call, description, out),
+            (Final::Established, None) => self.tell_refused(call, false, out),
             (Final::Refused { .. }, _) => self.tell_refused(call, true, out),
             (Final::Failed, _) => self.tell_refused(call, false, out),
         }
--- a/crates/node/src/state/servers.rs
+++ b/crates/node/src/state/servers.rs
@@ -488,7 +488,7 @@
         let server = conn.server;
         let done = match message.kind {
             Kind::State => self.report_of(message).map(|report| {
-                self.engine(Moment::News { server, report }, out);
+                self.engine(Moment::LoadReport { server, report }, out);
             }),
             Kind::Answer => self.stands(id, message, out),
             Kind::Release => self.ended(id, server, message, out),
@@ -529,7 +529,7 @@
         self.belief.ended(server, Outcome::Ok);
         self.servers.stands(self.now, server, call, attempt);
         self.answer = Some(description);
-        self.engine(Moment::Stands { attempt, report }, out);
+        self.engine(Moment::Established { attempt, report }, out);
         self.answer = None;
         Ok(())
     }
@@ -552,7 +552,7 @@
             if cause == Cause::NORMAL {
                 // Its answer was lost on the way, and this is the call's own end.
                 self.flights.remove(&attempt);
-                self.engine(Moment::Over { attempt, report }, out);
+                self.engine(Moment::Cleared { attempt, report }, out);
                 return Ok(());
             }
             let outcome = match cause {
@@ -588,7 +588,7 @@
                 known.standing.remove(&call);
             }
             let moment = match outcome {
-                Outcome::Ok => Moment::Over { attempt, report },
+                Outcome::Ok => Moment::Cleared { attempt, report },
                 _ => Moment::Cut { attempt, report },
             };
             self.engine(moment, out);
