--- a/crates/call/src/engine.rs
+++ b/crates/call/src/engine.rs
@@ -1,4 +1,4 @@
-//! The engine itself. The crate's page has the table from moments to events.
+//! The engine. The crate documentation has the table from inputs to the policy's events.
 
 mod fleet;
 
@@ -12,31 +12,33 @@
 use baydrift::Controller;
 use baydrift_fleet::Lives;
 
+use crate::active::{ActiveCall, Attempt, Phase, Stage, MAX_WAITING_REQUESTS};
+use crate::answer_cache::AnswerCache;
+use crate::budgets::SharedBudgets;
+use crate::detached::{DetachedAttempt, DetachedAttempts};
 use crate::guard::{Breach, CallProgress, Guard};
-use crate::held::{Attempt, Held, Phase, Stage, WAITING_MAX};
-use crate::memory::Memory;
-use crate::orphans::{Orphan, Orphans};
-use crate::pool::{Pool, PRESUMED_FOR};
-use crate::shared::Shared;
+use crate::pool::{Pool, ASSUMED_START_TTL};
 use crate::timers::{Timer, Timers};
 use crate::types::{
     AttemptEnd, AttemptId, CallStatus, Final, Input, LinkId, LinkState, Offer, Output, Process, Refusal,
     ReleaseResult, Request, Retransmission, Session,
 };
 
-/// The engine answers a call itself so long before its caller gives up, should the module not have.
-const LAST_ANSWER: Micros = 10_000;
-/// Set-ups of one call that the guard holds back before the engine ends it.
-const HELD_BACK_MAX: u8 = 16;
-/// Orphans released at once to a server, and the pause until the next so many.
-const ORPHAN_BATCH: (usize, Micros) = (16, 50_000);
+/// The engine fails a call that the policy has not answered this long before the caller's deadline.
+const ANSWER_MARGIN: Micros = 10_000;
+/// A call fails once the guard has blocked this many of its set-ups.
+const MAX_BLOCKED_SET_UPS: u8 = 16;
+/// Detached attempts released to a server in one batch.
+const RELEASE_BATCH: usize = 16;
+/// Interval between batches of releases.
+const RELEASE_BATCH_INTERVAL: Micros = 50_000;
 
-/// What decides: the module, or something simple that it is compared with.
+/// Makes the routing decisions: the decision module, or a simple policy to compare it with.
 pub trait Policy: std::fmt::Debug + Send {
-    /// Takes one event, at a time that never goes back; appends what is to be done.
+    /// Handles one event and appends the resulting actions. `now` never decreases.
     fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>);
 
-    /// What it believes of each server, for logs.
+    /// The policy's estimate of each server, for logs.
     fn beliefs(&self) -> Vec<Belief> {
         Vec::new()
     }
@@ -52,28 +54,28 @@
     }
 }
 
-/// Bounds and times that are no decisions.
+/// Bounds and timeouts of the engine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Limits {
-    /// Calls held at once, in set-up or standing; more are refused.
+    /// Concurrent calls, in set-up or established; more are refused.
     pub calls: usize,
-    /// Calls in set-up from one link at once; more are refused.
+    /// Concurrent calls in set-up from one link; more are refused.
     pub in_set_up_per_link: usize,
-    /// Answered calls remembered.
+    /// Final answers cached for repeated requests.
     pub cached_answers: usize,
-    /// For so long.
+    /// How long a final answer stays cached.
     pub cached_answer_ttl: Micros,
-    /// Attempts that wait for a release.
+    /// Detached attempts that wait for a link to be released.
     pub detached_attempts: usize,
     /// Servers in the pool.
     pub servers: usize,
-    /// A release unanswered for so long counts as done.
+    /// A release that is unanswered for this long counts as done.
     pub release_timeout: Micros,
-    /// A standing call whose owner has no link for so long is released.
+    /// An established call whose owner has had no link for this long is released.
     pub client_absence: Micros,
-    /// Rule 3: nothing new later than this after a drain was told.
+    /// Rule 3: grace period after a drain was reported; no set-ups are sent after it.
     pub drain_grace: Micros,
-    /// Rule 4's last line: set-ups a second that a cold server may be sent, by all fronts together.
+    /// Rule 4: set-ups per second that a cold server may be sent by all fronts together.
     pub cold_rate: Option<f64>,
 }
 
@@ -94,23 +96,23 @@
     }
 }
 
-/// Why an engine cannot be made.
+/// Why an engine cannot be created.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum EngineError {
-    /// The module's settings cannot be used.
-    #[error("the decision module refuses its settings: {0}")]
+    /// The policy's settings are invalid.
+    #[error("invalid settings of the decision module: {0}")]
     Settings(#[from] SettingsError),
-    /// A bound that must be at least one is nought.
+    /// A limit that must be at least 1 is 0.
     #[error("limits: {0} must be at least 1")]
     Zero(&'static str),
 }
 
-/// What has happened so far; each only grows.
+/// Counters since the start of the process.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Calls taken.
+    /// Calls offered, without repeated requests.
     pub taken: u64,
-    /// Final answers: it stands.
+    /// Final answers: established.
     pub stands: u64,
     /// Final answers: refused.
     pub refused: u64,
@@ -120,23 +122,23 @@
     pub set_ups: u64,
     /// Releases sent.
     pub releases: u64,
-    /// Requests that repeated one already taken.
+    /// Repeated requests.
     pub repeats: u64,
-    /// Answers from servers that came too late to matter.
+    /// Messages from servers about attempts that were already given up or ended.
     pub late: u64,
-    /// Calls refused because a bound was reached.
+    /// Calls refused because a limit was reached.
     pub bound: u64,
-    /// Memories forgotten before their time.
+    /// Cached answers evicted before they expired.
     pub forgotten: u64,
-    /// Orphans given up at the bound.
+    /// Detached attempts discarded because their limit was reached.
     pub given_up: u64,
-    /// Standing calls cut by their server, or lost with it.
+    /// Established calls cut by their server or by shutdown, or lost with the server.
     pub cut: u64,
-    /// Standing calls released since their owner stayed away.
+    /// Established calls released because their owner was absent for too long.
     pub away: u64,
 }
 
-/// The call engine of one front. `P` is what the driver wants back with each set-up.
+/// The call engine of one front. `P` is the driver's payload of an offer, returned with each set-up.
 #[derive(Debug)]
 pub struct Engine<P> {
     policy: Box<dyn Policy>,
@@ -144,27 +146,28 @@
     pool: Pool,
     limits: Limits,
     now: Micros,
-    /// When this process heard of anything first.
+    /// Start of the process, or the time of the first input if the start was not set.
     started: Option<Micros>,
-    /// What is heard now may have waited so long to be read: this process stood still.
-    waited: Micros,
-    /// What cold servers may be sent, where the fleet shares it.
-    shared: Option<Shared>,
-    /// Who of the fleet lives.
-    lives: Option<Lives>,
-    calls: BTreeMap<CallId, Held<P>>,
+    /// Upper bound on how long the current inputs waited to be read because the process stalled.
+    input_delay: Micros,
+    /// Budgets of cold servers, if the fleet shares them.
+    budgets: Option<SharedBudgets>,
+    /// Membership of the fleet, if enabled.
+    membership: Option<Lives>,
+    calls: BTreeMap<CallId, ActiveCall<P>>,
     sessions: BTreeMap<Session, CallId>,
     attempts: BTreeMap<AttemptId, Attempt>,
     by_server: BTreeMap<ServerId, BTreeSet<AttemptId>>,
     by_owner: BTreeMap<Arc<str>, BTreeSet<CallId>>,
     links: BTreeMap<LinkId, Arc<str>>,
     in_set_up: BTreeMap<LinkId, usize>,
-    memory: Memory,
-    orphans: Orphans,
-    orphans_at: Option<Micros>,
+    answers: AnswerCache,
+    detached: DetachedAttempts,
+    /// Earliest time of the next batch of releases, if one is pending.
+    next_batch_at: Option<Micros>,
     timers: Timers,
-    /// By class: whether its calls must not be set up twice.
-    once: Vec<bool>,
+    /// Whether the calls of each class must not be set up twice.
+    never_repeat: Vec<bool>,
     next_call: u64,
     next_attempt: u64,
     events: VecDeque<Event>,
@@ -174,16 +177,16 @@
 }
 
 impl<P: Clone> Engine<P> {
-    /// An engine that knows no servers yet.
+    /// An engine without servers, with the decision module as its policy.
     ///
     /// # Errors
-    /// When the settings or limits hold a figure that nothing sensible can be done with.
+    /// When the settings or limits are out of range.
     pub fn new(settings: Settings, limits: Limits, seed: u64) -> Result<Self, EngineError> {
         let policy = Box::new(Controller::new(settings.clone(), seed)?);
         Self::with_policy(settings, limits, policy)
     }
 
-    /// An engine with another policy than the module, for comparisons.
+    /// An engine with another policy than the decision module, for comparisons.
     ///
     /// # Errors
     /// As [`Engine::new`].
@@ -201,14 +204,14 @@
         }
         Ok(Self {
             guard: Guard::new(&settings, limits.drain_grace, limits.cold_rate),
-            once: settings.classes.iter().map(|class| class.repeat == Repeat::Never).collect(),
+            never_repeat: settings.classes.iter().map(|class| class.repeat == Repeat::Never).collect(),
             pool: Pool::new(settings.ramp_time, limits.servers),
             policy,
             now: 0,
             started: None,
-            waited: 0,
-            shared: None,
-            lives: None,
+            input_delay: 0,
+            budgets: None,
+            membership: None,
             calls: BTreeMap::new(),
             sessions: BTreeMap::new(),
             attempts: BTreeMap::new(),
@@ -216,9 +219,9 @@
             by_owner: BTreeMap::new(),
             links: BTreeMap::new(),
             in_set_up: BTreeMap::new(),
-            memory: Memory::new(limits.cached_answers, limits.cached_answer_ttl),
-            orphans: Orphans::new(limits.detached_attempts),
-            orphans_at: None,
+            answers: AnswerCache::new(limits.cached_answers, limits.cached_answer_ttl),
+            detached: DetachedAttempts::new(limits.detached_attempts),
+            next_batch_at: None,
             timers: Timers::default(),
             next_call: 1,
             next_attempt: 1,
@@ -230,40 +233,45 @@
         })
     }
 
-    /// The process starts now, by a clock that did not start with it. Otherwise its first input is its start.
+    /// Sets the start of the process, for clocks that did not start with it. By default the first input
+    /// counts as the start.
     pub fn set_start_time(&mut self, now: Micros) {
         self.started = Some(now);
-        if self.pool.presumes() {
+        if self.pool.has_assumed_starts() {
             self.expect_server_list(now);
         }
     }
 
-    /// What is heard from now on may have waited so long to be read, since this process stood still; 0 when it is over.
+    /// Sets how long inputs may have waited to be read because the process stalled; 0 once the backlog is
+    /// read.
     pub fn set_input_delay(&mut self, span: Micros) {
-        self.waited = span;
+        self.input_delay = span;
     }
 
-    /// How long what is heard now may have waited to be read.
+    /// How long current inputs may have waited to be read.
     pub fn input_delay(&self) -> Micros {
-        self.waited
+        self.input_delay
     }
 
-    /// A list that tells of starts will be pushed to this process: until it comes, any server may have just started.
+    /// Announces that a server list with start times will be pushed to this process. Until it arrives, every
+    /// server is treated as if it had just started.
     pub fn expect_server_list(&mut self, now: Micros) {
         self.now = self.now.max(now);
-        let changed = self.pool.presume(self.now);
-        self.tell_list(changed);
-        self.timers.set(self.now.saturating_add(PRESUMED_FOR), Timer::FirstList);
+        let changed = self.pool.assume_recent_starts(self.now);
+        self.report_list(changed);
+        self.timers.set(self.now.saturating_add(ASSUMED_START_TTL), Timer::FirstList);
     }
 
-    /// Takes one input, at a time that never goes back, then lets time pass; appends what is to be done.
+    /// Handles one input, then all timers that are due, and appends the resulting outputs. `now` never
+    /// decreases.
     pub fn handle(&mut self, now: Micros, input: Input<P>, out: &mut Vec<Output<P>>) {
         self.apply(now, input, out);
-        self.fire(out);
+        self.fire_timers(out);
     }
 
-    /// Takes one input and leaves what is due to a later [`Input::Tick`]. Where several inputs wait, all
-    /// are heard first: after an own stall a drain, or an answer that came in time, counts before a timer.
+    /// Handles one input without firing timers, which wait for the next [`Input::Tick`] through
+    /// [`Self::handle`]. A driver with several queued inputs applies all of them first, so that after a stall
+    /// of this process a drain, or an answer that arrived in time, takes effect before any timer.
     pub fn apply(&mut self, now: Micros, input: Input<P>, out: &mut Vec<Output<P>>) {
         self.now = self.now.max(now);
         self.started.get_or_insert(self.now);
@@ -272,76 +280,76 @@
             Input::Released { session, request } => self.released(session, request, out),
             Input::Refreshed { session, request } => {
                 let id = self.sessions.get(&session);
-                let held = id.and_then(|id| self.calls.get(id));
-                let stands = held.is_some_and(|held| matches!(held.phase, Phase::Standing(_)));
-                let result = if stands { ReleaseResult::Done } else { ReleaseResult::Unknown };
+                let active = id.and_then(|id| self.calls.get(id));
+                let established = active.is_some_and(|active| matches!(active.phase, Phase::Established(_)));
+                let result = if established { ReleaseResult::Done } else { ReleaseResult::Unknown };
                 out.push(Output::AnswerRelease { request, session, result });
             }
             Input::ClientUp { link, owner, restarted } => self.client_up(link, owner, restarted, out),
             Input::ClientDown(link) => self.client_down(link),
-            Input::Established { attempt, report } => self.stands(attempt, report, out),
+            Input::Established { attempt, report } => self.established(attempt, report, out),
             Input::Ended { attempt, end } => self.ended(attempt, end, out),
-            Input::Cut { attempt, report } => self.over(attempt, Outcome::Reset, report, out),
-            Input::Cleared { attempt, report } => self.over(attempt, Outcome::Ok, report, out),
+            Input::Cut { attempt, report } => self.ended_by_server(attempt, Outcome::Reset, report, out),
+            Input::Cleared { attempt, report } => self.ended_by_server(attempt, Outcome::Ok, report, out),
             Input::Adopted { session, class, server } => self.adopt(session, class, server, out),
             Input::ReleaseDone { attempt, report } => self.release_done(attempt, report),
             Input::ServerLink { server, state } => self.server_link(server, state, out),
             Input::DrainAnnounced(server) => {
-                let entry = self.pool.drains(self.now, server);
-                self.tell_list(entry.into_iter().collect());
+                let entry = self.pool.announce_drain(self.now, server);
+                self.report_list(entry.into_iter().collect());
             }
-            Input::LoadReport { server, report } => self.news(server, report),
+            Input::LoadReport { server, report } => self.report_load(server, report),
             Input::List(kind, entries) => self.list(kind, &entries, out),
             Input::Peer { from, payload } => self.peer(from, payload, out),
             Input::Tick => {}
             Input::Stop => self.stop(out),
             Input::CutAll => self.cut_all(out),
         }
-        self.run(out);
+        self.run_policy(out);
     }
 
-    /// When to call with [`Input::Tick`] at the latest.
+    /// Latest time at which the engine must be called with [`Input::Tick`].
     pub fn next_wake(&self) -> Option<Micros> {
         self.timers.next()
     }
 
-    /// What has happened so far.
+    /// Counters since the start of the process.
     pub fn counts(&self) -> &Counts {
         &self.counts
     }
 
-    /// How often an action that would have broken a rule was held back.
+    /// How often an action was blocked because it would have violated a rule.
     pub fn held_back(&self, breach: Breach) -> u64 {
         self.guard.held_back(breach)
     }
 
-    /// Whether an attempt is held still: out, standing, or to be released.
+    /// Whether the engine tracks an attempt: in flight, established, or awaiting the answer to its release.
     pub fn holds(&self, attempt: AttemptId) -> bool {
         self.attempts.contains_key(&attempt)
     }
 
-    /// What is known of a call by its name. Drivers whose callers never repeat a name ask this first, so that the
-    /// memory of answers gives no 'stands' to a name that is used again.
+    /// Status of a call. Drivers whose callers never repeat a request check it before an offer, so that a
+    /// reused name does not get the cached answer of an earlier call.
     pub fn call_status(&mut self, session: &Session) -> Option<CallStatus> {
-        let held = self.sessions.get(session).and_then(|id| self.calls.get(id));
-        match held.map(|held| held.phase) {
-            Some(Phase::Standing(_)) => Some(CallStatus::Established),
+        let active = self.sessions.get(session).and_then(|id| self.calls.get(id));
+        match active.map(|active| active.phase) {
+            Some(Phase::Established(_)) => Some(CallStatus::Established),
             Some(_) => Some(CallStatus::InSetUp),
-            None => self.memory.get(self.now, session).map(|_| CallStatus::Ended),
+            None => self.answers.get(self.now, session).map(|_| CallStatus::Ended),
         }
     }
 
-    /// What the module believes of each server, for logs.
+    /// The policy's estimate of each server, for logs.
     pub fn beliefs(&self) -> Vec<Belief> {
         self.policy.beliefs()
     }
 
-    /// Whether a server's processor ramps, as far as this front knows.
+    /// Whether a server is still warming up, as far as this front knows.
     pub fn is_cold(&self, server: ServerId) -> bool {
         self.pool.is_cold(self.now, server)
     }
 
-    /// Calls held, in set-up or standing.
+    /// Calls in set-up or established.
     pub fn calls_held(&self) -> usize {
         self.calls.len()
     }
@@ -351,39 +359,39 @@
         self.in_set_up.values().sum()
     }
 
-    /// Attempts that wait for a release, and those whose release is unanswered.
+    /// Detached attempts: those waiting for a link to be released, and those whose release is unanswered.
     pub fn detached_attempts(&self) -> usize {
-        let releasing = |a: &&Attempt| matches!(a.stage, Stage::Releasing { owed: false });
-        self.orphans.len() + self.attempts.values().filter(releasing).count()
+        let releasing = |a: &&Attempt| matches!(a.stage, Stage::Releasing { report_end: false });
+        self.detached.len() + self.attempts.values().filter(releasing).count()
     }
 
-    /// Answers remembered.
+    /// Cached final answers.
     pub fn cached_answers(&self) -> usize {
-        self.memory.len()
+        self.answers.len()
     }
 
-    /// Timers set.
+    /// Timers in the queue.
     pub fn pending_timers(&self) -> usize {
         self.timers.len()
     }
 
-    // --- the module ---
+    // --- policy ---
 
-    /// Hands the module what waits and carries out what it asks, until neither is left. Each round either
-    /// ends a call or uses up one of its bounded set-ups, so it ends.
-    fn run(&mut self, out: &mut Vec<Output<P>>) {
+    /// Passes pending events to the policy and executes its actions until no events are left. This terminates
+    /// because each round either ends a call or uses up one of its bounded set-ups.
+    fn run_policy(&mut self, out: &mut Vec<Output<P>>) {
         while let Some(event) = self.events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
             actions.clear();
             self.policy.handle(self.now, event, &mut actions);
             for action in actions.drain(..) {
-                self.act(action, out);
+                self.execute(action, out);
             }
             self.actions = actions;
         }
     }
 
-    fn act(&mut self, action: Action, out: &mut Vec<Output<P>>) {
+    fn execute(&mut self, action: Action, out: &mut Vec<Output<P>>) {
         match action {
             Action::Send { call, server, timeout, begin_within } => {
                 self.send(call, server, (timeout, begin_within), out);
@@ -393,7 +401,7 @@
             }
             Action::Fail(call) => self.answer_decided(call, Final::Failed, out),
             Action::Cancel { call, attempt } => self.cancel(call, attempt, out),
-            // Servers are not probed over this path: settings forbid it, and reports ride on answers.
+            // Probes are not supported here: the settings forbid them, and load reports come with answers.
             Action::Probe(server) => self.events.push_back(Event::Probed {
                 server,
                 outcome: Outcome::Moot,
@@ -402,7 +410,7 @@
             }),
             Action::TellPeer { to, payload } => out.push(Output::SendToPeer { to, payload }),
             Action::Watch => out.push(Output::Subscribe),
-            Action::Timer { at, token } => self.timers.set(at, Timer::Module(token)),
+            Action::Timer { at, token } => self.timers.set(at, Timer::Policy(token)),
             Action::Log(text) => out.push(Output::Log(text)),
         }
     }
@@ -415,51 +423,53 @@
         out: &mut Vec<Output<P>>,
     ) {
         let now = self.now;
-        let Some(held) = self.calls.get_mut(&id) else {
+        let Some(active) = self.calls.get_mut(&id) else {
             return self.guard.count(Breach::Answered);
         };
-        let index = held.asked;
-        held.asked = held.asked.saturating_add(1);
-        let (Some(payload), false) = (held.payload.clone(), matches!(held.phase, Phase::Standing(_))) else {
+        let index = active.requested;
+        active.requested = active.requested.saturating_add(1);
+        let (Some(payload), false) = (active.payload.clone(), matches!(active.phase, Phase::Established(_)))
+        else {
             self.guard.count(Breach::Answered);
-            return self.not_sent(id, index, server, Outcome::Moot);
+            return self.report_unsent(id, index, server, Outcome::Moot);
         };
-        let before = CallProgress {
-            out: matches!(held.phase, Phase::Out(_)),
-            sent: held.sent,
-            unsure_at: held.unsure_at,
+        let progress = CallProgress {
+            in_flight: matches!(active.phase, Phase::InFlight(_)),
+            sent: active.sent,
+            unconfirmed_end_at: active.unconfirmed_end_at,
         };
-        let left_at = self.pool.left_at(server);
-        let shared = self.shared.is_some() && self.pool.is_told_cold(now, server);
+        let unavailable_since = self.pool.unavailable_since(server);
+        let shared = self.budgets.is_some() && self.pool.is_known_cold(now, server);
         let cold = self.pool.is_cold(now, server) && !shared;
-        if let Err(breach) = self.guard.check(now, before, server, left_at, cold) {
+        if let Err(breach) = self.guard.check(now, progress, server, unavailable_since, cold) {
             let name = breach.name();
             out.push(Output::Log(format!(
-                "set-up {index} of call {id} at server {server} held back: {name}"
+                "set-up {index} of call {id} at server {server} blocked by rule {name}"
             )));
-            held.held_back += 1;
-            if held.held_back >= HELD_BACK_MAX {
-                self.abandoned(id);
+            active.blocked += 1;
+            if active.blocked >= MAX_BLOCKED_SET_UPS {
+                self.report_abandoned(id);
                 return self.answer(id, Final::Failed, out);
             }
-            return self.not_sent(id, index, server, Outcome::Moot);
+            return self.report_unsent(id, index, server, Outcome::Moot);
         }
         match self.pool.link_state(server) {
             LinkState::Up(_) => {}
-            LinkState::Suspect => return self.not_sent(id, index, server, Outcome::Moot),
-            LinkState::Down => return self.not_sent(id, index, server, Outcome::ConnectFailed),
+            LinkState::Suspect => return self.report_unsent(id, index, server, Outcome::Moot),
+            LinkState::Down => return self.report_unsent(id, index, server, Outcome::ConnectFailed),
         }
-        // Last of all: a unit of the fleet's is spent with it. Without one the call goes elsewhere.
-        if shared && self.shared.as_mut().is_some_and(|hands| !hands.spend(now, server)) {
-            return self.not_sent(id, index, server, Outcome::Moot);
+        // This check is last because it spends a unit of the shared budget. Without a unit the call goes to
+        // another server.
+        if shared && self.budgets.as_mut().is_some_and(|budgets| !budgets.spend(now, server)) {
+            return self.report_unsent(id, index, server, Outcome::Moot);
         }
-        held.sent += 1;
-        let (class, session) = (held.class, held.session.clone());
-        let stage = Stage::Out;
+        active.sent += 1;
+        let (class, session) = (active.class, active.session.clone());
+        let stage = Stage::InFlight;
         let attempt =
             self.add_attempt(Attempt { call: id, index, server, class, sent_at: now, stage, adopted: false });
-        if let Some(held) = self.calls.get_mut(&id) {
-            held.phase = Phase::Out(attempt);
+        if let Some(active) = self.calls.get_mut(&id) {
+            active.phase = Phase::InFlight(attempt);
         }
         self.timers.set(now.saturating_add(timeout), Timer::Attempt(attempt));
         self.counts.set_ups += 1;
@@ -477,8 +487,8 @@
         });
     }
 
-    /// A set-up that was never sent ends at once.
-    fn not_sent(&mut self, call: CallId, attempt: u16, server: ServerId, outcome: Outcome) {
+    /// Reports the immediate end of a set-up that was not sent.
+    fn report_unsent(&mut self, call: CallId, attempt: u16, server: ServerId, outcome: Outcome) {
         self.events.push_back(Event::Ended {
             call,
             attempt,
@@ -492,9 +502,9 @@
     }
 
     fn cancel(&mut self, id: CallId, index: u16, out: &mut Vec<Output<P>>) {
-        let Some(Phase::Out(attempt)) = self.calls.get(&id).map(|held| held.phase) else { return };
+        let Some(Phase::InFlight(attempt)) = self.calls.get(&id).map(|active| active.phase) else { return };
         if self.attempts.get(&attempt).is_some_and(|a| a.index == index) {
-            self.give_up_attempt(attempt, AttemptEnd::plain(Outcome::Cancelled), true, out);
+            self.abandon_attempt(attempt, AttemptEnd::plain(Outcome::Cancelled), true, out);
         }
     }
 
@@ -504,56 +514,59 @@
         let Offer { session, request, .. } = &offer;
         if let Some(id) = self.sessions.get(session) {
             self.counts.repeats += 1;
-            let Some(held) = self.calls.get_mut(id) else { return };
-            held.away_since = None;
-            if matches!(held.phase, Phase::Standing(_)) {
+            let Some(active) = self.calls.get_mut(id) else { return };
+            active.client_absent_since = None;
+            if matches!(active.phase, Phase::Established(_)) {
                 let (request, session) = (*request, session.clone());
                 return out.push(Output::Answer { request, session, answer: Final::Established });
             }
-            if held.waiting.contains(request) {
+            if active.waiting.contains(request) {
                 return;
             }
-            if held.waiting.len() >= WAITING_MAX {
-                let oldest = held.waiting.remove(0);
-                leave(&mut self.in_set_up, oldest.link);
+            if active.waiting.len() >= MAX_WAITING_REQUESTS {
+                let oldest = active.waiting.remove(0);
+                remove_waiting(&mut self.in_set_up, oldest.link);
                 out.push(Output::Dropped(oldest));
             }
-            held.waiting.push(*request);
+            active.waiting.push(*request);
             *self.in_set_up.entry(request.link).or_default() += 1;
             return;
         }
-        if let Some(known) = self.memory.get(self.now, session) {
+        if let Some(cached) = self.answers.get(self.now, session) {
             self.counts.repeats += 1;
             let (request, session) = (*request, session.clone());
-            return out.push(Output::Answer { request, session, answer: known.answer });
+            return out.push(Output::Answer { request, session, answer: cached.answer });
         }
         self.counts.taken += 1;
-        if let Some(shared) = self.shared.as_mut() {
-            shared.offered(self.now);
+        if let Some(budgets) = self.budgets.as_mut() {
+            budgets.offered(self.now);
         }
-        let of_link = self.in_set_up.get(&request.link).copied().unwrap_or(0);
-        let full = self.calls.len() >= self.limits.calls || of_link >= self.limits.in_set_up_per_link;
+        let on_link = self.in_set_up.get(&request.link).copied().unwrap_or(0);
+        let full = self.calls.len() >= self.limits.calls || on_link >= self.limits.in_set_up_per_link;
         if full || self.stopping {
             let why = if self.stopping { Refusal::Stopping } else { Refusal::Bound };
             self.counts.bound += u64::from(full);
-            return self.turn_away(*request, session.clone(), 0, why, out);
+            return self.reject(*request, session.clone(), 0, why, out);
         }
-        let unsure_for = self.sure_at().saturating_sub(self.now);
-        // Guards against one that was made long before, to a process that was killed, and lay here while this one stood
-        // still: how long its caller still waits nobody here knows, and word that it left may come behind.
-        let patience = offer.gives_up_in.saturating_add(self.waited);
-        let young = self.now < self.started.unwrap_or(self.now).saturating_add(patience);
-        let lay = self.waited > 0 && young && offer.retransmission != Retransmission::First;
-        if offer.retransmission == Retransmission::Unknown && unsure_for > 0 || lay {
-            // It cannot wait as a marked one does: its caller may leave meanwhile, and nobody would hear of it.
+        let hold_off = self.previous_process_gone_at().saturating_sub(self.now);
+        // Guards against an offer sent long ago to a killed process and queued here while this process
+        // stalled: the caller's remaining wait is unknown, and its cancellation may be queued behind the
+        // offer.
+        let longest_wait = offer.gives_up_in.saturating_add(self.input_delay);
+        let just_started = self.now < self.started.unwrap_or(self.now).saturating_add(longest_wait);
+        let may_be_stale =
+            self.input_delay > 0 && just_started && offer.retransmission != Retransmission::First;
+        if offer.retransmission == Retransmission::Unknown && hold_off > 0 || may_be_stale {
+            // The offer cannot be deferred like one that is marked as repeated: its caller might cancel
+            // meanwhile without notice.
             let why = Refusal::JustStarted;
-            return self.turn_away(*request, session.clone(), unsure_for, why, out);
+            return self.reject(*request, session.clone(), hold_off, why, out);
         }
-        self.take(offer);
+        self.accept(offer);
     }
 
-    /// A call that is not taken gets its one answer, which is remembered for copies of it.
-    fn turn_away(
+    /// Refuses a call that is not accepted, and caches the answer for repeated requests.
+    fn reject(
         &mut self,
         request: Request,
         session: Session,
@@ -563,28 +576,29 @@
     ) {
         let answer = Final::Refused { retry_after, why };
         self.counts.refused += 1;
-        self.counts.forgotten += self.memory.put(self.now, session.clone(), answer);
+        self.counts.forgotten += self.answers.put(self.now, session.clone(), answer);
         out.push(Output::Answer { request, session, answer });
     }
 
-    /// From then on no process before this one can have a call out: the guard after its start, since an end that nobody
-    /// here saw is as sure as a reset is.
-    fn sure_at(&self) -> Micros {
-        self.started.unwrap_or(self.now).saturating_add(self.guard.release_guard())
+    /// Time from which no previous process of this front can have a call in flight: the retry hold-off after
+    /// the start, because an attempt whose end was not observed is treated like one that was reset.
+    fn previous_process_gone_at(&self) -> Micros {
+        self.started.unwrap_or(self.now).saturating_add(self.guard.retry_hold_off())
     }
 
-    /// A new call, within all bounds.
-    fn take(&mut self, offer: Offer<P>) {
+    /// Accepts a new call that is within all limits.
+    fn accept(&mut self, offer: Offer<P>) {
         let id = self.new_call_id();
-        let answer_by = self.now.saturating_add(offer.gives_up_in).saturating_sub(LAST_ANSWER).max(self.now);
+        let answer_by =
+            self.now.saturating_add(offer.gives_up_in).saturating_sub(ANSWER_MARGIN).max(self.now);
         self.timers.set(answer_by, Timer::Deadline(id));
         *self.in_set_up.entry(offer.request.link).or_default() += 1;
-        let held = Held {
+        let active = ActiveCall {
             waiting: vec![offer.request],
             payload: Some(offer.payload),
-            ..Held::new(offer.session, offer.class, Phase::Deciding, answer_by)
+            ..ActiveCall::new(offer.session, offer.class, Phase::Deciding, answer_by)
         };
-        self.hold(id, held);
+        self.insert_call(id, active);
         let call = Call {
             id,
             class: offer.class,
@@ -596,43 +610,44 @@
             in_transit: false,
             was_cut: offer.was_cut,
         };
-        // Guards against a process that was killed with this call out, and came back at once: the one before may
-        // have set it up until it ended.
-        let sure_at = self.sure_at();
-        if offer.retransmission == Retransmission::Repeated && self.now < sure_at {
-            self.timers.set(sure_at, Timer::Sure(id));
-            if let Some(held) = self.calls.get_mut(&id) {
-                held.untold = Some((self.now, call));
+        // Guards against a second set-up of a call that a previous process had in flight when it was killed
+        // and restarted at once.
+        let gone_at = self.previous_process_gone_at();
+        if offer.retransmission == Retransmission::Repeated && self.now < gone_at {
+            self.timers.set(gone_at, Timer::Deferred(id));
+            if let Some(active) = self.calls.get_mut(&id) {
+                active.deferred = Some((self.now, call));
             }
             return;
         }
         self.events.push_back(Event::Call(call));
     }
 
-    /// No other process can have the call out any more: the module hears of it.
-    fn sure(&mut self, id: CallId, out: &mut Vec<Output<P>>) {
-        if self.waited > 0 && self.calls.get(&id).is_some_and(|held| held.untold.is_some()) {
-            // As one that lay unread: what its caller has left is not known, and its leave may not be read yet.
+    /// Passes a deferred call to the policy once no previous process can have it in flight.
+    fn start_deferred(&mut self, id: CallId, out: &mut Vec<Output<P>>) {
+        if self.input_delay > 0 && self.calls.get(&id).is_some_and(|active| active.deferred.is_some()) {
+            // As for a stale offer: the caller's remaining wait is unknown, and its cancellation may still be
+            // unread.
             return self.answer(id, Final::Refused { retry_after: 0, why: Refusal::JustStarted }, out);
         }
-        let untold = self.calls.get_mut(&id).and_then(|held| held.untold.take());
-        let Some((since, call)) = untold else { return };
+        let deferred = self.calls.get_mut(&id).and_then(|active| active.deferred.take());
+        let Some((since, call)) = deferred else { return };
         let gives_up_in = call.gives_up_in.saturating_sub(self.now.saturating_sub(since));
         self.events.push_back(Event::Call(Call { gives_up_in, ..call }));
     }
 
-    /// The module is done with a call, if it ever heard of it.
-    fn abandoned(&mut self, id: CallId) {
-        if self.calls.get(&id).is_some_and(|held| held.untold.is_none()) {
+    /// Reports to the policy that a call is abandoned, unless the call is still deferred.
+    fn report_abandoned(&mut self, id: CallId) {
+        if self.calls.get(&id).is_some_and(|active| active.deferred.is_none()) {
             self.events.push_back(Event::Abandoned(id));
         }
     }
 
-    /// A call is held from now on.
-    fn hold(&mut self, id: CallId, held: Held<P>) {
-        self.by_owner.entry(held.session.owner.clone()).or_default().insert(id);
-        self.sessions.insert(held.session.clone(), id);
-        self.calls.insert(id, held);
+    /// Adds a call to all indexes.
+    fn insert_call(&mut self, id: CallId, active: ActiveCall<P>) {
+        self.by_owner.entry(active.session.owner.clone()).or_default().insert(id);
+        self.sessions.insert(active.session.clone(), id);
+        self.calls.insert(id, active);
     }
 
     fn new_call_id(&mut self) -> CallId {
@@ -647,15 +662,16 @@
 
     fn released(&mut self, session: Session, request: Request, out: &mut Vec<Output<P>>) {
         let Some(id) = self.sessions.get(&session).copied() else {
-            let known = self.memory.get(self.now, &session).is_some();
+            let known = self.answers.get(self.now, &session).is_some();
             let result = if known { ReleaseResult::Done } else { ReleaseResult::Unknown };
             return out.push(Output::AnswerRelease { request, session, result });
         };
-        match self.calls.get(&id).map(|held| held.phase) {
-            Some(Phase::Standing(attempt)) => self.release_standing(id, attempt, out),
-            Some(Phase::Out(_) | Phase::Deciding) => {
-                // The caller gave up before its answer; what it still hears is that the call failed.
-                self.abandoned(id);
+        match self.calls.get(&id).map(|active| active.phase) {
+            Some(Phase::Established(attempt)) => self.release_established(id, attempt, out),
+            Some(Phase::InFlight(_) | Phase::Deciding) => {
+                // The caller cancelled before the answer, so its pending requests are answered with a
+                // failure.
+                self.report_abandoned(id);
                 self.answer(id, Final::Failed, out);
             }
             None => {}
@@ -663,7 +679,7 @@
         out.push(Output::AnswerRelease { request, session, result: ReleaseResult::Done });
     }
 
-    fn release_standing(&mut self, id: CallId, attempt: AttemptId, out: &mut Vec<Output<P>>) {
+    fn release_established(&mut self, id: CallId, attempt: AttemptId, out: &mut Vec<Output<P>>) {
         self.forget_call(id, Final::Established);
         self.release(attempt, true, out);
     }
@@ -672,15 +688,15 @@
         let ids: Vec<_> = self.by_owner.get(&owner).into_iter().flatten().copied().collect();
         for id in ids {
             if !restarted {
-                if let Some(held) = self.calls.get_mut(&id) {
-                    held.away_since = None;
+                if let Some(active) = self.calls.get_mut(&id) {
+                    active.client_absent_since = None;
                 }
                 continue;
             }
-            match self.calls.get(&id).map(|held| held.phase) {
-                Some(Phase::Standing(attempt)) => self.release_standing(id, attempt, out),
+            match self.calls.get(&id).map(|active| active.phase) {
+                Some(Phase::Established(attempt)) => self.release_established(id, attempt, out),
                 Some(_) => {
-                    self.abandoned(id);
+                    self.report_abandoned(id);
                     self.answer(id, Final::Failed, out);
                 }
                 None => {}
@@ -692,15 +708,16 @@
     fn client_down(&mut self, link: LinkId) {
         let Some(owner) = self.links.remove(&link) else { return };
         self.in_set_up.remove(&link);
-        let alone = self.links.values().all(|other| *other != owner);
+        let last_link = self.links.values().all(|other| *other != owner);
         let ids = self.by_owner.get(&owner).into_iter().flatten().copied();
         for id in ids {
-            let Some(held) = self.calls.get_mut(&id) else { continue };
-            // Calls in set-up go on: their callers may ask again by another link, and get that answer.
-            held.waiting.retain(|request| request.link != link);
-            if alone {
-                held.away_since = Some(self.now);
-                self.timers.set(self.now.saturating_add(self.limits.client_absence), Timer::Away(id));
+            let Some(active) = self.calls.get_mut(&id) else { continue };
+            // Calls in set-up continue: callers may repeat their requests on another link and get the answer
+            // there.
+            active.waiting.retain(|request| request.link != link);
+            if last_link {
+                active.client_absent_since = Some(self.now);
+                self.timers.set(self.now.saturating_add(self.limits.client_absence), Timer::ClientAbsent(id));
             }
         }
     }
@@ -709,108 +726,113 @@
 
     fn answer_decided(&mut self, id: CallId, answer: Final, out: &mut Vec<Output<P>>) {
         match self.calls.get(&id) {
-            Some(held) if !matches!(held.phase, Phase::Standing(_)) => self.answer(id, answer, out),
+            Some(active) if !matches!(active.phase, Phase::Established(_)) => self.answer(id, answer, out),
             _ => self.guard.count(Breach::Answered),
         }
     }
 
-    /// The final answer, for all requests that wait; what is out for the call is released.
+    /// Sends the final answer to all waiting requests, releases an attempt in flight and removes the call.
     fn answer(&mut self, id: CallId, answer: Final, out: &mut Vec<Output<P>>) {
-        if let Some(Phase::Out(attempt)) = self.calls.get(&id).map(|held| held.phase) {
-            self.give_up_attempt(attempt, AttemptEnd::plain(Outcome::Cancelled), true, out);
+        if let Some(Phase::InFlight(attempt)) = self.calls.get(&id).map(|active| active.phase) {
+            self.abandon_attempt(attempt, AttemptEnd::plain(Outcome::Cancelled), true, out);
         }
-        self.give(id, answer, out);
+        self.send_answer(id, answer, out);
         self.forget_call(id, answer);
     }
 
-    fn give(&mut self, id: CallId, answer: Final, out: &mut Vec<Output<P>>) {
-        let Some(held) = self.calls.get_mut(&id) else { return };
+    fn send_answer(&mut self, id: CallId, answer: Final, out: &mut Vec<Output<P>>) {
+        let Some(active) = self.calls.get_mut(&id) else { return };
         match answer {
             Final::Established => self.counts.stands += 1,
             Final::Refused { .. } => self.counts.refused += 1,
             Final::Failed => self.counts.failed += 1,
         }
-        held.payload = None;
-        for request in std::mem::take(&mut held.waiting) {
-            leave(&mut self.in_set_up, request.link);
-            out.push(Output::Answer { request, session: held.session.clone(), answer });
+        active.payload = None;
+        for request in std::mem::take(&mut active.waiting) {
+            remove_waiting(&mut self.in_set_up, request.link);
+            out.push(Output::Answer { request, session: active.session.clone(), answer });
         }
     }
 
-    /// The call is over; its answer is remembered.
+    /// Removes a call and caches its answer.
     fn forget_call(&mut self, id: CallId, answer: Final) {
-        let Some(held) = self.calls.remove(&id) else { return };
-        self.sessions.remove(&held.session);
-        if let Some(ids) = self.by_owner.get_mut(&held.session.owner) {
+        let Some(active) = self.calls.remove(&id) else { return };
+        self.sessions.remove(&active.session);
+        if let Some(ids) = self.by_owner.get_mut(&active.session.owner) {
             ids.remove(&id);
             if ids.is_empty() {
-                self.by_owner.remove(&held.session.owner);
+                self.by_owner.remove(&active.session.owner);
             }
         }
-        self.counts.forgotten += self.memory.put(self.now, held.session, answer);
+        self.counts.forgotten += self.answers.put(self.now, active.session, answer);
     }
 
     // --- attempts ---
 
-    fn stands(&mut self, id: AttemptId, report: Report, out: &mut Vec<Output<P>>) {
-        let Some(attempt) = self.attempts.get_mut(&id).filter(|a| a.stage == Stage::Out) else {
+    fn established(&mut self, id: AttemptId, report: Report, out: &mut Vec<Output<P>>) {
+        let Some(attempt) = self.attempts.get_mut(&id).filter(|a| a.stage == Stage::InFlight) else {
             self.counts.late += 1;
             return;
         };
-        attempt.stage = Stage::Standing;
+        attempt.stage = Stage::Established;
         let Attempt { call, index, server, sent_at, .. } = *attempt;
         let lag = self.now.saturating_sub(sent_at);
         self.events.push_back(Event::Stands { call, attempt: index, server, lag });
-        self.news(server, report);
-        if let Some(held) = self.calls.get_mut(&call) {
-            held.phase = Phase::Standing(id);
+        self.report_load(server, report);
+        if let Some(active) = self.calls.get_mut(&call) {
+            active.phase = Phase::Established(id);
         }
-        self.give(call, Final::Established, out);
+        self.send_answer(call, Final::Established, out);
     }
 
     fn ended(&mut self, id: AttemptId, end: AttemptEnd, out: &mut Vec<Output<P>>) {
         match self.attempts.get(&id).map(|a| a.stage) {
-            Some(Stage::Out) => {
-                let holds = matches!(end.outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled);
-                if holds {
-                    self.give_up_attempt(id, end, false, out);
+            Some(Stage::InFlight) => {
+                let may_be_held =
+                    matches!(end.outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled);
+                if may_be_held {
+                    self.abandon_attempt(id, end, false, out);
                 } else {
                     self.end_attempt(id, end, false);
                 }
             }
-            Some(Stage::Standing) => self.over(id, Outcome::Reset, end.report, out),
+            Some(Stage::Established) => self.ended_by_server(id, Outcome::Reset, end.report, out),
             Some(Stage::Releasing { .. }) | None => self.counts.late += 1,
         }
     }
 
-    /// The server has nothing of the attempt any more: it is forgotten and the module hears its end.
+    /// Ends an attempt that its server no longer holds, and reports the end to the policy.
     fn end_attempt(&mut self, id: AttemptId, end: AttemptEnd, complete: bool) {
         let Some(attempt) = self.remove_attempt(id) else { return };
         let now = self.now;
-        if let Some(held) = self.calls.get_mut(&attempt.call).filter(|held| held.phase == Phase::Out(id)) {
-            held.phase = Phase::Deciding;
+        if let Some(active) =
+            self.calls.get_mut(&attempt.call).filter(|active| active.phase == Phase::InFlight(id))
+        {
+            active.phase = Phase::Deciding;
             if matches!(end.outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) {
-                held.unsure_at = Some(now);
+                active.unconfirmed_end_at = Some(now);
             }
         }
-        self.tell_end(&attempt, end, complete);
+        self.report_end(&attempt, end, complete);
     }
 
-    /// The attempt is over for its call, but its server may hold it still: a release is owed.
-    fn give_up_attempt(&mut self, id: AttemptId, end: AttemptEnd, complete: bool, out: &mut Vec<Output<P>>) {
+    /// Ends an attempt that its server may still hold: it is released, and the end is reported to the policy.
+    fn abandon_attempt(&mut self, id: AttemptId, end: AttemptEnd, complete: bool, out: &mut Vec<Output<P>>) {
         let Some(attempt) = self.attempts.get(&id).copied() else { return };
         self.release(id, false, out);
         let now = self.now;
-        if let Some(held) = self.calls.get_mut(&attempt.call).filter(|held| held.phase == Phase::Out(id)) {
-            held.phase = Phase::Deciding;
-            held.unsure_at = Some(now);
+        if let Some(active) =
+            self.calls.get_mut(&attempt.call).filter(|active| active.phase == Phase::InFlight(id))
+        {
+            active.phase = Phase::Deciding;
+            active.unconfirmed_end_at = Some(now);
         }
-        self.tell_end(&attempt, end, complete);
+        self.report_end(&attempt, end, complete);
     }
 
-    fn tell_end(&mut self, attempt: &Attempt, end: AttemptEnd, complete: bool) {
+    fn report_end(&mut self, attempt: &Attempt, end: AttemptEnd, complete: bool) {
         if attempt.adopted {
-            return self.news(attempt.server, end.report);
+            return self.report_load(attempt.server, end.report);
         }
         self.events.push_back(Event::Ended {
             call: attempt.call,
@@ -824,14 +846,14 @@
         });
     }
 
-    /// Releases an attempt now, or as soon as its server has a link. `owed`: the module hears of its end
-    /// only then, as that of a call that ended well.
+    /// Releases an attempt now, or as soon as its server has a link. With `report_end` the policy gets
+    /// `Ended(Ok)` when the release is done, or at once if the server has no link.
     ///
-    /// A suspect link still has its transport, and is told: else a server that only seemed dead would hold the
-    /// attempt, or set it up, beside the next one (rule 2 as sockets show it).
-    fn release(&mut self, id: AttemptId, owed: bool, out: &mut Vec<Output<P>>) {
+    /// A suspect link still has its transport, so the release is sent: otherwise a server that only appeared
+    /// dead would hold the attempt, or establish it, beside the next one (rule 2, as visible on the sockets).
+    fn release(&mut self, id: AttemptId, report_end: bool, out: &mut Vec<Output<P>>) {
         let Some(attempt) = self.attempts.get_mut(&id) else { return };
-        attempt.stage = Stage::Releasing { owed };
+        attempt.stage = Stage::Releasing { report_end };
         let Attempt { server, class, .. } = *attempt;
         if self.pool.link_state(server) != LinkState::Down {
             self.timers.set(self.now.saturating_add(self.limits.release_timeout), Timer::Release(id));
@@ -839,23 +861,23 @@
             out.push(Output::Release { attempt: id, server, class });
             return;
         }
-        if owed {
-            self.end_owed(id, Report::default());
+        if report_end {
+            self.report_completed(id, Report::default());
         }
         self.remove_attempt(id);
-        self.keep_orphan(server, Orphan { attempt: id, class });
+        self.queue_detached(server, DetachedAttempt { attempt: id, class });
     }
 
-    fn keep_orphan(&mut self, server: ServerId, orphan: Orphan) {
-        if !self.orphans.put(server, orphan) {
+    fn queue_detached(&mut self, server: ServerId, detached: DetachedAttempt) {
+        if !self.detached.put(server, detached) {
             self.counts.given_up += 1;
         }
     }
 
     fn release_done(&mut self, id: AttemptId, report: Report) {
         match self.attempts.get(&id).map(|a| (a.stage, a.server)) {
-            Some((Stage::Releasing { owed: true }, _)) => self.end_owed(id, report),
-            Some((Stage::Releasing { owed: false }, server)) => self.news(server, report),
+            Some((Stage::Releasing { report_end: true }, _)) => self.report_completed(id, report),
+            Some((Stage::Releasing { report_end: false }, server)) => self.report_load(server, report),
             _ => {
                 self.counts.late += 1;
                 return;
@@ -864,59 +886,60 @@
         self.remove_attempt(id);
     }
 
-    /// A release went unanswered: the server is slow or gone. On this link it is not said again; where the link
-    /// is suspect it may never have been read, and is said again once that is up.
+    /// A release timed out: the server is slow or gone. The release is not repeated on the same link unless
+    /// the link is suspect: then it may not have been read, and is sent again once the link is up.
     fn release_unanswered(&mut self, id: AttemptId) {
         let Some(attempt) = self.attempts.get(&id).copied() else { return };
         if matches!(attempt.stage, Stage::Releasing { .. }) {
             self.release_done(id, Report::default());
             if self.pool.link_state(attempt.server) == LinkState::Suspect {
-                self.keep_orphan(attempt.server, Orphan { attempt: id, class: attempt.class });
+                self.queue_detached(attempt.server, DetachedAttempt { attempt: id, class: attempt.class });
             }
         }
     }
 
-    /// Tells the module that a call that stood is over.
-    fn end_owed(&mut self, id: AttemptId, report: Report) {
+    /// Reports the regular end of an established call to the policy.
+    fn report_completed(&mut self, id: AttemptId, report: Report) {
         if let Some(attempt) = self.attempts.get(&id).copied() {
             let end = AttemptEnd { outcome: Outcome::Ok, note: Note::None, report };
-            self.tell_end(&attempt, end, true);
+            self.report_end(&attempt, end, true);
         }
     }
 
-    /// The server's word that an attempt is over.
-    fn over(&mut self, id: AttemptId, outcome: Outcome, report: Report, out: &mut Vec<Output<P>>) {
+    /// Handles the end of an attempt on the server's side.
+    fn ended_by_server(&mut self, id: AttemptId, outcome: Outcome, report: Report, out: &mut Vec<Output<P>>) {
         let end = AttemptEnd { report, ..AttemptEnd::plain(outcome) };
         match self.attempts.get(&id).map(|a| (a.stage, a.call)) {
-            Some((Stage::Standing, call)) => {
+            Some((Stage::Established, call)) => {
                 self.counts.cut += u64::from(outcome != Outcome::Ok);
-                self.tell_over(call, outcome, out);
+                self.notify_ended(call, outcome, out);
                 self.forget_call(call, Final::Established);
                 self.end_attempt(id, end, true);
             }
-            // It stood there and came to its end, only its answer was lost: over is over. Guards against setting up
-            // anew what its server has told the end of, so that one call ends twice.
-            Some((Stage::Out, call)) if outcome == Outcome::Ok => {
+            // The call was established and cleared, and only the answer to its set-up was lost. Guards
+            // against setting up again a call that its server has cleared, which would make it end twice.
+            Some((Stage::InFlight, call)) if outcome == Outcome::Ok => {
                 self.end_attempt(id, end, true);
                 self.answer(call, Final::Failed, out);
             }
-            Some((Stage::Out, _)) => self.end_attempt(id, end, false),
+            Some((Stage::InFlight, _)) => self.end_attempt(id, end, false),
             Some((Stage::Releasing { .. }, _)) => self.release_done(id, report),
             None => self.counts.late += 1,
         }
     }
 
-    fn tell_over(&mut self, id: CallId, outcome: Outcome, out: &mut Vec<Output<P>>) {
-        let Some(held) = self.calls.get(&id) else { return };
-        let owner = &held.session.owner;
-        let session = held.session.clone();
+    fn notify_ended(&mut self, id: CallId, outcome: Outcome, out: &mut Vec<Output<P>>) {
+        let Some(active) = self.calls.get(&id) else { return };
+        let owner = &active.session.owner;
+        let session = active.session.clone();
         match self.links.iter().rev().find(|(_, other)| *other == owner) {
-            Some((link, _)) => out.push(Output::Cut { link: *link, session, class: held.class }),
+            Some((link, _)) => out.push(Output::Cut { link: *link, session, class: active.class }),
             None => out.push(Output::Cleared { session, outcome }),
         }
     }
 
-    /// A call that another process set up. The module hears nothing of it: it was never asked.
+    /// Takes over a call that another process established. The policy is not notified: it did not route the
+    /// call.
     fn adopt(&mut self, session: Session, class: usize, server: ServerId, out: &mut Vec<Output<P>>) {
         if self.sessions.contains_key(&session) {
             return;
@@ -926,10 +949,10 @@
             return out.push(Output::Cleared { session, outcome: Outcome::Reset });
         }
         let (call, now) = (self.new_call_id(), self.now);
-        let stage = Stage::Standing;
+        let stage = Stage::Established;
         let attempt =
             self.add_attempt(Attempt { call, index: 0, server, class, sent_at: now, stage, adopted: true });
-        self.hold(call, Held::new(session.clone(), class, Phase::Standing(attempt), now));
+        self.insert_call(call, ActiveCall::new(session.clone(), class, Phase::Established(attempt), now));
         out.push(Output::Adopted { attempt, server, session });
     }
 
@@ -954,13 +977,13 @@
 
     // --- servers ---
 
-    fn news(&mut self, server: ServerId, report: Report) {
+    fn report_load(&mut self, server: ServerId, report: Report) {
         if report != Report::default() {
             self.events.push_back(Event::Probed { server, outcome: Outcome::Ok, lag: 0, report });
         }
     }
 
-    fn tell_list(&mut self, entries: Vec<Entry>) {
+    fn report_list(&mut self, entries: Vec<Entry>) {
         if !entries.is_empty() {
             self.events.push_back(Event::List(ListKind::Delta, entries));
         }
@@ -970,18 +993,16 @@
         if kind == ListKind::Failed {
             return self.events.push_back(Event::List(kind, Vec::new()));
         }
-        let (changed, over) = self.pool.list(self.now, kind, entries);
-        if over > 0 {
-            out.push(Output::Log(format!(
-                "the pool's bound is reached: {over} servers of the list left out"
-            )));
+        let (changed, left_out) = self.pool.apply_list(self.now, kind, entries);
+        if left_out > 0 {
+            out.push(Output::Log(format!("server pool full: {left_out} servers of the list ignored")));
         }
         let gone = changed.iter().filter(|entry| entry.state == ServerState::Gone);
         let gone: Vec<_> = gone.map(|entry| entry.server).collect();
-        self.tell_list(changed);
+        self.report_list(changed);
         for server in gone {
             self.guard.forget(server);
-            // While its link is up it still finishes what it has, whatever a late list says.
+            // While its link is up, the server still finishes its calls, even if the list shows it as gone.
             if self.pool.link_state(server) == LinkState::Down {
                 self.lose_server(server, out);
             }
@@ -989,16 +1010,16 @@
     }
 
     fn server_link(&mut self, server: ServerId, state: LinkState, out: &mut Vec<Output<P>>) {
-        let changed = self.pool.link(self.now, server, state);
-        // Before what is out ends: it shall not go where it comes from.
-        self.tell_list(changed.into_iter().collect());
+        let changed = self.pool.set_link_state(self.now, server, state);
+        // Reported before in-flight attempts end, so that the policy does not send them back to this server.
+        self.report_list(changed.into_iter().collect());
         match state {
             LinkState::Up(process) => {
                 if process == Process::New {
                     self.guard.forget(server);
                     self.lose_server(server, out);
                 }
-                self.release_orphans(out);
+                self.release_detached(out);
             }
             LinkState::Suspect => self.fail_over(server, Outcome::Timeout, out),
             LinkState::Down => {
@@ -1010,25 +1031,27 @@
         }
     }
 
-    /// What is out at a server is out no more; calls that stand there go on.
+    /// Ends the in-flight attempts at a server; its established calls continue.
     fn fail_over(&mut self, server: ServerId, outcome: Outcome, out: &mut Vec<Output<P>>) {
         for id in self.attempts_at(server) {
             match self.attempts.get(&id).map(|a| a.stage) {
-                Some(Stage::Out) => self.give_up_attempt(id, AttemptEnd::plain(outcome), false, out),
-                // Its release may have gone down with the link: it is said again on the next.
-                Some(Stage::Releasing { owed }) if outcome == Outcome::Reset => self.release(id, owed, out),
+                Some(Stage::InFlight) => self.abandon_attempt(id, AttemptEnd::plain(outcome), false, out),
+                // The release may have been lost with the connection and is sent again on the next one.
+                Some(Stage::Releasing { report_end }) if outcome == Outcome::Reset => {
+                    self.release(id, report_end, out)
+                }
                 _ => {}
             }
         }
     }
 
-    /// The server's process is gone, and all its calls with it.
+    /// Ends all attempts of a server whose process is gone.
     fn lose_server(&mut self, server: ServerId, out: &mut Vec<Output<P>>) {
-        self.orphans.forget(server);
+        self.detached.forget(server);
         for id in self.attempts_at(server) {
             match self.attempts.get(&id).map(|a| a.stage) {
                 Some(Stage::Releasing { .. }) => self.release_done(id, Report::default()),
-                Some(_) => self.over(id, Outcome::Reset, Report::default(), out),
+                Some(_) => self.ended_by_server(id, Outcome::Reset, Report::default(), out),
                 None => {}
             }
         }
@@ -1038,89 +1061,93 @@
         self.by_server.get(&server).into_iter().flatten().copied().collect()
     }
 
-    /// Releases some orphans of each server whose link is up: paced, since each is work for it.
-    fn release_orphans(&mut self, out: &mut Vec<Output<P>>) {
-        if self.orphans_at.is_some_and(|at| self.now < at) {
+    /// Releases one batch of detached attempts at each server whose link is up. Releases are paced because
+    /// each is work for the server.
+    fn release_detached(&mut self, out: &mut Vec<Output<P>>) {
+        if self.next_batch_at.is_some_and(|at| self.now < at) {
             return;
         }
-        let mut left = false;
-        for server in self.orphans.servers() {
+        let mut more = false;
+        for server in self.detached.servers() {
             if !matches!(self.pool.link_state(server), LinkState::Up(_)) {
                 continue;
             }
-            let batch = self.orphans.take(server, ORPHAN_BATCH.0);
-            left |= batch.len() == ORPHAN_BATCH.0;
-            for Orphan { attempt, class } in batch {
+            let batch = self.detached.take(server, RELEASE_BATCH);
+            more |= batch.len() == RELEASE_BATCH;
+            for DetachedAttempt { attempt, class } in batch {
                 self.counts.releases += 1;
                 out.push(Output::Release { attempt, server, class });
             }
         }
-        self.orphans_at = left.then(|| self.now.saturating_add(ORPHAN_BATCH.1));
-        if let Some(at) = self.orphans_at {
-            self.timers.set(at, Timer::Orphans);
+        self.next_batch_at = more.then(|| self.now.saturating_add(RELEASE_BATCH_INTERVAL));
+        if let Some(at) = self.next_batch_at {
+            self.timers.set(at, Timer::Detached);
         }
     }
 
     // --- time ---
 
-    fn fire(&mut self, out: &mut Vec<Output<P>>) {
+    fn fire_timers(&mut self, out: &mut Vec<Output<P>>) {
         while let Some(timer) = self.timers.due(self.now) {
             match timer {
-                Timer::Module(token) => self.events.push_back(Event::Timer(token)),
+                Timer::Policy(token) => self.events.push_back(Event::Timer(token)),
                 Timer::Attempt(id) => {
-                    if self.attempts.get(&id).is_some_and(|a| a.stage == Stage::Out) {
-                        self.give_up_attempt(id, AttemptEnd::plain(Outcome::Timeout), false, out);
+                    if self.attempts.get(&id).is_some_and(|a| a.stage == Stage::InFlight) {
+                        self.abandon_attempt(id, AttemptEnd::plain(Outcome::Timeout), false, out);
                     }
                 }
                 Timer::Deadline(id) => self.deadline(id, out),
                 Timer::FirstList => {
-                    let changed = self.pool.presume_no_more(self.now);
-                    self.tell_list(changed);
+                    let changed = self.pool.expire_assumed_starts(self.now);
+                    self.report_list(changed);
                 }
-                Timer::Budgets => self.share(out),
-                Timer::Lives => self.tell_lives(out),
-                Timer::Sure(id) => self.sure(id, out),
+                Timer::Budgets => self.update_budgets(out),
+                Timer::Membership => self.update_membership(out),
+                Timer::Deferred(id) => self.start_deferred(id, out),
                 Timer::Release(id) => self.release_unanswered(id),
-                Timer::Away(id) => self.away(id, out),
-                Timer::Orphans => self.release_orphans(out),
+                Timer::ClientAbsent(id) => self.client_absent(id, out),
+                Timer::Detached => self.release_detached(out),
             }
-            self.run(out);
+            self.run_policy(out);
         }
     }
 
-    /// The last resort: the module should have answered by now.
+    /// Fails a call that the policy has not answered in time.
     fn deadline(&mut self, id: CallId, out: &mut Vec<Output<P>>) {
-        let due = self
-            .calls
-            .get(&id)
-            .is_some_and(|held| !matches!(held.phase, Phase::Standing(_)) && self.now >= held.answer_by);
+        let due = self.calls.get(&id).is_some_and(|active| {
+            !matches!(active.phase, Phase::Established(_)) && self.now >= active.answer_by
+        });
         if due {
             self.guard.count(Breach::Unanswered);
-            self.abandoned(id);
+            self.report_abandoned(id);
             self.answer(id, Final::Failed, out);
         }
     }
 
-    fn away(&mut self, id: CallId, out: &mut Vec<Output<P>>) {
-        let Some(held) = self.calls.get(&id) else { return };
-        let long =
-            held.away_since.is_some_and(|at| self.now >= at.saturating_add(self.limits.client_absence));
-        if let (Phase::Standing(attempt), true) = (held.phase, long) {
+    fn client_absent(&mut self, id: CallId, out: &mut Vec<Output<P>>) {
+        let Some(active) = self.calls.get(&id) else { return };
+        let expired = active
+            .client_absent_since
+            .is_some_and(|at| self.now >= at.saturating_add(self.limits.client_absence));
+        if let (Phase::Established(attempt), true) = (active.phase, expired) {
             self.counts.away += 1;
-            self.release_standing(id, attempt, out);
+            self.release_established(id, attempt, out);
         }
     }
 
     fn stop(&mut self, out: &mut Vec<Output<P>>) {
         self.stopping = true;
-        let undecided = |held: &Held<P>| !matches!(held.phase, Phase::Standing(_));
-        let ids: Vec<_> = self.calls.iter().filter(|(_, held)| undecided(held)).map(|(id, _)| *id).collect();
+        let undecided = |active: &ActiveCall<P>| !matches!(active.phase, Phase::Established(_));
+        let ids: Vec<_> =
+            self.calls.iter().filter(|(_, active)| undecided(active)).map(|(id, _)| *id).collect();
         for id in ids {
-            // Guards against word that trying again is harmless for a call that may run already and must not run twice.
-            let never = |held: &Held<P>| self.once.get(held.class).is_some_and(|once| *once);
-            let sent = self.calls.get(&id).is_some_and(|held| held.sent > 0 && never(held));
+            // A refusal invites a retry, so a call that must not run twice and may already run is failed
+            // instead.
+            let never_repeat =
+                |active: &ActiveCall<P>| self.never_repeat.get(active.class).is_some_and(|never| *never);
+            let sent = self.calls.get(&id).is_some_and(|active| active.sent > 0 && never_repeat(active));
             let refused = Final::Refused { retry_after: 0, why: Refusal::Stopping };
-            self.abandoned(id);
+            self.report_abandoned(id);
             self.answer(id, if sent { Final::Failed } else { refused }, out);
         }
     }
@@ -1128,21 +1155,22 @@
 
 impl<P: Clone> Engine<P> {
     fn cut_all(&mut self, out: &mut Vec<Output<P>>) {
-        let standing = |held: &Held<P>| match held.phase {
-            Phase::Standing(attempt) => Some(attempt),
+        let established = |active: &ActiveCall<P>| match active.phase {
+            Phase::Established(attempt) => Some(attempt),
             _ => None,
         };
-        let all: Vec<_> = self.calls.iter().filter_map(|(id, held)| Some((*id, standing(held)?))).collect();
+        let all: Vec<_> =
+            self.calls.iter().filter_map(|(id, active)| Some((*id, established(active)?))).collect();
         for (id, attempt) in all {
             self.counts.cut += 1;
-            self.tell_over(id, Outcome::Reset, out);
-            self.release_standing(id, attempt, out);
+            self.notify_ended(id, Outcome::Reset, out);
+            self.release_established(id, attempt, out);
         }
     }
 }
 
-/// One request fewer waits on a link.
-fn leave(in_set_up: &mut BTreeMap<LinkId, usize>, link: LinkId) {
+/// Decrements the number of requests that wait on a link.
+fn remove_waiting(in_set_up: &mut BTreeMap<LinkId, usize>, link: LinkId) {
     if let Some(count) = in_set_up.get_mut(&link) {
         *count -= 1;
         if *count == 0 {
@@ -1152,7 +1180,7 @@
 }
 
 impl AttemptEnd {
-    /// An end without a further word or report.
+    /// An end without note or load report.
     pub fn plain(outcome: Outcome) -> Self {
         Self { outcome, note: Note::None, report: Report::default() }
     }
--- a/crates/call/src/engine/fleet.rs
+++ b/crates/call/src/engine/fleet.rs
@@ -1,85 +1,91 @@
-//! What the engine says to the fleet's other fronts, and hears from them: who lives, and what they share.
+//! Messages between the fronts of a fleet: membership and shared budgets.
 
 use baydrift::interface::{Event, Micros, ServerId};
 use baydrift_budget::Holdings;
 use baydrift_fleet::{Lives, Spec as LivesSpec, Terms as LivesTerms};
 
 use super::Engine;
-use crate::shared::{Beat, BudgetSharing, Shared, BEAT};
+use crate::budgets::{BudgetSharing, BudgetUpdate, SharedBudgets, UPDATE_INTERVAL};
 use crate::timers::Timer;
 use crate::types::Output;
 
-/// First byte of a message between fronts that is of budgets; the module's own begin otherwise.
-const BUDGETS: u8 = 0xb0;
-/// The same of one that is of who lives.
-const LIVES: u8 = 0xf1;
-/// Words on who lives are said no more often than this.
-const LIVES_TURN: Micros = 10_000;
+/// First byte of a budget message. Messages of the policy start with other bytes.
+const BUDGET_MESSAGE: u8 = 0xb0;
+/// First byte of a membership message.
+const MEMBERSHIP_MESSAGE: u8 = 0xf1;
+/// Minimum interval of membership timers.
+const MEMBERSHIP_MIN_INTERVAL: Micros = 10_000;
 
-fn tell<P>(kind: u8, to: u32, word: &[u8]) -> Output<P> {
-    Output::SendToPeer { to, payload: [&[kind], word].concat() }
+fn message<P>(kind: u8, to: u32, body: &[u8]) -> Output<P> {
+    Output::SendToPeer { to, payload: [&[kind], body].concat() }
 }
 
 impl<P: Clone> Engine<P> {
-    /// The fleet shares what cold servers are sent. A front that stands alone, or whose settings say nothing of it, does not.
+    /// Shares the budgets of cold servers with the other fronts. Off by default: single fronts, and those
+    /// whose configuration does not enable it, limit set-ups to cold servers on their own.
     pub fn enable_budget_sharing(&mut self, sharing: BudgetSharing) {
-        self.shared = Some(Shared::new(sharing));
+        self.budgets = Some(SharedBudgets::new(sharing));
         self.timers.set(self.now, Timer::Budgets);
     }
 
-    pub(super) fn share(&mut self, out: &mut Vec<Output<P>>) {
-        let Some(shared) = self.shared.as_mut() else { return };
-        let lives = self.lives.as_ref();
+    pub(super) fn update_budgets(&mut self, out: &mut Vec<Output<P>>) {
+        let Some(budgets) = self.budgets.as_mut() else { return };
+        let lives = self.membership.as_ref();
         let may_live = |ordinal| lives.is_none_or(|lives| lives.may_live(ordinal));
-        let Beat { words, shares } = shared.beat(self.now, &self.pool.temperatures(self.now), may_live);
-        out.extend(words.iter().map(|(to, word)| tell(BUDGETS, *to, word)));
+        let BudgetUpdate { messages, shares } =
+            budgets.update(self.now, &self.pool.warm_up_states(self.now), may_live);
+        out.extend(messages.iter().map(|(to, body)| message(BUDGET_MESSAGE, *to, body)));
         self.events.extend(shares.into_iter().map(|(server, per_s)| Event::Share { server, per_s }));
-        self.timers.set(self.now.saturating_add(BEAT), Timer::Budgets);
+        self.timers.set(self.now.saturating_add(UPDATE_INTERVAL), Timer::Budgets);
     }
 
-    /// The fleet's fronts tell each other who lives.
+    /// Exchanges membership messages with the other fronts.
     pub fn enable_membership(&mut self, spec: LivesSpec) {
-        self.lives = Some(Lives::new(LivesTerms::default(), spec, self.now));
-        self.timers.set(self.now, Timer::Lives);
+        self.membership = Some(Lives::new(LivesTerms::default(), spec, self.now));
+        self.timers.set(self.now, Timer::Membership);
     }
 
-    /// Who of the fleet is believed alive, where fronts tell.
+    /// The fleet's membership as this front sees it, if membership is enabled.
     pub fn membership(&self) -> Option<&Lives> {
-        self.lives.as_ref()
+        self.membership.as_ref()
     }
 
-    /// What this front has of what the fleet may send each server while it is cold, where fronts share it.
+    /// What this front holds of each cold server's budget; empty unless budgets are shared.
     pub fn holdings(&self) -> impl Iterator<Item = (ServerId, Holdings)> + '_ {
-        self.shared.iter().flat_map(Shared::holdings)
+        self.budgets.iter().flat_map(SharedBudgets::holdings)
     }
 
-    pub(super) fn tell_lives(&mut self, out: &mut Vec<Output<P>>) {
-        self.say_who_lives(out);
-        let Some(lives) = self.lives.as_ref() else { return };
-        // Once woken for each turn: what is due sooner after a word from outside waits for it.
-        self.timers.set(lives.next_wake().clamp(self.now + LIVES_TURN, self.now + BEAT), Timer::Lives);
+    pub(super) fn update_membership(&mut self, out: &mut Vec<Output<P>>) {
+        self.send_membership(out);
+        let Some(lives) = self.membership.as_ref() else { return };
+        // One timer per interval: what a message from another front makes due earlier waits for this timer.
+        let at = lives.next_wake().clamp(self.now + MEMBERSHIP_MIN_INTERVAL, self.now + UPDATE_INTERVAL);
+        self.timers.set(at, Timer::Membership);
     }
 
-    fn say_who_lives(&mut self, out: &mut Vec<Output<P>>) {
-        let words = self.lives.as_mut().map(|lives| lives.beat(self.now)).unwrap_or_default();
-        out.extend(words.iter().map(|(to, word)| tell(LIVES, *to, word)));
+    fn send_membership(&mut self, out: &mut Vec<Output<P>>) {
+        let messages = self.membership.as_mut().map(|lives| lives.beat(self.now)).unwrap_or_default();
+        out.extend(messages.iter().map(|(to, body)| message(MEMBERSHIP_MESSAGE, *to, body)));
     }
 
-    /// A word on who lives: what is answered leaves at once, since a probe waits for it.
-    fn hear_lives(&mut self, from: u32, word: &[u8], out: &mut Vec<Output<P>>) {
-        let Some(lives) = self.lives.as_mut() else { return };
-        match lives.hear(self.now, from, word) {
-            Ok(()) => self.say_who_lives(out),
-            Err(fault) => out.push(Output::Log(format!("a word of front {from} on who lives: {fault}"))),
+    /// Handles a membership message. Replies are sent at once, since a probe may wait for them.
+    fn handle_membership(&mut self, from: u32, body: &[u8], out: &mut Vec<Output<P>>) {
+        let Some(lives) = self.membership.as_mut() else { return };
+        match lives.hear(self.now, from, body) {
+            Ok(()) => self.send_membership(out),
+            Err(error) => {
+                out.push(Output::Log(format!("invalid membership message from front {from}: {error}")))
+            }
         }
     }
 
-    /// A message of another front: of who lives, of budgets, or the module's.
+    /// Handles a message of another front, about membership, budgets or for the policy.
     pub(super) fn peer(&mut self, from: u32, payload: Vec<u8>, out: &mut Vec<Output<P>>) {
-        match (payload.split_first(), self.shared.as_mut()) {
-            (Some((&LIVES, word)), _) => self.hear_lives(from, word, out),
-            (Some((&BUDGETS, word)), Some(shared)) => {
-                out.extend(shared.hear(self.now, from, word).map(|answer| tell(BUDGETS, from, &answer)));
+        match (payload.split_first(), self.budgets.as_mut()) {
+            (Some((&MEMBERSHIP_MESSAGE, body)), _) => self.handle_membership(from, body, out),
+            (Some((&BUDGET_MESSAGE, body)), Some(budgets)) => {
+                let reply = budgets.handle(self.now, from, body);
+                out.extend(reply.map(|reply| message(BUDGET_MESSAGE, from, &reply)));
             }
             _ => self.events.push_back(Event::Peer { from, payload }),
         }
--- a/crates/call/src/lib.rs
+++ b/crates/call/src/lib.rs
@@ -1,61 +1,62 @@
 //! The call engine: everything between a protocol and the decision module, without I/O, clock or threads.
 //!
-//! A driver (tokio on sockets, an emulator in virtual time, a test) feeds [`Engine::handle`] neutral
-//! [`Input`]s with the time and carries out the [`Output`]s; [`Engine::next_wake`] says when to come back.
-//! The engine owns call and attempt ids, the state of each call, callers' deadlines, attempts that still need a
-//! release, and the memory of answered requests. It decides nothing that the module decides: each [`Input`]
-//! becomes the module's events as the table says, and each action is carried out as it stands, unless it
-//! would break one of the five rules ([`guard`]).
+//! A driver (tokio on sockets, an emulator in virtual time, a test) passes protocol-independent [`Input`]s
+//! and the current time to [`Engine::handle`] and carries out the [`Output`]s; [`Engine::next_wake`] is the
+//! latest time of the next call. The engine owns the ids of calls and attempts, the state of each call, the
+//! deadlines of callers, attempts that still need a release, and the cache of final answers. All routing
+//! decisions are made by the [`Policy`], in production the decision module: each [`Input`] is translated to
+//! the policy's events by the table below, and each action is carried out unchanged unless it would violate
+//! one of the five rules ([`guard`]).
 //!
-//! # From protocol moments to the module's events
+//! # From inputs to the policy's events
 //!
-//! | moment | event | load report |
+//! | input | event | load report |
 //! | --- | --- | --- |
 //! | new call offered | `Call` | |
-//! | same request again | none: answered from memory, or with the first | |
-//! | set-up stands | `Stands` | own event: `Probed` with lag 0 |
-//! | set-up answered otherwise | `Ended`, by result | in it |
-//! | no answer in time | `Ended(Timeout)`, then a release | |
-//! | server's link suspect, attempt out | `Ended(Timeout)`, then a release | |
-//! | server's link down, attempt out | `Ended(Reset)`, a release once it is up | |
-//! | server's link suspect or down | `List`: draining, until it is up again | |
-//! | set-up asked for all the same | `Ended(Moot)` or `Ended(ConnectFailed)` | |
-//! | attempt called off | `Ended(Cancelled)`, then a release | |
-//! | caller releases a standing call | at the server's word or its time-out: `Ended(Ok)` | in it |
-//! | caller gives up before the answer | `Abandoned`, `Ended(Cancelled)` if one is out | |
-//! | server ends a standing call | `Ended(Ok)`, complete | in it |
-//! | server ends a call whose answer was lost | `Ended(Ok)`, complete; the caller is told that it failed | in it |
-//! | call taken over that stands already | none; its end: a report alone, as unasked news | own event: `Probed` |
-//! | server cuts a standing call | `Ended(Reset)`, complete | in it |
-//! | server gone or restarted with standing calls | `Ended(Reset)`, complete, each | |
-//! | unasked news of load | `Probed` with lag 0 | in it |
-//! | list, drain by the peer itself | `List` with what changed | |
+//! | repeated request | none: answered from the cache, or together with the first request | |
+//! | set-up confirmed | `Stands` | separate event: `Probed` with lag 0 |
+//! | set-up answered otherwise | `Ended`, by result | included |
+//! | no answer before the timeout | `Ended(Timeout)`, then a release | |
+//! | server's link suspect, attempt in flight | `Ended(Timeout)`, then a release | |
+//! | server's link down, attempt in flight | `Ended(Reset)`, a release once the link is up | |
+//! | server's link suspect or down | `List`: draining, until the link is up again | |
+//! | set-up nevertheless requested there | `Ended(Moot)` or `Ended(ConnectFailed)` | |
+//! | attempt cancelled | `Ended(Cancelled)`, then a release | |
+//! | caller releases an established call | on the server's answer or its timeout: `Ended(Ok)` | included |
+//! | caller cancels before the answer | `Abandoned`, `Ended(Cancelled)` if an attempt is in flight | |
+//! | server clears an established call | `Ended(Ok)`, complete | included |
+//! | server clears a call whose answer was lost | `Ended(Ok)`, complete; caller gets `Failed` | included |
+//! | established call taken over | none; at its end the load report alone | separate event: `Probed` |
+//! | server cuts an established call | `Ended(Reset)`, complete | included |
+//! | server gone or restarted with established calls | `Ended(Reset)`, complete, for each | |
+//! | unsolicited load report | `Probed` with lag 0 | included |
+//! | list, drain announced by the server itself | `List` with the changed entries | |
 //!
 //! # Ids
 //!
-//! A [`baydrift::interface::CallId`] is the low half of a 64-bit count of calls; at its wrap (after 2^32
-//! calls, 71 days at 700 a second) ids still held are passed over, so no id means two calls that anything
-//! can still name. Nothing of the module outlives the process, so at a restart the count starts anew.
-//! An [`AttemptId`] is never used twice by one process; drivers put a boot's own number beside it where
-//! servers outlive the front.
+//! A [`baydrift::interface::CallId`] is the low half of a 64-bit call counter. When it wraps (after 2^32
+//! calls, 71 days at 700 calls per second), ids still in use are skipped, so that no id denotes two calls
+//! that are still referenced. The policy's state does not outlive the process, so the counter restarts with
+//! it. An [`AttemptId`] is never reused within a process; where servers outlive the front, drivers combine it
+//! with a number of their own that identifies the process.
 //!
 //! # Bounds
 //!
-//! Each table has a bound in [`Limits`]; at it new calls are refused, oldest memories forgotten, and
-//! oldest orphans given up, each counted in [`Counts`].
+//! Each table has a bound in [`Limits`]. At the bound new calls are refused, the oldest cached answers are
+//! evicted and the oldest detached attempts are discarded; each case is counted in [`Counts`].
 
+mod active;
+mod answer_cache;
+mod budgets;
+mod detached;
 mod engine;
 pub mod guard;
-mod held;
-mod memory;
-mod orphans;
 pub mod pool;
-mod shared;
 mod timers;
 mod types;
 
+pub use budgets::BudgetSharing;
 pub use engine::{Counts, Engine, EngineError, Limits, Policy};
-pub use shared::BudgetSharing;
 pub use types::{
     AttemptEnd, AttemptId, CallStatus, Final, Input, LinkId, LinkState, Offer, Output, Process, Refusal,
     ReleaseResult, Request, Retransmission, Session,
--- a/crates/call/src/pool.rs
+++ b/crates/call/src/pool.rs
@@ -1,14 +1,16 @@
-//! The servers as this front knows them, from several sources that may disagree.
+//! The servers known to this front, merged from several sources that may disagree.
 //!
-//! Order of belief: a server's own word that it drains (DPR) or the list's holds at once, whichever comes
-//! first; it ends when the list shows the server ready *and* the server has spoken to us anew. A start is
-//! told by the list (late) or seen on the link (a changed origin state): both tell of one start when they
-//! are nearer than a ramp and the list's is not the later one by far, so that a server is not ramped twice for one.
+//! A drain takes effect as soon as either the server itself (DPR) or the list reports it. It ends when the
+//! list shows the server as ready *and* the server, if it announced the drain itself, has come up again: as
+//! another process, or as the same one `DRAIN_EXPIRY` after the drain began. A start is reported by the list
+//! (late) or observed on the link (a changed origin state). Both denote the same start if they are less than
+//! one ramp time apart and the listed one is not much later, so that a server is not warmed up twice for one
+//! start.
 //!
-//! A server whose link is suspect or down is told to the module as one that drains, since nothing new can go
-//! there. Left to find out by failed connects, the module takes whatever answers next for a cold process,
-//! as it must where it knows no better; here the link tells whether the process is the same (a lost
-//! connection, a hang) or another.
+//! A server whose link is suspect or down is reported to the policy as draining, since no set-up can be sent
+//! there. If the policy had to infer this from failed connects, it would have to assume that the next answer
+//! comes from a cold process; the link tells whether the process is the same (a lost connection, a hang) or
+//! another.
 
 use std::collections::BTreeMap;
 
@@ -16,42 +18,42 @@
 
 use crate::types::{LinkState, Process};
 
-/// What is known of one server.
+/// State of one server.
 #[derive(Debug, Clone, PartialEq)]
-struct Known {
+struct Server {
     listed: Entry,
-    /// It said itself that it drains.
-    left_itself: bool,
-    /// Since when it drains or is gone, by whatever source told first.
-    left_at: Option<Micros>,
+    /// The server announced on its link that it drains.
+    announced_drain: bool,
+    /// Since when the server drains or is gone, by the source that reported it first.
+    unavailable_since: Option<Micros>,
     started_at: Option<Micros>,
-    /// Its link has come up since.
-    seen: bool,
-    /// Nobody has told of its start yet: it may have started at this time, for all that this front knows.
-    presumed: Option<Micros>,
+    /// The link has come up since the start at `started_at`.
+    seen_on_link: bool,
+    /// Latest possible start, as far as this front knows; set until a source reports the start.
+    assumed_start: Option<Micros>,
 }
 
-impl Known {
+impl Server {
     fn new(now: Micros, entry: &Entry) -> Self {
         Self {
             listed: entry.clone(),
-            left_itself: false,
-            left_at: (entry.state != ServerState::Ready).then_some(now),
+            announced_drain: false,
+            unavailable_since: (entry.state != ServerState::Ready).then_some(now),
             started_at: entry.started_at,
-            seen: false,
-            presumed: None,
+            seen_on_link: false,
+            assumed_start: None,
         }
     }
 
-    /// Its state by all who tell of it.
+    /// The state according to the list and the server itself.
     fn state(&self) -> ServerState {
         match self.listed.state {
-            ServerState::Ready if self.left_itself => ServerState::Draining,
+            ServerState::Ready if self.announced_drain => ServerState::Draining,
             state => state,
         }
     }
 
-    /// What the module is told.
+    /// The entry reported to the policy.
     fn entry(&self, link: LinkState) -> Entry {
         let state = match (self.state(), link) {
             (ServerState::Ready, LinkState::Suspect | LinkState::Down) => ServerState::Draining,
@@ -60,211 +62,217 @@
         Entry { state, started_at: self.start(), ..self.listed.clone() }
     }
 
-    /// When its process started, as told or as must be presumed.
+    /// Start of the process: as reported, otherwise as assumed.
     fn start(&self) -> Option<Micros> {
-        self.started_at.or(self.presumed)
+        self.started_at.or(self.assumed_start)
     }
 
-    /// Whether its processor ramps as somebody told, not as must be presumed.
-    fn is_told_cold(&self, now: Micros, ramp: Micros) -> bool {
+    /// Whether the server is cold by a reported start; assumed starts do not count.
+    fn is_known_cold(&self, now: Micros, ramp: Micros) -> bool {
         is_cold(self.started_at, now, ramp)
     }
 
-    fn settle(&mut self, now: Micros) {
+    fn update_unavailable_since(&mut self, now: Micros) {
         if self.state() == ServerState::Ready {
-            self.left_at = None;
+            self.unavailable_since = None;
         } else {
-            self.left_at.get_or_insert(now);
+            self.unavailable_since.get_or_insert(now);
         }
     }
 }
 
-/// Whether a process that started then, if it is known when, still ramps.
+/// Whether a process is still warming up; `false` if its start is unknown.
 fn is_cold(started_at: Option<Micros>, now: Micros, ramp: Micros) -> bool {
     started_at.is_some_and(|at| now.saturating_sub(at) < ramp)
 }
 
-/// What nobody told of is presumed no longer than this. A list service that pushes to fronts that start does so within
-/// it. Guards against one that pushes changes alone: its fronts would ramp warm servers for a whole ramp
-/// (`baydrift demo`: service 0.38).
-pub(crate) const PRESUMED_FOR: Micros = 1_000_000;
-/// A start that the list tells is another one where it is later by this than the one known: its age is of when it was
-/// pushed, and pushed lists are not older than this but for ways that hold them.
-const LATE: Micros = 1_000_000;
-/// A process that said that it leaves and is the same after this has thought better of it.
-const STILL_LEAVES: Micros = 60_000_000;
+/// How long a recent start is assumed of servers whose start is not reported. A list service that pushes to
+/// starting fronts does so within this time. Without the limit, a service that pushes only changes would make
+/// its fronts treat warm servers as cold for a whole ramp time (`baydrift demo`: service 0.38).
+pub(crate) const ASSUMED_START_TTL: Micros = 1_000_000;
+/// A listed start later than the known one by at least this much denotes another start. Listed ages are as of
+/// the push, and a pushed list is not older than this unless the network delays it.
+const MAX_LIST_AGE: Micros = 1_000_000;
+/// A server that announced a drain and still runs the same process after this time is assumed to have
+/// cancelled the drain.
+const DRAIN_EXPIRY: Micros = 60_000_000;
 
-/// The pool; see the module's page.
+/// The pool of servers; see the module documentation.
 #[derive(Debug)]
 pub struct Pool {
-    servers: BTreeMap<ServerId, Known>,
+    servers: BTreeMap<ServerId, Server>,
     links: BTreeMap<ServerId, LinkState>,
     ramp: Micros,
-    most: usize,
+    capacity: usize,
 }
 
 impl Pool {
-    /// An empty pool of at most so many servers; `ramp` is how long a cold server takes to be warm.
-    pub fn new(ramp: Micros, most: usize) -> Self {
-        Self { servers: BTreeMap::new(), links: BTreeMap::new(), ramp, most }
+    /// An empty pool of at most `capacity` servers; `ramp` is the warm-up time of a cold server.
+    pub fn new(ramp: Micros, capacity: usize) -> Self {
+        Self { servers: BTreeMap::new(), links: BTreeMap::new(), ramp, capacity }
     }
 
-    /// Takes a list; what the module is to be told of it: the entries that changed. Servers beyond the
-    /// bound are left out, and their number is returned beside.
-    pub fn list(&mut self, now: Micros, kind: ListKind, entries: &[Entry]) -> (Vec<Entry>, usize) {
+    /// Applies a list. Returns the changed entries, which are reported to the policy, and the number of
+    /// servers left out because the pool is full.
+    pub fn apply_list(&mut self, now: Micros, kind: ListKind, entries: &[Entry]) -> (Vec<Entry>, usize) {
         let mut changed = Vec::new();
-        let mut over = 0;
+        let mut left_out = 0;
         if kind == ListKind::Failed {
-            return (changed, over);
+            return (changed, left_out);
         }
         if kind == ListKind::Full {
             let missing = |id: &ServerId| entries.iter().all(|entry| entry.server != *id);
             let gone: Vec<_> = self.servers.keys().copied().filter(missing).collect();
             for id in gone {
-                changed.extend(self.change(id, |known| {
-                    known.listed.state = ServerState::Gone;
-                    known.settle(now);
+                changed.extend(self.change(id, |server| {
+                    server.listed.state = ServerState::Gone;
+                    server.update_unavailable_since(now);
                 }));
             }
         }
         let ramp = self.ramp;
         for entry in entries {
             if !self.servers.contains_key(&entry.server) {
-                if self.servers.len() >= self.most && !self.forget_one() {
-                    over += 1;
+                if self.servers.len() >= self.capacity && !self.evict_gone() {
+                    left_out += 1;
                     continue;
                 }
-                let known = Known::new(now, entry);
-                changed.push(known.entry(self.link_state(entry.server)));
-                self.servers.insert(entry.server, known);
+                let server = Server::new(now, entry);
+                changed.push(server.entry(self.link_state(entry.server)));
+                self.servers.insert(entry.server, server);
                 continue;
             }
-            changed.extend(self.change(entry.server, |known| {
-                known.listed = entry.clone();
-                known.presumed = None;
-                let one_start = |at: Micros| {
-                    known.started_at.is_some_and(|old| old.abs_diff(at) < ramp && at < old + LATE)
+            changed.extend(self.change(entry.server, |server| {
+                server.listed = entry.clone();
+                server.assumed_start = None;
+                let same_start = |at: Micros| {
+                    server.started_at.is_some_and(|old| old.abs_diff(at) < ramp && at < old + MAX_LIST_AGE)
                 };
-                if let Some(at) = entry.started_at.filter(|at| !one_start(*at)) {
-                    known.started_at = Some(at);
-                    known.seen = false;
+                if let Some(at) = entry.started_at.filter(|at| !same_start(*at)) {
+                    server.started_at = Some(at);
+                    server.seen_on_link = false;
                 }
-                known.settle(now);
+                server.update_unavailable_since(now);
             }));
         }
-        (changed, over)
+        (changed, left_out)
     }
 
-    /// This front has started, and a list that tells of starts will be pushed to it: until the list names a server, its
-    /// process may be as young as this one. The entries that changed. Guards against a server that started while this
-    /// front was down: with the servers of the configuration taken for warm, the calls that had waited for the front
-    /// went there at once (`days/fleet.kdl --virtual --drawn --fleet`, seed 2741).
-    pub fn presume(&mut self, now: Micros) -> Vec<Entry> {
-        self.change_all(|known| known.presumed = Some(now))
+    /// Assumes that every server may have started just now, until the list names it. For a front that has
+    /// just started and will be sent a list with start times. Returns the changed entries.
+    ///
+    /// Guards against servers that started while this front was down: if the configured servers counted as
+    /// warm, the calls that had waited for the front went to them at once (`days/fleet.kdl --virtual --drawn
+    /// --fleet`, seed 2741).
+    pub fn assume_recent_starts(&mut self, now: Micros) -> Vec<Entry> {
+        self.change_all(|server| server.assumed_start = Some(now))
     }
 
-    /// What was presumed for long, and no list told of, is so no more. The entries that changed.
-    pub fn presume_no_more(&mut self, now: Micros) -> Vec<Entry> {
-        self.change_all(|known| {
-            known.presumed = known.presumed.filter(|at| now < at.saturating_add(PRESUMED_FOR));
+    /// Drops assumed starts that no list has confirmed within `ASSUMED_START_TTL`. Returns the changed
+    /// entries.
+    pub fn expire_assumed_starts(&mut self, now: Micros) -> Vec<Entry> {
+        self.change_all(|server| {
+            server.assumed_start =
+                server.assumed_start.filter(|at| now < at.saturating_add(ASSUMED_START_TTL));
         })
     }
 
-    /// Whether a start is presumed of any server.
-    pub fn presumes(&self) -> bool {
-        self.servers.values().any(|known| known.presumed.is_some())
+    /// Whether a recent start is assumed of any server.
+    pub fn has_assumed_starts(&self) -> bool {
+        self.servers.values().any(|server| server.assumed_start.is_some())
     }
 
-    /// A server said that it drains. The changed entry, if that is news.
-    pub fn drains(&mut self, now: Micros, server: ServerId) -> Option<Entry> {
-        self.change(server, |known| {
-            known.left_itself = true;
-            known.settle(now);
+    /// Records that a server announced a drain. Returns its entry if that changed.
+    pub fn announce_drain(&mut self, now: Micros, server: ServerId) -> Option<Entry> {
+        self.change(server, |server| {
+            server.announced_drain = true;
+            server.update_unavailable_since(now);
         })
     }
 
-    /// A server's link changed. The changed entry, if that is news.
-    pub fn link(&mut self, now: Micros, server: ServerId, state: LinkState) -> Option<Entry> {
-        let before = self.servers.get(&server).map(|known| known.entry(self.link_state(server)));
-        let was_down = self.links.insert(server, state) == Some(LinkState::Down);
-        let known = self.servers.get_mut(&server)?;
+    /// Records the state of a server's link. Returns the server's entry if that changed.
+    pub fn set_link_state(&mut self, now: Micros, id: ServerId, state: LinkState) -> Option<Entry> {
+        let before = self.servers.get(&id).map(|server| server.entry(self.link_state(id)));
+        let was_down = self.links.insert(id, state) == Some(LinkState::Down);
+        let server = self.servers.get_mut(&id)?;
         if let LinkState::Up(process) = state {
-            // A process that said that it leaves, and whose link is lost and opened again by this end, still leaves.
-            // Another process is back; so is one that has not left for a minute.
-            let long = known.left_at.is_some_and(|at| now >= at.saturating_add(STILL_LEAVES));
-            if process != Process::Same || long {
-                known.left_itself = false;
+            // A process that announced a drain still drains if its connection is lost and this front reopens
+            // it. Another process is available again, as is one that has not exited within the expiry.
+            let expired = server.unavailable_since.is_some_and(|at| now >= at.saturating_add(DRAIN_EXPIRY));
+            if process != Process::Same || expired {
+                server.announced_drain = false;
             }
-            let told = known.is_told_cold(now, self.ramp);
-            let another = match process {
-                // The list may have told of this start before the link did; once the link has seen it, this is another.
-                // Guards against a server that starts twice within a ramp: taken for warm when the first one's was over,
-                // it was sent 33 set-ups in a second where 28 were its budget (days/lends.kdl, drawn, seed 73).
-                Process::New => !told || known.seen,
-                Process::Unknown => was_down && !told,
+            let known_cold = server.is_known_cold(now, self.ramp);
+            let new_start = match process {
+                // The list may have reported this start before the link came up; if the link was already up
+                // since the reported start, this is another one. Guards against a server that starts twice
+                // within a ramp time: counted as warm when the first ramp was over, it was sent 33 set-ups in
+                // one second with a budget of 28 (days/lends.kdl, drawn, seed 73).
+                Process::New => !known_cold || server.seen_on_link,
+                Process::Unknown => was_down && !known_cold,
                 Process::Same => false,
             };
-            if another {
-                known.started_at = Some(now);
+            if new_start {
+                server.started_at = Some(now);
             }
-            known.seen = true;
-            known.settle(now);
+            server.seen_on_link = true;
+            server.update_unavailable_since(now);
         }
-        Some(known.entry(state)).filter(|entry| Some(entry) != before.as_ref())
+        Some(server.entry(state)).filter(|entry| Some(entry) != before.as_ref())
     }
 
-    /// Changes what is known of a server; the entry, if the module is to hear of it.
-    fn change(&mut self, server: ServerId, how: impl FnOnce(&mut Known)) -> Option<Entry> {
-        let link = self.link_state(server);
-        let known = self.servers.get_mut(&server)?;
-        let before = known.entry(link);
-        how(known);
-        Some(known.entry(link)).filter(|entry| *entry != before)
+    /// Changes a server's state. Returns its entry if the policy has to be notified.
+    fn change(&mut self, id: ServerId, update: impl FnOnce(&mut Server)) -> Option<Entry> {
+        let link = self.link_state(id);
+        let server = self.servers.get_mut(&id)?;
+        let before = server.entry(link);
+        update(server);
+        Some(server.entry(link)).filter(|entry| *entry != before)
     }
 
-    /// Changes what is known of all servers; the entries that the module is to hear of.
-    fn change_all(&mut self, how: impl Fn(&mut Known)) -> Vec<Entry> {
+    /// Changes the state of all servers. Returns the entries of which the policy has to be notified.
+    fn change_all(&mut self, update: impl Fn(&mut Server)) -> Vec<Entry> {
         let ids: Vec<_> = self.servers.keys().copied().collect();
-        ids.into_iter().filter_map(|id| self.change(id, &how)).collect()
+        ids.into_iter().filter_map(|id| self.change(id, &update)).collect()
     }
 
-    /// The link's state; down while nothing was heard of it.
+    /// State of a server's link; `Down` if it was never reported.
     pub fn link_state(&self, server: ServerId) -> LinkState {
         self.links.get(&server).copied().unwrap_or(LinkState::Down)
     }
 
-    /// When this front was first told that the server drains or is gone; `None` while it is ready.
-    /// A server that was never listed counts as gone for ever.
-    pub fn left_at(&self, server: ServerId) -> Option<Micros> {
-        self.servers.get(&server).map_or(Some(0), |known| known.left_at)
+    /// When this front first learned that the server drains or is gone; `None` while it is ready. A server
+    /// that was never listed counts as gone since time 0.
+    pub fn unavailable_since(&self, server: ServerId) -> Option<Micros> {
+        self.servers.get(&server).map_or(Some(0), |server| server.unavailable_since)
     }
 
-    /// Whether the list says that it is there no longer.
+    /// Whether the list shows the server as gone.
     pub fn is_gone(&self, server: ServerId) -> bool {
-        self.servers.get(&server).is_some_and(|known| known.listed.state == ServerState::Gone)
+        self.servers.get(&server).is_some_and(|server| server.listed.state == ServerState::Gone)
     }
 
-    /// Whether its processor ramps.
+    /// Whether the server is warming up, by a reported or assumed start.
     pub fn is_cold(&self, now: Micros, server: ServerId) -> bool {
-        is_cold(self.servers.get(&server).and_then(Known::start), now, self.ramp)
+        is_cold(self.servers.get(&server).and_then(Server::start), now, self.ramp)
     }
 
-    /// Whether its processor ramps as somebody told, not as must be presumed.
-    pub fn is_told_cold(&self, now: Micros, server: ServerId) -> bool {
-        self.servers.get(&server).is_some_and(|known| known.is_told_cold(now, self.ramp))
+    /// Whether the server is warming up, by a reported start.
+    pub fn is_known_cold(&self, now: Micros, server: ServerId) -> bool {
+        self.servers.get(&server).is_some_and(|server| server.is_known_cold(now, self.ramp))
     }
 
-    /// All servers, each with whether it is ready and whether it is told to be cold.
-    pub fn temperatures(&self, now: Micros) -> Vec<(ServerId, bool, bool)> {
-        let of = |(id, known): (&ServerId, &Known)| {
-            (*id, known.state() == ServerState::Ready, known.is_told_cold(now, self.ramp))
+    /// All servers, each with whether it is ready and whether it is cold by a reported start.
+    pub fn warm_up_states(&self, now: Micros) -> Vec<(ServerId, bool, bool)> {
+        let of = |(id, server): (&ServerId, &Server)| {
+            (*id, server.state() == ServerState::Ready, server.is_known_cold(now, self.ramp))
         };
         self.servers.iter().map(of).collect()
     }
 
-    /// Makes room: a server that is gone is forgotten.
-    fn forget_one(&mut self) -> bool {
-        let gone = self.servers.iter().find(|(_, known)| known.listed.state == ServerState::Gone);
+    /// Makes room by removing one server that is gone; `false` if there is none.
+    fn evict_gone(&mut self) -> bool {
+        let gone = self.servers.iter().find(|(_, server)| server.listed.state == ServerState::Gone);
         let Some(id) = gone.map(|(id, _)| *id) else { return false };
         self.servers.remove(&id);
         self.links.remove(&id);
--- a/crates/call/src/timers.rs
+++ b/crates/call/src/timers.rs
@@ -1,4 +1,5 @@
-//! Timers in order of time, then of setting: equal times fire in a stable order.
+//! Timer queue, ordered by due time and then by insertion, so that timers due at the same time fire in a
+//! stable order.
 
 use std::collections::BTreeMap;
 
@@ -6,48 +7,49 @@
 
 use crate::types::AttemptId;
 
-/// What a timer is for. Timers are not revoked: whoever handles one looks whether it still applies.
+/// The purpose of a timer. Timers are not cancelled: the handler checks whether one still applies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Timer {
-    /// The module's own, with its token.
-    Module(u64),
-    /// An attempt's answer is due.
+    /// A timer of the policy, with its token.
+    Policy(u64),
+    /// An attempt times out.
     Attempt(AttemptId),
-    /// A call's answer must be out.
+    /// A call's answer is due.
     Deadline(CallId),
-    /// No process before this one can have the call out.
-    Sure(CallId),
-    /// A release's answer is due.
+    /// A deferred call starts: no previous process can have it in flight any more.
+    Deferred(CallId),
+    /// A release times out.
     Release(AttemptId),
-    /// The owner of a standing call has been away for long.
-    Away(CallId),
-    /// Words on who lives are due.
-    Lives,
-    /// More orphans may be released.
-    Orphans,
-    /// The first list should have come.
+    /// The owner of an established call may have been absent for too long.
+    ClientAbsent(CallId),
+    /// Membership messages are due.
+    Membership,
+    /// The next batch of detached attempts may be released.
+    Detached,
+    /// The first server list is overdue.
     FirstList,
-    /// Budgets that the fleet shares.
+    /// Shared budgets are updated.
     Budgets,
 }
 
 #[derive(Debug, Default)]
 pub(crate) struct Timers {
     queue: BTreeMap<(Micros, u64), Timer>,
-    set: u64,
+    /// Sequence number of the next timer.
+    sequence: u64,
 }
 
 impl Timers {
     pub(crate) fn set(&mut self, at: Micros, timer: Timer) {
-        self.queue.insert((at, self.set), timer);
-        self.set += 1;
+        self.queue.insert((at, self.sequence), timer);
+        self.sequence += 1;
     }
 
     pub(crate) fn next(&self) -> Option<Micros> {
         self.queue.keys().next().map(|key| key.0)
     }
 
-    /// The earliest timer due by now.
+    /// Removes and returns the earliest timer that is due.
     pub(crate) fn due(&mut self, now: Micros) -> Option<Timer> {
         let first = self.queue.first_entry()?;
         (first.key().0 <= now).then(|| first.remove())
--- a/crates/call/src/types.rs
+++ b/crates/call/src/types.rs
@@ -1,350 +1,351 @@
-//! What a driver tells the engine and what the engine asks of it.
+//! The engine's interface to its driver: inputs, outputs and the types they carry.
 
 use std::sync::Arc;
 
 use baydrift::interface::{CallId, Entry, ListKind, Micros, Note, Outcome, Report, ServerId};
 
-/// One transport connection of a client. Never used twice.
+/// One transport connection of a client; never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LinkId(pub u64);
 
-/// One set-up of a call at one server. Never used twice by a process.
+/// One set-up of a call at one server; never reused within a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId(pub u64);
 
-/// A call as its caller names it: the caller's identity and the id that it chose.
+/// The caller's name for a call: the client's identity and the id it chose.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Session {
-    /// Who owns the call. Only it may release or repeat it.
+    /// The client that owns the call. Only this client may release or repeat it.
     pub owner: Arc<str>,
-    /// Its id for the call, unique with it for ever.
+    /// The client's id for the call, never reused by that client.
     pub id: Arc<str>,
 }
 
-/// Where one request waits for its answer.
+/// A pending request of a client, to which an answer is addressed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Request {
-    /// The link it came by.
+    /// The link on which the request arrived.
     pub link: LinkId,
-    /// The driver's own mark of it.
+    /// The driver's own tag for the request.
     pub ticket: u64,
 }
 
-/// A call that a client offers.
+/// A call offered by a client.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Offer<P> {
-    /// Its name.
+    /// The caller's name for the call.
     pub session: Session,
-    /// Where the answer goes.
+    /// The request to be answered.
     pub request: Request,
-    /// Index of its class.
+    /// Index of the call's class.
     pub class: usize,
-    /// Index of its customer.
+    /// Index of the call's tenant.
     pub tenant: usize,
-    /// The number dialled; 0 for none.
+    /// The dialled number; 0 if there is none.
     pub number: u64,
-    /// Number of the server of first choice.
+    /// Number of the preferred server.
     pub first_choice: Option<u16>,
-    /// The caller gives up after so long.
+    /// Time until the caller cancels an unanswered call.
     pub gives_up_in: Micros,
-    /// Whether it is dialled again, where callers mark that.
+    /// Whether the number is being redialled, if the protocol reports it.
     pub redial: Option<bool>,
-    /// It stood, was cut and comes again.
+    /// Whether the call was established before and is offered again because it was cut.
     pub was_cut: bool,
-    /// It may have been said before, perhaps to a process that ran here before this one.
+    /// Whether the offer may be a retransmission, possibly of one sent to a previous process of this front.
     pub retransmission: Retransmission,
-    /// What the driver wants back with each set-up; dropped with the final answer.
+    /// Data that the driver gets back with each set-up; dropped once the call has its final answer.
     pub payload: P,
 }
 
-/// Whether an offer may have been made to a process that ran here before this one.
+/// Whether an offer may have been sent already to a previous process of this front.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Retransmission {
-    /// It is made for the first time.
+    /// The offer is sent for the first time.
     First,
-    /// Its client marks it as made before. It says so when its caller leaves.
+    /// The client marks the offer as a retransmission. The client reports when its caller cancels.
     Repeated,
-    /// Nobody can tell, and nothing is said when its caller leaves.
+    /// The protocol cannot tell, and a cancelling caller is not reported.
     Unknown,
 }
 
-/// How an attempt ended without standing.
+/// How an attempt ended without being established.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AttemptEnd {
-    /// How.
+    /// The result.
     pub outcome: Outcome,
-    /// A further word.
+    /// Further detail on the result.
     pub note: Note,
-    /// The load report that came along.
+    /// The load report on the answer.
     pub report: Report,
 }
 
-/// Whether a server that came up is the process that it was (RFC 6733, section 8.16).
+/// Whether the process behind a server's link is the one seen before (RFC 6733, section 8.16).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Process {
-    /// It tells the same origin state as before, or this is the first time.
+    /// The origin state is unchanged, or this is the first connection.
     Same,
-    /// It tells another: it forgot all calls, and is cold.
+    /// The origin state changed: the server has lost all calls and is cold.
     New,
-    /// It tells none: its calls may stand, but it may be cold.
+    /// The server sends no origin state: its calls may still exist, but it may be cold.
     Unknown,
 }
 
-/// A server's link as the watchdog and the transport see it.
+/// State of a server's link according to the transport and the watchdog.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkState {
     /// Usable.
     Up(Process),
-    /// A watchdog is unanswered: nothing new is sent, what is out goes elsewhere (RFC 3539, section 3.4.1).
+    /// A watchdog request is unanswered: no new set-ups are sent, and in-flight ones fail over (RFC 3539,
+    /// section 3.4.1).
     Suspect,
-    /// No connection.
+    /// Not connected.
     Down,
 }
 
-/// What happened.
+/// An event that the driver reports to the engine.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Input<P> {
-    /// A client offers a call, or the same call again.
+    /// A client offers a call, or repeats an offer.
     Offered(Offer<P>),
-    /// A caller releases a call, standing or still in set-up.
+    /// A caller releases a call, established or still in set-up.
     Released {
         /// The call.
         session: Session,
-        /// Where the answer goes.
+        /// The request to be answered.
         request: Request,
     },
-    /// A caller asks whether a call stands.
+    /// A caller asks whether a call is still established.
     Refreshed {
         /// The call.
         session: Session,
-        /// Where the answer goes.
+        /// The request to be answered.
         request: Request,
     },
-    /// A client's link came up. All calls of an owner that `restarted` are released.
+    /// A client's link came up. If the client `restarted`, all of its calls are released.
     ClientUp {
         /// The link.
         link: LinkId,
-        /// Whose.
+        /// The client.
         owner: Arc<str>,
-        /// Its process is another than before.
+        /// Whether the client's process differs from the one seen before.
         restarted: bool,
     },
-    /// A client's link is lost, with whatever waited there.
+    /// A client's link was lost, with all requests pending on it.
     ClientDown(LinkId),
-    /// A set-up stands.
+    /// The server confirmed a set-up.
     Established {
-        /// Which.
+        /// The attempt.
         attempt: AttemptId,
         /// The load report on the answer.
         report: Report,
     },
-    /// A set-up ended otherwise.
+    /// A set-up ended without being established.
     Ended {
-        /// Which.
+        /// The attempt.
         attempt: AttemptId,
-        /// How.
+        /// The result.
         end: AttemptEnd,
     },
-    /// The server cuts a call that stands, or a set-up.
+    /// The server cut an established call, or ended a set-up.
     Cut {
-        /// Which.
+        /// The attempt.
         attempt: AttemptId,
-        /// The load report on it.
+        /// The load report on the message.
         report: Report,
     },
-    /// The server ends a call that stands, as it should end.
+    /// The server cleared an established call in the regular way.
     Cleared {
-        /// Which.
+        /// The attempt.
         attempt: AttemptId,
-        /// The load report on it.
+        /// The load report on the message.
         report: Report,
     },
-    /// A call that stands at a server already, set up by another process, is taken over from here.
+    /// A call established by another process is taken over by this front.
     Adopted {
         /// The call.
         session: Session,
-        /// Index of its class.
+        /// Index of the call's class.
         class: usize,
-        /// Where it stands.
+        /// The server that holds the call.
         server: ServerId,
     },
     /// The server answered a release.
     ReleaseDone {
-        /// Of which attempt.
+        /// The released attempt.
         attempt: AttemptId,
         /// The load report on the answer.
         report: Report,
     },
-    /// A server's link changed.
+    /// A server's link changed state.
     ServerLink {
         /// The server.
         server: ServerId,
-        /// To what.
+        /// The new state.
         state: LinkState,
     },
-    /// A server said itself that it drains.
+    /// A server announced on its link that it drains.
     DrainAnnounced(ServerId),
-    /// Unasked news of a server's load.
+    /// A server sent an unsolicited load report.
     LoadReport {
         /// The server.
         server: ServerId,
         /// The report.
         report: Report,
     },
-    /// The pool list.
+    /// The server list, or changes to it.
     List(ListKind, Vec<Entry>),
     /// A message from another front.
     Peer {
-        /// Its ordinal.
+        /// Ordinal of the sending front.
         from: u32,
-        /// What it said.
+        /// The message.
         payload: Vec<u8>,
     },
     /// Time has passed.
     Tick,
-    /// The front stops: what is undecided is answered, nothing new is taken.
+    /// The front shuts down: undecided calls get an answer, new ones are refused.
     Stop,
-    /// The front can wait no longer: calls that stand are cut at both ends.
+    /// The shutdown deadline has passed: established calls are cut at both ends.
     CutAll,
 }
 
-/// What is known of a call by its name.
+/// State of a call, looked up by its session.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallStatus {
-    /// In set-up.
+    /// Awaiting its final answer.
     InSetUp,
-    /// It stands.
+    /// Established.
     Established,
-    /// Answered or over, and still remembered.
+    /// Answered or ended, with the answer still cached.
     Ended,
 }
 
 /// Why a call is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
-    /// The module's decision.
+    /// The policy decided so.
     Decided,
-    /// A bound of the engine's is reached.
+    /// A limit of the engine is reached.
     Bound,
-    /// The front stops.
+    /// The front is shutting down.
     Stopping,
-    /// The front has just started, and cannot know whether the call is out already.
+    /// The front has just started and cannot know whether a previous process has the call in flight.
     JustStarted,
 }
 
 /// The final answer to a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Final {
-    /// It stands.
+    /// The call is established.
     Established,
-    /// Turned away, with advice to stay away so long (0: none).
+    /// The call is refused.
     Refused {
-        /// Stay-away advice.
+        /// How long the caller should wait before it tries again; 0 for no advice.
         retry_after: Micros,
-        /// Why.
+        /// The reason.
         why: Refusal,
     },
-    /// Failed.
+    /// The call failed.
     Failed,
 }
 
-/// What a request to release is answered.
+/// The answer to a release request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReleaseResult {
-    /// It is over.
+    /// The call is released.
     Done,
-    /// No such call.
+    /// The call is not known.
     Unknown,
 }
 
-/// What is to be done.
+/// An action that the driver carries out for the engine.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output<P> {
-    /// Set a call up at a server.
+    /// Set up a call at a server.
     SetUp {
         /// The attempt.
         attempt: AttemptId,
-        /// Where.
+        /// The server.
         server: ServerId,
-        /// Which call, for logs.
+        /// The call, for logs.
         call: CallId,
-        /// Which attempt of the call, from 0.
+        /// Index of the attempt within the call, from 0.
         index: u16,
-        /// Index of its class.
+        /// Index of the call's class.
         class: usize,
-        /// It is given up after so long.
+        /// The attempt times out after this span.
         timeout: Micros,
-        /// And not begun later than this, should it have to wait for a connection.
+        /// An attempt that waits for a connection must be sent within this span.
         begin_within: Micros,
-        /// The caller's name for it.
+        /// The caller's name for the call.
         session: Session,
-        /// The offer's payload.
+        /// The payload of the offer.
         payload: P,
     },
     /// Release an attempt at its server.
     Release {
         /// The attempt.
         attempt: AttemptId,
-        /// Where.
+        /// The server.
         server: ServerId,
-        /// Index of its class.
+        /// Index of the call's class.
         class: usize,
     },
-    /// Give a request its final answer.
+    /// Send a request its final answer.
     Answer {
-        /// Which.
+        /// The request.
         request: Request,
         /// The caller's name for the call.
         session: Session,
         /// The answer.
         answer: Final,
     },
-    /// Answer a request to release.
+    /// Answer a release request.
     AnswerRelease {
-        /// Which.
+        /// The request.
         request: Request,
         /// The caller's name for the call.
         session: Session,
         /// The answer.
         result: ReleaseResult,
     },
-    /// A request will not be answered: the same call was asked for too often at once.
+    /// The request will not be answered: too many requests for the same call are pending.
     Dropped(Request),
-    /// Tell a caller that its standing call was cut.
+    /// Notify a caller that its established call has ended at the server.
     Cut {
-        /// Its link.
+        /// A link of the call's owner.
         link: LinkId,
         /// The call.
         session: Session,
-        /// Index of its class.
+        /// Index of the call's class.
         class: usize,
     },
-    /// A standing call has come to its end, and its owner has no link that the engine knows: whoever routes by
-    /// call tells the caller.
+    /// An established call has ended and the engine knows no link of its owner: a driver that routes by call
+    /// notifies the caller.
     Cleared {
         /// The call.
         session: Session,
-        /// `Ok` where it ended as it should, else cut.
+        /// `Ok` if the call ended in the regular way, otherwise it was cut.
         outcome: Outcome,
     },
-    /// A call was taken over; it stands as this attempt.
+    /// A call was taken over and is established as this attempt.
     Adopted {
         /// The attempt.
         attempt: AttemptId,
-        /// Where.
+        /// The server.
         server: ServerId,
         /// The caller's name for the call.
         session: Session,
     },
     /// Send a message to another front.
     SendToPeer {
-        /// Its ordinal.
+        /// Ordinal of the receiving front.
         to: u32,
-        /// What to say.
+        /// The message.
         payload: Vec<u8>,
     },
-    /// Subscribe to the pool list, again if need be.
+    /// Subscribe to the server list, or renew the subscription.
     Subscribe,
-    /// A line for the log.
+    /// Write a line to the log.
     Log(String),
 }
--- a/crates/call/tests/calls.rs
+++ b/crates/call/tests/calls.rs
@@ -1,4 +1,4 @@
-//! One call's way, and the moments that cross on it.
+//! The life cycle of single calls, with crossing and out-of-order events.
 
 mod common;
 
@@ -11,271 +11,277 @@
 use common::*;
 
 #[test]
-fn a_call_stands_and_is_released() {
-    let mut w = World::new(Limits::default());
-    let attempt = w.standing(1);
-    assert_eq!(w.engine.calls_in_set_up(), 0);
-    let out = w.input(Input::Released { session: session(1), request: request(1, 50) });
+fn call_is_established_and_released() {
+    let mut harness = Harness::new(Limits::default());
+    let attempt = harness.establish(1);
+    assert_eq!(harness.engine.calls_in_set_up(), 0);
+    let out = harness.input(Input::Released { session: session(1), request: request(1, 50) });
     assert_eq!(releases(&out), [attempt]);
     assert!(out.iter().any(|o| matches!(o, Output::AnswerRelease { result: ReleaseResult::Done, .. })));
-    w.input(Input::ReleaseDone { attempt, report: Report::default() });
-    assert_eq!((w.engine.calls_held(), w.engine.detached_attempts()), (0, 0));
+    harness.input(Input::ReleaseDone { attempt, report: Report::default() });
+    assert_eq!((harness.engine.calls_held(), harness.engine.detached_attempts()), (0, 0));
 }
 
 #[test]
-fn a_time_out_is_released_and_goes_elsewhere_after_the_guard() {
-    let mut w = World::new(Limits::default());
-    let (first, server) = set_up(&w.offer(1)).unwrap();
-    let at = w.now;
-    w.input(Input::Ended { attempt: first, end: AttemptEnd::plain(Outcome::Timeout) });
-    let out = w.out.clone();
+fn timed_out_attempt_is_released_and_retried_after_hold_off() {
+    let mut harness = Harness::new(Limits::default());
+    let (first, server) = set_up(&harness.offer(1)).unwrap();
+    let at = harness.now;
+    harness.input(Input::Ended { attempt: first, end: AttemptEnd::plain(Outcome::Timeout) });
+    let out = harness.out.clone();
     assert_eq!((releases(&out), set_ups(&out)), (vec![first], 0));
-    let out = w.pass(310 * MS);
+    let out = harness.advance(310 * MS);
     let (second, other) = set_up(&out).expect("a second attempt");
-    assert!(other != server && w.now - at >= 300 * MS);
-    // The late answer of the first changes nothing.
-    assert!(w.stands(first).is_empty());
-    assert_eq!(w.engine.counts().late, 1);
-    assert_eq!(answers(&w.stands(second)), [Final::Established]);
+    assert!(other != server && harness.now - at >= 300 * MS);
+    // The late answer to the first attempt changes nothing.
+    assert!(harness.confirm(first).is_empty());
+    assert_eq!(harness.engine.counts().late, 1);
+    assert_eq!(answers(&harness.confirm(second)), [Final::Established]);
 }
 
 #[test]
-fn what_never_ran_goes_elsewhere_at_once() {
-    let mut w = World::new(Limits::default());
-    let (first, server) = set_up(&w.offer(1)).unwrap();
+fn rejected_attempt_is_retried_at_once() {
+    let mut harness = Harness::new(Limits::default());
+    let (first, server) = set_up(&harness.offer(1)).unwrap();
     let end = AttemptEnd { note: Note::ProcessorFull(0), ..AttemptEnd::plain(Outcome::Full) };
-    let out = w.input(Input::Ended { attempt: first, end });
+    let out = harness.input(Input::Ended { attempt: first, end });
     assert!(set_up(&out).is_some_and(|(_, other)| other != server));
     assert!(releases(&out).is_empty());
 }
 
 #[test]
-fn a_call_without_any_server_link_is_answered_in_time() {
-    let mut w = World::new(Limits::default());
-    w.link(0, LinkState::Down);
-    w.link(1, LinkState::Down);
-    let mut out = w.offer(1);
-    out.extend(w.pass(3 * S));
+fn call_without_server_links_is_answered_in_time() {
+    let mut harness = Harness::new(Limits::default());
+    harness.link(0, LinkState::Down);
+    harness.link(1, LinkState::Down);
+    let mut out = harness.offer(1);
+    out.extend(harness.advance(3 * S));
     assert_eq!(answers(&out).len(), 1);
     assert_eq!(set_ups(&out), 0);
 }
 
 #[test]
-fn a_repeat_gets_the_same_answer_and_no_second_attempt() {
-    let mut w = World::new(Limits::default());
-    let (attempt, _) = set_up(&w.offer(1)).unwrap();
-    // Before the answer, by a new link: both wait, both get it.
-    w.client_up(2, false);
-    assert!(w.offer_by(1, request(2, 9), 0).is_empty());
-    assert_eq!(answers(&w.stands(attempt)), [Final::Established, Final::Established]);
-    // After it, while the call stands, and after it is over.
-    assert_eq!(answers(&w.offer_by(1, request(2, 10), 0)), [Final::Established]);
-    w.input(Input::Released { session: session(1), request: request(2, 11) });
-    let out = w.offer_by(1, request(2, 12), 0);
+fn repeated_offer_gets_cached_answer() {
+    let mut harness = Harness::new(Limits::default());
+    let (attempt, _) = set_up(&harness.offer(1)).unwrap();
+    // Repeated on a new link before the answer: both requests are answered.
+    harness.client_up(2, false);
+    assert!(harness.offer_with(1, request(2, 9), 0).is_empty());
+    assert_eq!(answers(&harness.confirm(attempt)), [Final::Established, Final::Established]);
+    // Repeated while the call is established, and after its end.
+    assert_eq!(answers(&harness.offer_with(1, request(2, 10), 0)), [Final::Established]);
+    harness.input(Input::Released { session: session(1), request: request(2, 11) });
+    let out = harness.offer_with(1, request(2, 12), 0);
     assert_eq!((answers(&out), set_ups(&out)), (vec![Final::Established], 0));
-    assert_eq!(w.engine.counts().taken, 1);
-    // Remembered for its time only.
-    w.pass(Limits::default().cached_answer_ttl + S);
-    assert_eq!(set_ups(&w.offer_by(1, request(2, 13), 0)), 1);
+    assert_eq!(harness.engine.counts().taken, 1);
+    // Forgotten when the cached answer expires.
+    harness.advance(Limits::default().cached_answer_ttl + S);
+    assert_eq!(set_ups(&harness.offer_with(1, request(2, 13), 0)), 1);
 }
 
 #[test]
-fn a_call_said_before_to_a_process_that_was_killed_waits_until_nothing_of_it_can_be_out() {
-    let mut w = World::new(Limits::default());
-    // A new call goes at once; one that the process before this one may have set up waits for the guard.
-    assert!(set_up(&w.offer(1)).is_some());
-    assert_eq!((set_ups(&w.repeat(2)), w.engine.calls_in_set_up()), (0, 2));
-    assert_eq!(set_ups(&w.pass(299 * MS)), 0);
-    assert_eq!(set_ups(&w.pass(2 * MS)), 1);
-    // Its caller leaves meanwhile: one answer, and nothing is set up for it later.
-    let mut w = World::new(Limits::default());
-    w.repeat(3);
-    let out = w.input(Input::Released { session: session(3), request: request(1, 50) });
+fn repeated_offer_after_restart_waits_for_hold_off() {
+    let mut harness = Harness::new(Limits::default());
+    // A new call is sent at once; one that a previous process may have set up waits for the hold-off.
+    assert!(set_up(&harness.offer(1)).is_some());
+    assert_eq!((set_ups(&harness.offer_repeated(2)), harness.engine.calls_in_set_up()), (0, 2));
+    assert_eq!(set_ups(&harness.advance(299 * MS)), 0);
+    assert_eq!(set_ups(&harness.advance(2 * MS)), 1);
+    // The caller cancels meanwhile: one answer and no later set-up.
+    let mut harness = Harness::new(Limits::default());
+    harness.offer_repeated(3);
+    let out = harness.input(Input::Released { session: session(3), request: request(1, 50) });
     assert_eq!(answers(&out).len(), 1);
-    assert_eq!(set_ups(&w.pass(5 * S)), 0);
-    // One of which nobody can tell, and whose caller would leave without a word, is refused at once; a copy gets
-    // the same answer, also later.
-    let mut w = World::new(Limits::default());
+    assert_eq!(set_ups(&harness.advance(5 * S)), 0);
+    // An offer that may be a retransmission, and whose caller could cancel without notice, is refused at
+    // once; a repeated offer gets the same answer, also later.
+    let mut harness = Harness::new(Limits::default());
     let refused = Final::Refused { retry_after: 300 * MS, why: Refusal::JustStarted };
-    assert_eq!(answers(&w.said(5, Retransmission::Unknown)), [refused]);
-    assert_eq!(set_ups(&w.pass(5 * S)), 0);
-    assert_eq!(answers(&w.said(5, Retransmission::Unknown)), [refused]);
-    assert!(set_up(&w.said(6, Retransmission::Unknown)).is_some());
-    // Long after the start there is nothing to wait for.
-    assert!(set_up(&w.repeat(4)).is_some());
+    assert_eq!(answers(&harness.offer_marked(5, Retransmission::Unknown)), [refused]);
+    assert_eq!(set_ups(&harness.advance(5 * S)), 0);
+    assert_eq!(answers(&harness.offer_marked(5, Retransmission::Unknown)), [refused]);
+    assert!(set_up(&harness.offer_marked(6, Retransmission::Unknown)).is_some());
+    // Long after the start there is no hold-off.
+    assert!(set_up(&harness.offer_repeated(4)).is_some());
 }
 
 #[test]
-fn a_call_said_before_that_lay_here_while_the_front_stood_still_is_refused() {
-    // What its caller has left nobody here knows, and word of its leave may be read after it (days/fleet.kdl --virtual
-    // --drawn --fleet: seed 605 with a wait for the first list, seed 1542 without).
+fn repeated_offer_queued_during_stall_is_refused() {
+    // Guards against setting up a call whose caller has cancelled: the remaining wait is unknown after a
+    // stall, and the cancellation may be read after the offer (days/fleet.kdl --virtual --drawn --fleet: seed
+    // 605 with a wait for the first list, seed 1542 without).
     let refused = Final::Refused { retry_after: 0, why: Refusal::JustStarted };
-    let mut w = World::new(Limits::default());
-    w.repeat(1);
-    w.engine.set_input_delay(S);
-    let out = w.pass(S);
+    let mut harness = Harness::new(Limits::default());
+    harness.offer_repeated(1);
+    harness.engine.set_input_delay(S);
+    let out = harness.advance(S);
     assert_eq!((answers(&out), set_ups(&out)), (vec![refused], 0));
-    // Read after the stall: marked, or where nobody marks. A new one, and one by a process so old that no caller of
-    // the one before waits any more, go on.
+    // Read after the stall: offers that are or may be retransmissions are refused. New offers are accepted,
+    // and so are retransmissions once no caller of the previous process can still be waiting.
     assert_eq!(
-        (answers(&w.repeat(2)), answers(&w.said(3, Retransmission::Unknown))),
+        (answers(&harness.offer_repeated(2)), answers(&harness.offer_marked(3, Retransmission::Unknown))),
         (vec![refused], vec![refused])
     );
-    assert!(set_up(&w.offer(4)).is_some());
-    w.engine.set_input_delay(0);
-    assert!(set_up(&w.repeat(5)).is_some());
-    w.pass(30 * S);
-    w.engine.set_input_delay(S);
-    assert!(set_up(&w.repeat(6)).is_some());
+    assert!(set_up(&harness.offer(4)).is_some());
+    harness.engine.set_input_delay(0);
+    assert!(set_up(&harness.offer_repeated(5)).is_some());
+    harness.advance(30 * S);
+    harness.engine.set_input_delay(S);
+    assert!(set_up(&harness.offer_repeated(6)).is_some());
 }
 
 #[test]
-fn a_server_that_nobody_told_of_yet_counts_as_cold_until_the_first_list() {
-    let mut w = World::new(Limits::default());
-    w.engine.expect_server_list(w.now);
-    w.pass(500 * MS);
-    // Many calls at once: no more go to either than a cold one may get. Seed 2741 pushed one over (rule 4).
-    let before = (1..=40).map(|n| set_ups(&w.offer(n))).sum::<usize>();
+fn servers_count_as_cold_until_first_list() {
+    let mut harness = Harness::new(Limits::default());
+    harness.engine.expect_server_list(harness.now);
+    harness.advance(500 * MS);
+    // Many calls at once: neither server gets more than a cold one may. Seed 2741 overloaded one (rule 4).
+    let before = (1..=40).map(|n| set_ups(&harness.offer(n))).sum::<usize>();
     assert!(before <= 4, "{before} set-ups to servers that may be cold");
-    w.input(Input::List(ListKind::Full, vec![entry(0, ServerState::Ready), entry(1, ServerState::Ready)]));
-    let after = (41..=80).map(|n| set_ups(&w.offer(n))).sum::<usize>();
+    harness
+        .input(Input::List(ListKind::Full, vec![entry(0, ServerState::Ready), entry(1, ServerState::Ready)]));
+    let after = (41..=80).map(|n| set_ups(&harness.offer(n))).sum::<usize>();
     assert!(after >= 30, "{after} set-ups to servers that are warm");
-    // No list comes: a second later they count as its configuration says.
-    let mut w = World::new(Limits::default());
-    w.engine.expect_server_list(w.now);
-    w.pass(S + 10 * MS);
-    let after = (1..=40).map(|n| set_ups(&w.offer(n))).sum::<usize>();
+    // Without a list the servers count as configured after one second.
+    let mut harness = Harness::new(Limits::default());
+    harness.engine.expect_server_list(harness.now);
+    harness.advance(S + 10 * MS);
+    let after = (1..=40).map(|n| set_ups(&harness.offer(n))).sum::<usize>();
     assert!(after >= 30, "{after} set-ups after a second without a list");
 }
 
 #[test]
-fn a_caller_that_gives_up_first_gets_one_answer_and_its_attempt_is_released() {
-    let mut w = World::new(Limits::default());
-    let (attempt, _) = set_up(&w.offer(1)).unwrap();
-    let out = w.input(Input::Released { session: session(1), request: request(1, 2) });
+fn cancelled_call_is_answered_once_and_released() {
+    let mut harness = Harness::new(Limits::default());
+    let (attempt, _) = set_up(&harness.offer(1)).unwrap();
+    let out = harness.input(Input::Released { session: session(1), request: request(1, 2) });
     assert_eq!((answers(&out), releases(&out)), (vec![Final::Failed], vec![attempt]));
-    // The set-up stands in that very moment: too late.
-    assert!(w.stands(attempt).is_empty());
-    w.input(Input::ReleaseDone { attempt, report: Report::default() });
-    let rest = w.pass(5 * S);
-    assert_eq!((answers(&rest).len(), set_ups(&rest), w.engine.detached_attempts()), (0, 0, 0));
+    // The server confirms the set-up at the same time: too late.
+    assert!(harness.confirm(attempt).is_empty());
+    harness.input(Input::ReleaseDone { attempt, report: Report::default() });
+    let rest = harness.advance(5 * S);
+    assert_eq!((answers(&rest).len(), set_ups(&rest), harness.engine.detached_attempts()), (0, 0, 0));
 }
 
 #[test]
-fn a_release_by_a_stranger_touches_nothing() {
-    let mut w = World::new(Limits::default());
-    w.standing(1);
-    let mut theirs = session(1);
-    theirs.owner = "stranger.test".into();
-    let out = w.input(Input::Released { session: theirs, request: request(1, 2) });
+fn release_by_other_owner_is_ignored() {
+    let mut harness = Harness::new(Limits::default());
+    harness.establish(1);
+    let mut foreign = session(1);
+    foreign.owner = "stranger.test".into();
+    let out = harness.input(Input::Released { session: foreign, request: request(1, 2) });
     assert!(matches!(out[..], [Output::AnswerRelease { result: ReleaseResult::Unknown, .. }]));
-    assert_eq!(w.engine.calls_held(), 1);
+    assert_eq!(harness.engine.calls_held(), 1);
 }
 
 #[test]
-fn a_silent_watchdog_ends_what_is_out_and_spares_what_stands() {
-    let mut w = World::new(Limits::default());
-    let standing = w.standing(1);
-    let (out_there, server) = set_up(&w.offer(2)).unwrap();
-    // Its transport is still there: the server is told before another one is asked.
-    let out = w.link(server, LinkState::Suspect);
-    assert_eq!((set_ups(&out), releases(&out)), (0, vec![out_there]));
-    let (second, other) = set_up(&w.pass(310 * MS)).expect("goes elsewhere");
+fn suspect_link_ends_in_flight_attempts_only() {
+    let mut harness = Harness::new(Limits::default());
+    let established = harness.establish(1);
+    let (in_flight, server) = set_up(&harness.offer(2)).unwrap();
+    // The transport is still up: the release is sent before another server is tried.
+    let out = harness.link(server, LinkState::Suspect);
+    assert_eq!((set_ups(&out), releases(&out)), (0, vec![in_flight]));
+    let (second, other) = set_up(&harness.advance(310 * MS)).expect("goes elsewhere");
     assert_ne!(other, server);
-    w.stands(second);
-    // Nothing new goes to the suspect.
-    assert!(set_up(&w.offer(3)).is_none_or(|(_, to)| to != server));
-    let out = w.link(server, LinkState::Up(Process::Same));
-    assert!(!releases(&out).contains(&standing));
-    assert_eq!(w.engine.counts().cut, 0);
+    harness.confirm(second);
+    // No new set-up is sent on the suspect link.
+    assert!(set_up(&harness.offer(3)).is_none_or(|(_, to)| to != server));
+    let out = harness.link(server, LinkState::Up(Process::Same));
+    assert!(!releases(&out).contains(&established));
+    assert_eq!(harness.engine.counts().cut, 0);
 }
 
 #[test]
-fn a_release_that_a_suspect_may_not_have_read_is_said_again_once() {
-    let mut w = World::new(Limits::default());
-    let (out_there, server) = set_up(&w.offer(1)).unwrap();
-    assert_eq!(releases(&w.link(server, LinkState::Suspect)), [out_there]);
-    w.pass(2_100 * MS);
-    let out = w.link(server, LinkState::Up(Process::Same));
-    assert_eq!(releases(&out), [out_there]);
-    assert_eq!(w.engine.detached_attempts(), 0);
-    // With its transport goes its release, and is said on the next.
-    let (second, server) = set_up(&w.offer(2)).unwrap();
-    assert_eq!(releases(&w.link(server, LinkState::Suspect)), [second]);
-    assert!(releases(&w.link(server, LinkState::Down)).is_empty());
-    assert_eq!(releases(&w.link(server, LinkState::Up(Process::Same))), [second]);
+fn release_on_suspect_link_is_repeated_once() {
+    let mut harness = Harness::new(Limits::default());
+    let (in_flight, server) = set_up(&harness.offer(1)).unwrap();
+    assert_eq!(releases(&harness.link(server, LinkState::Suspect)), [in_flight]);
+    harness.advance(2_100 * MS);
+    let out = harness.link(server, LinkState::Up(Process::Same));
+    assert_eq!(releases(&out), [in_flight]);
+    assert_eq!(harness.engine.detached_attempts(), 0);
+    // If the connection is lost, its release is sent again on the next one.
+    let (second, server) = set_up(&harness.offer(2)).unwrap();
+    assert_eq!(releases(&harness.link(server, LinkState::Suspect)), [second]);
+    assert!(releases(&harness.link(server, LinkState::Down)).is_empty());
+    assert_eq!(releases(&harness.link(server, LinkState::Up(Process::Same))), [second]);
 }
 
 #[test]
-fn a_restarted_server_has_lost_its_calls() {
-    let mut w = World::new(Limits::default());
-    w.standing(1);
-    w.link(0, LinkState::Down);
-    assert_eq!(w.engine.calls_held(), 1);
-    let out = w.link(0, LinkState::Up(Process::New));
+fn server_restart_cuts_its_calls() {
+    let mut harness = Harness::new(Limits::default());
+    harness.establish(1);
+    harness.link(0, LinkState::Down);
+    assert_eq!(harness.engine.calls_held(), 1);
+    let out = harness.link(0, LinkState::Up(Process::New));
     assert!(out.iter().any(|o| matches!(o, Output::Cut { link: LinkId(1), .. })));
-    assert_eq!((w.engine.calls_held(), releases(&out).len()), (0, 0));
+    assert_eq!((harness.engine.calls_held(), releases(&out).len()), (0, 0));
 }
 
 #[test]
-fn a_drain_told_by_list_or_peer_or_both_stops_set_ups_at_once() {
+fn drain_from_any_source_stops_set_ups() {
     for order in 0..4 {
-        let mut w = World::new(Limits::default());
+        let mut harness = Harness::new(Limits::default());
         let list = Input::List(ListKind::Delta, vec![entry(0, ServerState::Draining)]);
         match order {
-            0 => drop(w.input(list)),
-            1 => drop(w.input(Input::DrainAnnounced(0))),
-            2 => drop((w.input(list), w.input(Input::DrainAnnounced(0)))),
-            _ => drop((w.input(Input::DrainAnnounced(0)), w.input(list))),
+            0 => drop(harness.input(list)),
+            1 => drop(harness.input(Input::DrainAnnounced(0))),
+            2 => drop((harness.input(list), harness.input(Input::DrainAnnounced(0)))),
+            _ => drop((harness.input(Input::DrainAnnounced(0)), harness.input(list))),
         }
         for id in 0..50 {
-            assert!(set_up(&w.offer(id)).is_none_or(|(_, server)| server == 1), "order {order}");
+            assert!(set_up(&harness.offer(id)).is_none_or(|(_, server)| server == 1), "order {order}");
         }
-        assert_eq!(w.engine.held_back(Breach::Drained), 0);
-        // The list may say ready late; while the server itself left, it stays out until another process is there. A
-        // link that was lost and comes back to the same process says nothing.
-        w.input(Input::List(ListKind::Delta, vec![entry(0, ServerState::Ready)]));
-        let back = set_up(&w.offer(60)).is_some_and(|(_, server)| server == 0);
+        assert_eq!(harness.engine.held_back(Breach::Drained), 0);
+        // The list may still report ready: a server that announced the drain itself stays excluded until
+        // another process runs or the announcement expires. A link that reconnects to the same process does
+        // not end the drain.
+        harness.input(Input::List(ListKind::Delta, vec![entry(0, ServerState::Ready)]));
+        let back = set_up(&harness.offer(60)).is_some_and(|(_, server)| server == 0);
         assert_eq!(back, order == 0);
-        w.link(0, LinkState::Down);
-        w.link(0, LinkState::Up(Process::Same));
-        let back = set_up(&w.offer(61)).is_some_and(|(_, server)| server == 0);
+        harness.link(0, LinkState::Down);
+        harness.link(0, LinkState::Up(Process::Same));
+        let back = set_up(&harness.offer(61)).is_some_and(|(_, server)| server == 0);
         assert_eq!(back, order == 0);
-        w.pass(61_000 * MS);
-        w.link(0, LinkState::Up(Process::Same));
-        assert!(set_up(&w.offer(62)).is_some_and(|(_, server)| server == 0));
+        harness.advance(61_000 * MS);
+        harness.link(0, LinkState::Up(Process::Same));
+        assert!(set_up(&harness.offer(62)).is_some_and(|(_, server)| server == 0));
     }
 }
 
 #[test]
-fn a_lost_client_leaves_nothing_behind() {
-    let mut w = World::new(Limits::default());
-    let standing = w.standing(1);
-    let (attempt, _) = set_up(&w.offer(2)).unwrap();
-    w.input(Input::ClientDown(LinkId(1)));
-    // No one is there to be answered, but the call goes on for who asks again.
-    assert!(w.stands(attempt).is_empty());
-    w.client_up(2, false);
-    assert_eq!(answers(&w.offer_by(2, request(2, 1), 0)), [Final::Established]);
-    w.input(Input::ClientDown(LinkId(2)));
-    let out = w.pass(Limits::default().client_absence + S);
-    assert_eq!(releases(&out), [standing, attempt]);
-    w.pass(3 * S);
-    assert_eq!((w.engine.calls_held(), w.engine.detached_attempts(), w.engine.calls_in_set_up()), (0, 0, 0));
+fn calls_of_absent_client_are_released() {
+    let mut harness = Harness::new(Limits::default());
+    let established = harness.establish(1);
+    let (attempt, _) = set_up(&harness.offer(2)).unwrap();
+    harness.input(Input::ClientDown(LinkId(1)));
+    // There is no link for the answer, but the call continues for a repeated request.
+    assert!(harness.confirm(attempt).is_empty());
+    harness.client_up(2, false);
+    assert_eq!(answers(&harness.offer_with(2, request(2, 1), 0)), [Final::Established]);
+    harness.input(Input::ClientDown(LinkId(2)));
+    let out = harness.advance(Limits::default().client_absence + S);
+    assert_eq!(releases(&out), [established, attempt]);
+    harness.advance(3 * S);
+    assert_eq!(
+        (harness.engine.calls_held(), harness.engine.detached_attempts(), harness.engine.calls_in_set_up()),
+        (0, 0, 0)
+    );
 }
 
 #[test]
-fn a_restarted_client_has_its_calls_released() {
-    let mut w = World::new(Limits::default());
-    let standing = w.standing(1);
-    let (attempt, _) = set_up(&w.offer(2)).unwrap();
-    let out = w.client_up(2, true);
-    assert_eq!(releases(&out), [standing, attempt]);
-    assert_eq!((w.engine.calls_held(), answers(&out)), (0, vec![Final::Failed]));
+fn client_restart_releases_its_calls() {
+    let mut harness = Harness::new(Limits::default());
+    let established = harness.establish(1);
+    let (attempt, _) = set_up(&harness.offer(2)).unwrap();
+    let out = harness.client_up(2, true);
+    assert_eq!(releases(&out), [established, attempt]);
+    assert_eq!((harness.engine.calls_held(), answers(&out)), (0, vec![Final::Failed]));
 }
 
 #[test]
-fn bounds_refuse_with_an_answer_of_their_own() {
+fn calls_beyond_limits_are_refused() {
     let limits = Limits {
         calls: 3,
         in_set_up_per_link: 2,
@@ -283,105 +289,106 @@
         detached_attempts: 1,
         ..Limits::default()
     };
-    let mut w = World::new(limits);
-    w.offer(1);
-    w.offer(2);
+    let mut harness = Harness::new(limits);
+    harness.offer(1);
+    harness.offer(2);
     let refused = Final::Refused { retry_after: 0, why: Refusal::Bound };
-    assert_eq!(answers(&w.offer(3)), [refused]);
-    w.client_up(2, false);
-    assert_eq!(set_ups(&w.offer_by(4, request(2, 1), 0)), 1);
-    assert_eq!(answers(&w.offer_by(5, request(2, 2), 0)), [refused]);
-    assert_eq!(w.engine.counts().bound, 2);
-    // Memory of answers and orphans are bounded too, and what is lost is counted.
-    w.offer_by(6, request(2, 3), 0);
-    assert_eq!((w.engine.cached_answers(), w.engine.counts().forgotten), (2, 1));
-    w.link(0, LinkState::Down);
-    w.link(1, LinkState::Down);
-    assert_eq!(w.engine.detached_attempts(), 1);
-    assert!(w.engine.counts().given_up >= 1);
+    assert_eq!(answers(&harness.offer(3)), [refused]);
+    harness.client_up(2, false);
+    assert_eq!(set_ups(&harness.offer_with(4, request(2, 1), 0)), 1);
+    assert_eq!(answers(&harness.offer_with(5, request(2, 2), 0)), [refused]);
+    assert_eq!(harness.engine.counts().bound, 2);
+    // Cached answers and detached attempts are bounded too, and discarded ones are counted.
+    harness.offer_with(6, request(2, 3), 0);
+    assert_eq!((harness.engine.cached_answers(), harness.engine.counts().forgotten), (2, 1));
+    harness.link(0, LinkState::Down);
+    harness.link(1, LinkState::Down);
+    assert_eq!(harness.engine.detached_attempts(), 1);
+    assert!(harness.engine.counts().given_up >= 1);
 }
 
 #[test]
-fn orphans_are_released_in_batches() {
-    let mut w = World::new(Limits::default());
+fn detached_attempts_are_released_in_batches() {
+    let mut harness = Harness::new(Limits::default());
     for id in 0..40 {
-        assert!(set_up(&w.offer_by(id, request(1, u64::from(id)), 0)).is_some());
-        w.pass(MS);
+        assert!(set_up(&harness.offer_with(id, request(1, u64::from(id)), 0)).is_some());
+        harness.advance(MS);
     }
-    w.input(Input::List(ListKind::Delta, vec![entry(1, ServerState::Draining)]));
-    w.link(0, LinkState::Down);
-    let waiting = w.engine.detached_attempts();
-    let at_once = releases(&w.link(0, LinkState::Up(Process::Same))).len();
+    harness.input(Input::List(ListKind::Delta, vec![entry(1, ServerState::Draining)]));
+    harness.link(0, LinkState::Down);
+    let waiting = harness.engine.detached_attempts();
+    let at_once = releases(&harness.link(0, LinkState::Up(Process::Same))).len();
     assert!(waiting > 16 && at_once == 16, "{waiting} {at_once}");
-    let later = releases(&w.pass(500 * MS)).len();
+    let later = releases(&harness.advance(500 * MS)).len();
     assert_eq!(at_once + later, waiting);
 }
 
 #[test]
-fn a_stop_answers_what_is_undecided_and_takes_nothing_new() {
-    let mut w = World::new(Limits::default());
-    w.standing(1);
-    let (attempt, _) = set_up(&w.offer(2)).unwrap();
-    let out = w.input(Input::Stop);
+fn stop_refuses_undecided_and_new_calls() {
+    let mut harness = Harness::new(Limits::default());
+    harness.establish(1);
+    let (attempt, _) = set_up(&harness.offer(2)).unwrap();
+    let out = harness.input(Input::Stop);
     let stopping = Final::Refused { retry_after: 0, why: Refusal::Stopping };
     assert_eq!((answers(&out), releases(&out)), (vec![stopping], vec![attempt]));
-    assert_eq!(answers(&w.offer(3)), [stopping]);
-    assert_eq!(w.engine.calls_held(), 1);
+    assert_eq!(answers(&harness.offer(3)), [stopping]);
+    assert_eq!(harness.engine.calls_held(), 1);
 }
 
-/// Guards against 'refused', which says that trying again is harmless, for a call that may run and must not run twice.
+/// Guards against a refusal, which invites a retry, of a call that may already run and must not run twice.
 #[test]
-fn a_stop_fails_a_call_that_was_sent_and_must_not_run_twice() {
+fn stop_fails_sent_call_that_must_not_run_twice() {
     let mut once = settings();
     once.classes[0].repeat = Repeat::Never;
-    let mut w = World::with(once, Limits::default());
-    let (attempt, _) = set_up(&w.offer(1)).unwrap();
-    let out = w.input(Input::Stop);
+    let mut harness = Harness::with(once, Limits::default());
+    let (attempt, _) = set_up(&harness.offer(1)).unwrap();
+    let out = harness.input(Input::Stop);
     assert_eq!((answers(&out), releases(&out)), (vec![Final::Failed], vec![attempt]));
     let stopping = Final::Refused { retry_after: 0, why: Refusal::Stopping };
-    assert_eq!(answers(&w.offer(2)), [stopping], "what was never sent is refused");
+    assert_eq!(answers(&harness.offer(2)), [stopping], "a call that was never sent is refused");
 }
 
 #[test]
-fn an_own_stall_hears_drains_before_it_sends() {
-    let mut w = World::new(Limits::default());
-    let (attempt, server) = set_up(&w.offer(1)).unwrap();
+fn drain_after_stall_precedes_retry() {
+    let mut harness = Harness::new(Limits::default());
+    let (attempt, server) = set_up(&harness.offer(1)).unwrap();
     assert_eq!(server, 0);
-    w.input(Input::Ended { attempt, end: AttemptEnd::plain(Outcome::Timeout) });
-    w.stall(2 * S);
-    // Both the resend and the drain of the other server fell into the stall.
-    let mut out = w.input(Input::List(ListKind::Delta, vec![entry(1, ServerState::Draining)]));
-    out.extend(w.pass(20 * MS));
+    harness.input(Input::Ended { attempt, end: AttemptEnd::plain(Outcome::Timeout) });
+    harness.stall(2 * S);
+    // Both the retry and the drain of the other server became due during the stall.
+    let mut out = harness.input(Input::List(ListKind::Delta, vec![entry(1, ServerState::Draining)]));
+    out.extend(harness.advance(20 * MS));
     assert!(set_up(&out).is_none_or(|(_, to)| to == 0));
-    out.extend(w.pass(3 * S));
+    out.extend(harness.advance(3 * S));
     assert_eq!(answers(&out).len(), 1);
-    assert_eq!(w.engine.held_back(Breach::Drained), 0);
+    assert_eq!(harness.engine.held_back(Breach::Drained), 0);
 }
 
 #[test]
-fn a_call_ends_by_its_servers_word_also_when_its_answer_was_lost() {
-    let mut w = World::new(Limits::default());
-    let standing = w.standing(1);
-    w.input(Input::Cleared { attempt: standing, report: Report::default() });
-    assert_eq!((w.engine.calls_held(), w.engine.counts().cut), (0, 0));
-    let (attempt, _) = set_up(&w.offer(2)).unwrap();
-    let mut out = w.input(Input::Cleared { attempt, report: Report::default() });
-    out.extend(w.pass(3 * S));
+fn server_clears_call_whose_answer_was_lost() {
+    let mut harness = Harness::new(Limits::default());
+    let established = harness.establish(1);
+    harness.input(Input::Cleared { attempt: established, report: Report::default() });
+    assert_eq!((harness.engine.calls_held(), harness.engine.counts().cut), (0, 0));
+    let (attempt, _) = set_up(&harness.offer(2)).unwrap();
+    let mut out = harness.input(Input::Cleared { attempt, report: Report::default() });
+    out.extend(harness.advance(3 * S));
     assert_eq!((answers(&out), set_ups(&out)), (vec![Final::Failed], 0));
-    assert_eq!(w.engine.calls_held(), 0);
+    assert_eq!(harness.engine.calls_held(), 0);
 }
 
 #[test]
-fn a_call_that_stands_already_is_taken_over_once() {
-    let mut w = World::new(Limits::default());
-    let adopted = |w: &mut World| w.input(Input::Adopted { session: session(1), class: 0, server: 0 });
-    let out = adopted(&mut w);
+fn established_call_is_adopted_once() {
+    let mut harness = Harness::new(Limits::default());
+    let adopted =
+        |harness: &mut Harness| harness.input(Input::Adopted { session: session(1), class: 0, server: 0 });
+    let out = adopted(&mut harness);
     let Some(Output::Adopted { attempt, server: 0, .. }) = out.first() else { panic!("{out:?}") };
-    assert_eq!(w.engine.call_status(&session(1)), Some(CallStatus::Established));
+    assert_eq!(harness.engine.call_status(&session(1)), Some(CallStatus::Established));
     let attempt = *attempt;
-    assert!(adopted(&mut w).is_empty());
-    let out = w.input(Input::Released { session: session(1), request: request(1, 50) });
+    assert!(adopted(&mut harness).is_empty());
+    let out = harness.input(Input::Released { session: session(1), request: request(1, 50) });
     assert_eq!((releases(&out), set_ups(&out)), (vec![attempt], 0));
-    assert_eq!(w.engine.call_status(&session(1)), Some(CallStatus::Ended));
-    assert_eq!(w.engine.call_status(&session(2)), None);
+    assert_eq!(harness.engine.call_status(&session(1)), Some(CallStatus::Ended));
+    assert_eq!(harness.engine.call_status(&session(2)), None);
 }
--- a/crates/call/tests/common/mod.rs
+++ b/crates/call/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! An engine with its world in virtual time: links are up, servers answer only when a test says so.
+//! An engine in virtual time with all links up; servers answer only when a test makes them.
 
-#![allow(dead_code)] // Each test file uses its part.
+#![allow(dead_code)] // Each test file uses only some of the helpers.
 
 use std::sync::Arc;
 
@@ -74,39 +74,39 @@
     }
 }
 
-pub struct World {
+pub struct Harness {
     pub engine: Engine<u32>,
     pub now: Micros,
     pub out: Vec<Output<u32>>,
 }
 
-impl World {
-    /// Servers 0 and 1 are ready, their links and client link 1 up.
+impl Harness {
+    /// A harness in which servers 0 and 1 are ready and their links and client link 1 are up.
     pub fn new(limits: Limits) -> Self {
         Self::with(settings(), limits)
     }
 
     pub fn with(settings: Settings, limits: Limits) -> Self {
         let engine = Engine::new(settings, limits, 7).expect("settings are good");
-        let mut world = Self { engine, now: S, out: Vec::new() };
+        let mut harness = Self { engine, now: S, out: Vec::new() };
         let entries = vec![entry(0, ServerState::Ready), entry(1, ServerState::Ready)];
-        world.input(Input::List(ListKind::Full, entries));
+        harness.input(Input::List(ListKind::Full, entries));
         for server in [0, 1] {
-            world.link(server, LinkState::Up(Process::Same));
+            harness.link(server, LinkState::Up(Process::Same));
         }
-        world.client_up(1, false);
-        world
+        harness.client_up(1, false);
+        harness
     }
 
-    /// Hands over one input; what came out of it.
+    /// Passes one input to the engine; returns the outputs.
     pub fn input(&mut self, input: Input<u32>) -> Vec<Output<u32>> {
         self.out.clear();
         self.engine.handle(self.now, input, &mut self.out);
         self.out.clone()
     }
 
-    /// Lets time pass, wake by wake; all that came out.
-    pub fn pass(&mut self, span: Micros) -> Vec<Output<u32>> {
+    /// Advances time and fires all timers on the way; returns the outputs.
+    pub fn advance(&mut self, span: Micros) -> Vec<Output<u32>> {
         let until = self.now + span;
         let mut all = Vec::new();
         while let Some(at) = self.engine.next_wake().filter(|at| *at <= until) {
@@ -117,7 +117,7 @@
         all
     }
 
-    /// The process stands still: nothing is handled until its end.
+    /// Stalls the process: time advances, but no timers fire.
     pub fn stall(&mut self, span: Micros) {
         self.now += span;
     }
@@ -130,37 +130,37 @@
         self.input(Input::ClientUp { link: LinkId(link), owner: Arc::from("client.test"), restarted })
     }
 
-    pub fn offer_by(&mut self, id: u32, request: Request, first: u16) -> Vec<Output<u32>> {
+    pub fn offer_with(&mut self, id: u32, request: Request, first: u16) -> Vec<Output<u32>> {
         self.input(Input::Offered(offered(id, request, first)))
     }
 
-    /// A call that its client marks as said before.
-    pub fn repeat(&mut self, id: u32) -> Vec<Output<u32>> {
-        self.said(id, Retransmission::Repeated)
+    /// Offers a call that the client marks as a retransmission.
+    pub fn offer_repeated(&mut self, id: u32) -> Vec<Output<u32>> {
+        self.offer_marked(id, Retransmission::Repeated)
     }
 
-    pub fn said(&mut self, id: u32, said: Retransmission) -> Vec<Output<u32>> {
+    pub fn offer_marked(&mut self, id: u32, retransmission: Retransmission) -> Vec<Output<u32>> {
         let offer = offered(id, request(1, u64::from(id)), 0);
-        self.input(Input::Offered(Offer { retransmission: said, ..offer }))
+        self.input(Input::Offered(Offer { retransmission, ..offer }))
     }
 
     pub fn offer(&mut self, id: u32) -> Vec<Output<u32>> {
-        self.offer_by(id, request(1, u64::from(id)), 0)
+        self.offer_with(id, request(1, u64::from(id)), 0)
     }
 
-    pub fn stands(&mut self, attempt: AttemptId) -> Vec<Output<u32>> {
+    pub fn confirm(&mut self, attempt: AttemptId) -> Vec<Output<u32>> {
         self.input(Input::Established { attempt, report: Report::default() })
     }
 
-    /// Offers a call that stands at once; its attempt.
-    pub fn standing(&mut self, id: u32) -> AttemptId {
+    /// Offers a call that is established at once; returns its attempt.
+    pub fn establish(&mut self, id: u32) -> AttemptId {
         let attempt = set_up(&self.offer(id)).expect("a ready server").0;
-        assert_eq!(answers(&self.stands(attempt)), [Final::Established]);
+        assert_eq!(answers(&self.confirm(attempt)), [Final::Established]);
         attempt
     }
 }
 
-/// The first set-up among outputs: attempt and server.
+/// Attempt and server of the first set-up among outputs.
 pub fn set_up(out: &[Output<u32>]) -> Option<(AttemptId, u64)> {
     out.iter().find_map(|o| match o {
         Output::SetUp { attempt, server, .. } => Some((*attempt, *server)),
--- a/crates/call/tests/properties.rs
+++ b/crates/call/tests/properties.rs
@@ -1,4 +1,5 @@
-//! Whatever happens in whatever order: one answer a request, one attempt a call, guards kept, nothing left.
+//! Invariants under random event sequences: one answer per request, one attempt at a time per call, hold-offs
+//! kept and nothing left over.
 
 mod common;
 
@@ -17,7 +18,7 @@
     Release(u32),
     Answer(usize, u8),
     Cut(usize),
-    Pass(u16),
+    Advance(u16),
     Stall(u16),
     Link(u64, u8),
     State(u64, u8),
@@ -31,7 +32,7 @@
         2 => (0u32..40).prop_map(Step::Release),
         6 => (0usize..50, 0u8..6).prop_map(|(pick, how)| Step::Answer(pick, how)),
         1 => (0usize..50).prop_map(Step::Cut),
-        4 => (0u16..1500).prop_map(Step::Pass),
+        4 => (0u16..1500).prop_map(Step::Advance),
         1 => (0u16..3000).prop_map(Step::Stall),
         2 => (0u64..2, 0u8..4).prop_map(|(server, to)| Step::Link(server, to)),
         1 => (0u64..2, 0u8..3).prop_map(|(server, to)| Step::State(server, to)),
@@ -41,62 +42,68 @@
     proptest::collection::vec(step, 1..120)
 }
 
-/// What crossed the border, checked as it does.
+/// Records the engine's outputs and checks them against the invariants.
 #[derive(Default)]
 struct Ledger {
-    out: BTreeMap<Session, AttemptId>,
-    ended_unsure: BTreeMap<Session, Micros>,
+    in_flight: BTreeMap<Session, AttemptId>,
+    unconfirmed_ends: BTreeMap<Session, Micros>,
     sessions: BTreeMap<AttemptId, Session>,
-    at: BTreeMap<AttemptId, u64>,
+    servers: BTreeMap<AttemptId, u64>,
     sent: BTreeMap<Session, u32>,
     answered: BTreeMap<Session, baydrift_call::Final>,
-    asked: BTreeMap<u64, Session>,
+    pending: BTreeMap<u64, Session>,
     attempts: Vec<AttemptId>,
 }
 
 impl Ledger {
-    fn see(&mut self, now: Micros, outputs: &[Output<u32>]) {
+    fn check(&mut self, now: Micros, outputs: &[Output<u32>]) {
         for output in outputs {
             match output {
                 Output::SetUp { attempt, session, server, .. } => {
                     assert!(!self.answered.contains_key(session), "set-up after the answer");
-                    assert!(self.out.insert(session.clone(), *attempt).is_none(), "two attempts out");
-                    let unsure = self.ended_unsure.get(session);
                     assert!(
-                        unsure.is_none_or(|at| now >= at + 300 * MS),
-                        "{now}: within the guard: {output:?} {unsure:?}"
+                        self.in_flight.insert(session.clone(), *attempt).is_none(),
+                        "two attempts in flight"
+                    );
+                    let ended = self.unconfirmed_ends.get(session);
+                    assert!(
+                        ended.is_none_or(|at| now >= at + 300 * MS),
+                        "{now}: within the hold-off: {output:?} {ended:?}"
                     );
                     let sent = self.sent.entry(session.clone()).or_default();
                     *sent += 1;
                     assert!(*sent <= 5);
                     self.sessions.insert(*attempt, session.clone());
-                    self.at.insert(*attempt, *server);
+                    self.servers.insert(*attempt, *server);
                     self.attempts.push(*attempt);
                 }
-                Output::Release { attempt, .. } => self.unsure(now, *attempt),
+                Output::Release { attempt, .. } => self.end_unconfirmed(now, *attempt),
                 Output::Answer { request, session, answer } => {
-                    assert_eq!(self.asked.remove(&request.ticket).as_ref(), Some(session), "not asked for");
+                    assert_eq!(
+                        self.pending.remove(&request.ticket).as_ref(),
+                        Some(session),
+                        "answer to a request that is not pending"
+                    );
                     let first = self.answered.entry(session.clone()).or_insert(*answer);
-                    assert_eq!(first, answer, "another answer than before");
-                    self.out.remove(session);
+                    assert_eq!(first, answer, "answer differs from the first one");
+                    self.in_flight.remove(session);
                 }
                 _ => {}
             }
         }
     }
 
-    fn unsure(&mut self, now: Micros, attempt: AttemptId) {
+    fn end_unconfirmed(&mut self, now: Micros, attempt: AttemptId) {
         if let Some(session) = self.sessions.get(&attempt) {
-            if self.out.get(session) == Some(&attempt) {
-                self.out.remove(session);
-                self.ended_unsure.insert(session.clone(), now);
+            if self.in_flight.get(session) == Some(&attempt) {
+                self.in_flight.remove(session);
+                self.unconfirmed_ends.insert(session.clone(), now);
             }
         }
     }
 }
 
-/// The same cases each time, so that the verdict is the same; `PROPTEST_CASES` and `PROPTEST_RNG_SEED` look
-/// further.
+/// A fixed seed makes runs reproducible; set `PROPTEST_CASES` and `PROPTEST_RNG_SEED` to explore other cases.
 fn config() -> ProptestConfig {
     let wider = std::env::var_os("PROPTEST_CASES").is_some();
     let fixed = ProptestConfig { cases: 192, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() };
@@ -104,32 +111,32 @@
     ProptestConfig { failure_persistence: None, ..config }
 }
 
-/// Lets time pass, wake by wake, with an eye on what comes out.
-fn pass(w: &mut World, ledger: &mut Ledger, span: Micros) {
-    let until = w.now + span;
-    while let Some(at) = w.engine.next_wake().filter(|at| *at <= until) {
-        w.now = w.now.max(at);
-        let out = w.input(Input::Tick);
-        ledger.see(w.now, &out);
+/// Advances time, fires all timers on the way and checks the outputs.
+fn advance(harness: &mut Harness, ledger: &mut Ledger, span: Micros) {
+    let until = harness.now + span;
+    while let Some(at) = harness.engine.next_wake().filter(|at| *at <= until) {
+        harness.now = harness.now.max(at);
+        let out = harness.input(Input::Tick);
+        ledger.check(harness.now, &out);
     }
-    w.now = until;
+    harness.now = until;
 }
 
 proptest! {
     #![proptest_config(config())]
 
     #[test]
-    fn rules_hold_whatever_comes(steps in steps()) {
-        let mut w = World::new(Limits::default());
+    fn rules_hold_for_random_sequences(steps in steps()) {
+        let mut harness = Harness::new(Limits::default());
         let mut ledger = Ledger::default();
         let (mut ticket, mut link) = (1_000u64, 1u64);
         for step in steps {
             let input = match step {
                 Step::Offer(id, first) => {
                     ticket += 1;
-                    ledger.asked.insert(ticket, session(id));
-                    let out = w.offer_by(id, request(link, ticket), first);
-                    ledger.see(w.now, &out);
+                    ledger.pending.insert(ticket, session(id));
+                    let out = harness.offer_with(id, request(link, ticket), first);
+                    ledger.check(harness.now, &out);
                     continue;
                 }
                 Step::Release(id) => Input::Released { session: session(id), request: request(link, 0) },
@@ -145,10 +152,10 @@
                         how => {
                             let outcome = outcomes[usize::from(how) - 1];
                             if matches!(outcome, Outcome::Reset | Outcome::Timeout) {
-                                ledger.unsure(w.now, attempt);
+                                ledger.end_unconfirmed(harness.now, attempt);
                             } else if let Some(session) = ledger.sessions.get(&attempt) {
-                                if ledger.out.get(session) == Some(&attempt) {
-                                    ledger.out.remove(session);
+                                if ledger.in_flight.get(session) == Some(&attempt) {
+                                    ledger.in_flight.remove(session);
                                 }
                             }
                             Input::Ended { attempt, end: AttemptEnd { outcome, note: Note::None, report } }
@@ -159,15 +166,15 @@
                     let Some(attempt) = ledger.attempts.get(pick % ledger.attempts.len().max(1)).copied() else {
                         continue;
                     };
-                    ledger.unsure(w.now, attempt);
+                    ledger.end_unconfirmed(harness.now, attempt);
                     Input::Cut { attempt, report: Report::default() }
                 }
-                Step::Pass(ms) => {
-                    pass(&mut w, &mut ledger, u64::from(ms) * MS);
+                Step::Advance(ms) => {
+                    advance(&mut harness, &mut ledger, u64::from(ms) * MS);
                     continue;
                 }
                 Step::Stall(ms) => {
-                    w.stall(u64::from(ms) * MS);
+                    harness.stall(u64::from(ms) * MS);
                     continue;
                 }
                 Step::Link(server, to) => {
@@ -177,12 +184,12 @@
                         2 => LinkState::Up(Process::New),
                         _ => LinkState::Up(Process::Same),
                     };
-                    // Whatever was out there is out no more, with or without a release.
+                    // In-flight attempts at the server end, with or without a release.
                     if !matches!(state, LinkState::Up(Process::Same)) {
-                        let there = |attempt: &&AttemptId| ledger.at.get(attempt) == Some(&server);
-                        let out: Vec<_> = ledger.out.values().filter(there).copied().collect();
+                        let there = |attempt: &&AttemptId| ledger.servers.get(attempt) == Some(&server);
+                        let out: Vec<_> = ledger.in_flight.values().filter(there).copied().collect();
                         for attempt in out {
-                            ledger.unsure(w.now, attempt);
+                            ledger.end_unconfirmed(harness.now, attempt);
                         }
                     }
                     Input::ServerLink { server, state }
@@ -193,56 +200,56 @@
                 }
                 Step::ClientRestart => {
                     link += 1;
-                    let out = w.client_up(link, true);
-                    ledger.see(w.now, &out);
-                    let out = w.input(Input::ClientDown(LinkId(link - 1)));
-                    ledger.see(w.now, &out);
+                    let out = harness.client_up(link, true);
+                    ledger.check(harness.now, &out);
+                    let out = harness.input(Input::ClientDown(LinkId(link - 1)));
+                    ledger.check(harness.now, &out);
                     continue;
                 }
                 Step::ClientLost => {
-                    ledger.asked.clear();
-                    let out = w.input(Input::ClientDown(LinkId(link)));
-                    ledger.see(w.now, &out);
+                    ledger.pending.clear();
+                    let out = harness.input(Input::ClientDown(LinkId(link)));
+                    ledger.check(harness.now, &out);
                     link += 1;
-                    w.client_up(link, false);
+                    harness.client_up(link, false);
                     continue;
                 }
             };
-            let out = w.input(input);
-            ledger.see(w.now, &out);
+            let out = harness.input(input);
+            ledger.check(harness.now, &out);
         }
-        // Time runs out for all: every request is answered, and nothing is held but what stands.
-        pass(&mut w, &mut ledger, 5 * S);
-        w.input(Input::ClientDown(LinkId(link)));
-        prop_assert!(ledger.asked.is_empty(), "unanswered: {:?}", ledger.asked);
-        w.pass(60 * S);
-        prop_assert_eq!((w.engine.calls_held(), w.engine.calls_in_set_up()), (0, 0));
+        // After all deadlines every request is answered; after the client's absence no calls are left.
+        advance(&mut harness, &mut ledger, 5 * S);
+        harness.input(Input::ClientDown(LinkId(link)));
+        prop_assert!(ledger.pending.is_empty(), "unanswered: {:?}", ledger.pending);
+        harness.advance(60 * S);
+        prop_assert_eq!((harness.engine.calls_held(), harness.engine.calls_in_set_up()), (0, 0));
         for breach in [Breach::SecondAttempt, Breach::Answered, Breach::TooSoon, Breach::TooMany] {
-            prop_assert_eq!(w.engine.held_back(breach), 0, "{:?}", breach);
+            prop_assert_eq!(harness.engine.held_back(breach), 0, "{:?}", breach);
         }
     }
 }
 
-/// The last line holds back each breach by itself, whatever the module asks.
+/// The guard blocks each kind of violation on its own, independent of the policy.
 #[test]
-fn the_guard_catches_each_breach() {
+fn guard_blocks_each_breach() {
     let mut guard = Guard::new(&settings(), S, Some(2.0));
     let now = 10 * S;
-    let fine = CallProgress::default();
-    assert_eq!(guard.check(now, fine, 0, None, false), Ok(()));
+    let unsent = CallProgress::default();
+    assert_eq!(guard.check(now, unsent, 0, None, false), Ok(()));
     let cases = [
-        (CallProgress { out: true, ..fine }, None, Breach::SecondAttempt),
-        (CallProgress { sent: 5, ..fine }, None, Breach::TooMany),
-        (fine, Some(now - S - 1), Breach::Drained),
-        (CallProgress { unsure_at: Some(now - 299 * MS), ..fine }, None, Breach::TooSoon),
+        (CallProgress { in_flight: true, ..unsent }, None, Breach::SecondAttempt),
+        (CallProgress { sent: 5, ..unsent }, None, Breach::TooMany),
+        (unsent, Some(now - S - 1), Breach::Drained),
+        (CallProgress { unconfirmed_end_at: Some(now - 299 * MS), ..unsent }, None, Breach::TooSoon),
     ];
-    for (before, left_at, breach) in cases {
-        assert_eq!(guard.check(now, before, 0, left_at, false), Err(breach));
+    for (progress, unavailable_since, breach) in cases {
+        assert_eq!(guard.check(now, progress, 0, unavailable_since, false), Err(breach));
         assert_eq!(guard.held_back(breach), 1);
     }
-    assert_eq!(guard.check(now, fine, 0, Some(now - S), false), Ok(()));
-    // A cold server: 2 a second and a burst of 3.
-    let sent = (0..40).filter(|i| guard.check(now + i * 100 * MS, fine, 1, None, true).is_ok()).count();
+    assert_eq!(guard.check(now, unsent, 0, Some(now - S), false), Ok(()));
+    // A cold server: 2 per second and a burst of 3.
+    let sent = (0..40).filter(|i| guard.check(now + i * 100 * MS, unsent, 1, None, true).is_ok()).count();
     assert!((9..=11).contains(&sent), "{sent}");
     assert!(guard.held_back(Breach::Cold) > 0);
 }
