--- a/crates/call/src/engine.rs
+++ b/crates/call/src/engine.rs
@@ -324,7 +324,7 @@
     }
 
     /// Whether the engine tracks an attempt: in flight, established, or awaiting the answer to its release.
-    pub fn holds(&self, attempt: AttemptId) -> bool {
+    pub fn has_attempt(&self, attempt: AttemptId) -> bool {
         self.attempts.contains_key(&attempt)
     }
 
@@ -350,7 +350,7 @@
     }
 
     /// Calls in set-up or established.
-    pub fn calls_held(&self) -> usize {
+    pub fn active_calls(&self) -> usize {
         self.calls.len()
     }
 
@@ -397,7 +397,7 @@
                 self.send(call, server, (timeout, begin_within), out);
             }
             Action::Refuse { call, retry_after } => {
-                self.answer_decided(call, Final::Refused { retry_after, why: Refusal::Decided }, out);
+                self.answer_decided(call, Final::Refused { retry_after, why: Refusal::ByPolicy }, out);
             }
             Action::Fail(call) => self.answer_decided(call, Final::Failed, out),
             Action::Cancel { call, attempt } => self.cancel(call, attempt, out),
@@ -544,7 +544,7 @@
         let on_link = self.in_set_up.get(&request.link).copied().unwrap_or(0);
         let full = self.calls.len() >= self.limits.calls || on_link >= self.limits.in_set_up_per_link;
         if full || self.stopping {
-            let why = if self.stopping { Refusal::Stopping } else { Refusal::Bound };
+            let why = if self.stopping { Refusal::Stopping } else { Refusal::LimitReached };
             self.counts.bound += u64::from(full);
             return self.reject(*request, session.clone(), 0, why, out);
         }
--- a/crates/call/src/types.rs
+++ b/crates/call/src/types.rs
@@ -224,9 +224,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
     /// The policy decided so.
-    Decided,
+    ByPolicy,
     /// A limit of the engine is reached.
-    Bound,
+    LimitReached,
     /// The front is shutting down.
     Stopping,
     /// The front has just started and cannot know whether a previous process has the call in flight.
--- a/crates/call/tests/calls.rs
+++ b/crates/call/tests/calls.rs
@@ -19,7 +19,7 @@
     assert_eq!(releases(&out), [attempt]);
     assert!(out.iter().any(|o| matches!(o, Output::AnswerRelease { result: ReleaseResult::Done, .. })));
     harness.input(Input::ReleaseDone { attempt, report: Report::default() });
-    assert_eq!((harness.engine.calls_held(), harness.engine.detached_attempts()), (0, 0));
+    assert_eq!((harness.engine.active_calls(), harness.engine.detached_attempts()), (0, 0));
 }
 
 #[test]
@@ -171,7 +171,7 @@
     foreign.owner = "stranger.test".into();
     let out = harness.input(Input::Released { session: foreign, request: request(1, 2) });
     assert!(matches!(out[..], [Output::AnswerRelease { result: ReleaseResult::Unknown, .. }]));
-    assert_eq!(harness.engine.calls_held(), 1);
+    assert_eq!(harness.engine.active_calls(), 1);
 }
 
 #[test]
@@ -213,10 +213,10 @@
     let mut harness = Harness::new(Limits::default());
     harness.establish(1);
     harness.link(0, LinkState::Down);
-    assert_eq!(harness.engine.calls_held(), 1);
+    assert_eq!(harness.engine.active_calls(), 1);
     let out = harness.link(0, LinkState::Up(Process::New));
     assert!(out.iter().any(|o| matches!(o, Output::Cut { link: LinkId(1), .. })));
-    assert_eq!((harness.engine.calls_held(), releases(&out).len()), (0, 0));
+    assert_eq!((harness.engine.active_calls(), releases(&out).len()), (0, 0));
 }
 
 #[test]
@@ -265,7 +265,7 @@
     assert_eq!(releases(&out), [established, attempt]);
     harness.advance(3 * S);
     assert_eq!(
-        (harness.engine.calls_held(), harness.engine.detached_attempts(), harness.engine.calls_in_set_up()),
+        (harness.engine.active_calls(), harness.engine.detached_attempts(), harness.engine.calls_in_set_up()),
         (0, 0, 0)
     );
 }
@@ -277,7 +277,7 @@
     let (attempt, _) = set_up(&harness.offer(2)).unwrap();
     let out = harness.client_up(2, true);
     assert_eq!(releases(&out), [established, attempt]);
-    assert_eq!((harness.engine.calls_held(), answers(&out)), (0, vec![Final::Failed]));
+    assert_eq!((harness.engine.active_calls(), answers(&out)), (0, vec![Final::Failed]));
 }
 
 #[test]
@@ -292,7 +292,7 @@
     let mut harness = Harness::new(limits);
     harness.offer(1);
     harness.offer(2);
-    let refused = Final::Refused { retry_after: 0, why: Refusal::Bound };
+    let refused = Final::Refused { retry_after: 0, why: Refusal::LimitReached };
     assert_eq!(answers(&harness.offer(3)), [refused]);
     harness.client_up(2, false);
     assert_eq!(set_ups(&harness.offer_with(4, request(2, 1), 0)), 1);
@@ -332,7 +332,7 @@
     let stopping = Final::Refused { retry_after: 0, why: Refusal::Stopping };
     assert_eq!((answers(&out), releases(&out)), (vec![stopping], vec![attempt]));
     assert_eq!(answers(&harness.offer(3)), [stopping]);
-    assert_eq!(harness.engine.calls_held(), 1);
+    assert_eq!(harness.engine.active_calls(), 1);
 }
 
 /// Guards against a refusal, which invites a retry, of a call that may already run and must not run twice.
@@ -369,12 +369,12 @@
     let mut harness = Harness::new(Limits::default());
     let established = harness.establish(1);
     harness.input(Input::Cleared { attempt: established, report: Report::default() });
-    assert_eq!((harness.engine.calls_held(), harness.engine.counts().cut), (0, 0));
+    assert_eq!((harness.engine.active_calls(), harness.engine.counts().cut), (0, 0));
     let (attempt, _) = set_up(&harness.offer(2)).unwrap();
     let mut out = harness.input(Input::Cleared { attempt, report: Report::default() });
     out.extend(harness.advance(3 * S));
     assert_eq!((answers(&out), set_ups(&out)), (vec![Final::Failed], 0));
-    assert_eq!(harness.engine.calls_held(), 0);
+    assert_eq!(harness.engine.active_calls(), 0);
 }
 
 #[test]
--- a/crates/call/tests/properties.rs
+++ b/crates/call/tests/properties.rs
@@ -223,7 +223,7 @@
         harness.input(Input::ClientDown(LinkId(link)));
         prop_assert!(ledger.pending.is_empty(), "unanswered: {:?}", ledger.pending);
         harness.advance(60 * S);
-        prop_assert_eq!((harness.engine.calls_held(), harness.engine.calls_in_set_up()), (0, 0));
+        prop_assert_eq!((harness.engine.active_calls(), harness.engine.calls_in_set_up()), (0, 0));
         for breach in [Breach::SecondAttempt, Breach::Answered, Breach::TooSoon, Breach::TooMany] {
             prop_assert_eq!(harness.engine.held_back(breach), 0, "{:?}", breach);
         }
--- a/crates/desk/src/desk.rs
+++ b/crates/desk/src/desk.rs
@@ -495,7 +495,7 @@
     /// What is held.
     pub fn held(&self) -> Held {
         Held {
-            calls: self.engine.calls_held(),
+            calls: self.engine.active_calls(),
             in_set_up: self.engine.calls_in_set_up(),
             orphans: self.engine.detached_attempts(),
             tickets: self.tickets.len(),
@@ -629,7 +629,7 @@
             self.link(now, server, LinkState::Up(Process::Unknown), out);
             // What the engine gave up while the far end was out of reach still has its circuit at both ends.
             for (attempt, server) in self.trunk.attempts() {
-                if !self.engine.holds(attempt) {
+                if !self.engine.has_attempt(attempt) {
                     self.trunk.release(now, attempt, server);
                 }
             }
--- a/crates/desk/tests/desk.rs
+++ b/crates/desk/tests/desk.rs
@@ -121,7 +121,7 @@
         let end = end_of(&message).unwrap();
         assert_eq!((end.outcome, end.note, end.report.wait_s), (outcome, note, Some(2.5)), "{code}");
     }
-    let refused = Final::Refused { retry_after: 0, why: Refusal::Decided };
+    let refused = Final::Refused { retry_after: 0, why: Refusal::ByPolicy };
     let codes = [Final::Established, refused, Final::Failed].map(|answer| code_of(answer).0);
     assert_eq!(codes, [result::SUCCESS, result::TOO_BUSY, result::UNABLE_TO_COMPLY]);
 }
