--- a/crates/call/src/budgets.rs
+++ b/crates/call/src/budgets.rs
@@ -36,7 +36,7 @@
 #[derive(Debug)]
 struct ServerBudget {
     escrow: Escrow,
-    seeker: Seeker,
+    borrower: Seeker,
     /// The latest report to the policy.
     reported: Option<ReportedShare>,
 }
@@ -93,7 +93,7 @@
             // `false`: a previous process may have spent or lent units, which are withheld until that has
             // expired.
             let escrow = Escrow::new(Terms::default(), budget, share, ordinal, incarnation, now, false);
-            ServerBudget { escrow, seeker: Seeker::new(Seeking::default(), share, ordinal), reported: None }
+            ServerBudget { escrow, borrower: Seeker::new(Seeking::default(), share, ordinal), reported: None }
         })
     }
 
@@ -103,12 +103,12 @@
     }
 
     /// Handles a message of another front; returns the reply, if any.
-    pub(crate) fn handle(&mut self, now: Micros, from: u32, word: &[u8]) -> Option<Vec<u8>> {
-        let word = Word::read(word).ok()?;
+    pub(crate) fn handle(&mut self, now: Micros, from: u32, message: &[u8]) -> Option<Vec<u8>> {
+        let message = Word::read(message).ok()?;
         // Messages of other fronts create no budgets: only those of servers in this front's pool exist.
-        let budget = self.budgets.get_mut(&word.budget().0)?;
-        let reserve = budget.seeker.reserve(now, &budget.escrow);
-        budget.escrow.hear(now, from, &word, reserve).map(|answer| answer.write())
+        let budget = self.budgets.get_mut(&message.budget().0)?;
+        let reserve = budget.borrower.reserve(now, &budget.escrow);
+        budget.escrow.hear(now, from, &message, reserve).map(|reply| reply.write())
     }
 
     /// Advances time; returns messages to other fronts and changed shares. `servers` are all servers in the
@@ -128,10 +128,10 @@
         let per_server = f64::from(self.offered.iter().sum::<u32>()) / ready.max(1) as f64;
         let mut update = BudgetUpdate::default();
         for (server, ready, cold) in servers {
-            let ServerBudget { escrow, seeker, reported } = self.budget(now, *server);
-            seeker.demands(now, if *ready && *cold { per_server } else { 0.0 }, escrow);
-            let words = seeker.words(now, escrow, &may_live);
-            update.messages.extend(words.into_iter().map(|(to, word)| (to, word.write())));
+            let ServerBudget { escrow, borrower, reported } = self.budget(now, *server);
+            borrower.demands(now, if *ready && *cold { per_server } else { 0.0 }, escrow);
+            let messages = borrower.words(now, escrow, &may_live);
+            update.messages.extend(messages.into_iter().map(|(to, message)| (to, message.write())));
             // A restarted process is a new server to the policy, so its share is reported again.
             let share = ReportedShare { here: escrow.holdings().here(), ready: *ready, cold: *cold };
             if *reported != Some(share) {
--- a/crates/call/src/engine/fleet.rs
+++ b/crates/call/src/engine/fleet.rs
@@ -2,7 +2,7 @@
 
 use baydrift::interface::{Event, Micros, ServerId};
 use baydrift_budget::Holdings;
-use baydrift_fleet::{Lives, Spec as LivesSpec, Terms as LivesTerms};
+use baydrift_fleet::{Lives, Spec as MembershipSpec, Terms as MembershipTerms};
 
 use super::Engine;
 use crate::budgets::{BudgetSharing, BudgetUpdate, SharedBudgets, UPDATE_INTERVAL};
@@ -30,8 +30,8 @@
 
     pub(super) fn update_budgets(&mut self, out: &mut Vec<Output<P>>) {
         let Some(budgets) = self.budgets.as_mut() else { return };
-        let lives = self.membership.as_ref();
-        let may_live = |ordinal| lives.is_none_or(|lives| lives.may_live(ordinal));
+        let membership = self.membership.as_ref();
+        let may_live = |ordinal| membership.is_none_or(|membership| membership.may_live(ordinal));
         let BudgetUpdate { messages, shares } =
             budgets.update(self.now, &self.pool.warm_up_states(self.now), may_live);
         out.extend(messages.iter().map(|(to, body)| message(BUDGET_MESSAGE, *to, body)));
@@ -40,8 +40,8 @@
     }
 
     /// Exchanges membership messages with the other fronts.
-    pub fn enable_membership(&mut self, spec: LivesSpec) {
-        self.membership = Some(Lives::new(LivesTerms::default(), spec, self.now));
+    pub fn enable_membership(&mut self, spec: MembershipSpec) {
+        self.membership = Some(Lives::new(MembershipTerms::default(), spec, self.now));
         self.timers.set(self.now, Timer::Membership);
     }
 
@@ -57,21 +57,22 @@
 
     pub(super) fn update_membership(&mut self, out: &mut Vec<Output<P>>) {
         self.send_membership(out);
-        let Some(lives) = self.membership.as_ref() else { return };
+        let Some(membership) = self.membership.as_ref() else { return };
         // One timer per interval: what a message from another front makes due earlier waits for this timer.
-        let at = lives.next_wake().clamp(self.now + MEMBERSHIP_MIN_INTERVAL, self.now + UPDATE_INTERVAL);
+        let at = membership.next_wake().clamp(self.now + MEMBERSHIP_MIN_INTERVAL, self.now + UPDATE_INTERVAL);
         self.timers.set(at, Timer::Membership);
     }
 
     fn send_membership(&mut self, out: &mut Vec<Output<P>>) {
-        let messages = self.membership.as_mut().map(|lives| lives.beat(self.now)).unwrap_or_default();
+        let messages =
+            self.membership.as_mut().map(|membership| membership.beat(self.now)).unwrap_or_default();
         out.extend(messages.iter().map(|(to, body)| message(MEMBERSHIP_MESSAGE, *to, body)));
     }
 
     /// Handles a membership message. Replies are sent at once, since a probe may wait for them.
     fn handle_membership(&mut self, from: u32, body: &[u8], out: &mut Vec<Output<P>>) {
-        let Some(lives) = self.membership.as_mut() else { return };
-        match lives.hear(self.now, from, body) {
+        let Some(membership) = self.membership.as_mut() else { return };
+        match membership.hear(self.now, from, body) {
             Ok(()) => self.send_membership(out),
             Err(error) => {
                 out.push(Output::Log(format!("invalid membership message from front {from}: {error}")))
