--- a/crates/cli/src/trunks.rs
+++ b/crates/cli/src/trunks.rs
@@ -6,7 +6,7 @@
 use baydrift::interface::Micros;
 use baydrift_day::{rounds, RoundsSpec};
 use baydrift_emulator::{TwoEnds, TwoEndsSpec};
-use baydrift_trunk::decide::Selection;
+use baydrift_trunk::rules::Selection;
 use baydrift_trunk::AuditSettings;
 use indicatif::{ProgressBar, ProgressStyle};
 use miette::IntoDiagnostic;
@@ -73,7 +73,7 @@
         doubled: args.doubled.clamp(0.0, 1.0),
         delay,
         jitter: delay * 2,
-        audit: AuditSettings { every: micros(args.audit_every), ..AuditSettings::default() },
+        audit: AuditSettings { query_interval: micros(args.audit_every), ..AuditSettings::default() },
         seed: args.seed,
         ..TwoEndsSpec::default()
     }
--- a/crates/config/src/trunk.rs
+++ b/crates/config/src/trunk.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use baydrift::interface::ServerState;
-use baydrift_trunk::decide::Selection;
+use baydrift_trunk::rules::Selection;
 use baydrift_trunk::{GroupSpec, CIRCUITS_MAX};
 
 use crate::reader::Node;
--- a/crates/day/src/rounds.rs
+++ b/crates/day/src/rounds.rs
@@ -5,9 +5,9 @@
 use std::time::{Duration, Instant};
 
 use baydrift_front::{Exchange, ExchangeState, Role, ToExchange};
-use baydrift_signalling::Office;
+use baydrift_signalling::SignallingPoint;
 use baydrift_standin::Packets;
-use baydrift_trunk::decide::{Claim, Selection};
+use baydrift_trunk::rules::{RouteChoice, Selection};
 use baydrift_trunk::{AuditSettings, CallKey, End, GroupId, GroupSpec, Output, Setup, TimerSettings, Trunks};
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
@@ -66,7 +66,7 @@
     Ended,
 }
 
-fn office(spec: &RoundsSpec, own_point: u32, far_point: u32) -> Result<Office, RoundsError> {
+fn office(spec: &RoundsSpec, own_point: u32, far_point: u32) -> Result<SignallingPoint, RoundsError> {
     let hurry = spec.hurry.max(1);
     let all = TimerSettings::default();
     let timers = TimerSettings {
@@ -81,11 +81,14 @@
         t28: all.t28 / hurry,
     };
     let audit = AuditSettings::default();
-    let audit = AuditSettings { every: audit.every / hurry, second_look: audit.second_look / hurry };
+    let audit = AuditSettings {
+        query_interval: audit.query_interval / hurry,
+        recheck_after: audit.recheck_after / hurry,
+    };
     let (circuits, selection) = (spec.circuits, spec.selection);
     let group = GroupSpec { own_point, far_point, first: 1, circuits, selection, reserve: 0 };
     let trunks = Trunks::new(vec![group], timers, audit).map_err(|(_, error)| RoundsError::Group(error))?;
-    Ok(Office::new(own_point, vec![(far_point, 1..1 + circuits)], trunks))
+    Ok(SignallingPoint::new(own_point, vec![(far_point, 1..1 + circuits)], trunks))
 }
 
 /// One end as the players see it.
@@ -188,7 +191,7 @@
         *next += 1;
         self.own = Some((call, false));
         let setup = Setup { number: Arc::from([5u8, 5, 5]), reference: Arc::from(call.0.to_be_bytes()) };
-        self.tell(ToExchange::Seize(call, GroupId(0), setup, Claim::First)).await
+        self.tell(ToExchange::Seize(call, GroupId(0), setup, RouteChoice::First)).await
     }
 
     async fn tell(&self, what: ToExchange) -> Result<(), RoundsError> {
--- a/crates/day/tests/rounds.rs
+++ b/crates/day/tests/rounds.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use baydrift_day::{rounds, RoundsSpec};
-use baydrift_trunk::decide::Selection;
+use baydrift_trunk::rules::Selection;
 
 #[tokio::test]
 async fn two_exchanges_on_sockets_seize_the_same_circuits_and_every_one_comes_free() {
--- a/crates/desk/src/desk.rs
+++ b/crates/desk/src/desk.rs
@@ -15,8 +15,8 @@
 use baydrift_diameter::credit::{self, Ccr, Ends, RequestType};
 use baydrift_diameter::{code, dict, load, result, Avp, Fault, Message, Remote};
 use baydrift_isup::Data;
-use baydrift_signalling::Office;
-use baydrift_trunk::decide::Claim;
+use baydrift_signalling::SignallingPoint;
+use baydrift_trunk::rules::RouteChoice;
 use baydrift_trunk::{CallKey, Setup};
 use tracing::{debug, debug_span, Span};
 
@@ -483,7 +483,7 @@
     }
 
     /// Its exchange.
-    pub fn office(&self) -> &Office {
+    pub fn office(&self) -> &SignallingPoint {
         self.trunk.office()
     }
 
@@ -714,7 +714,7 @@
                 payload.span.in_scope(|| debug!(call, index, server, attempt = attempt.0, "seize"));
                 let setup = self.seizure(attempt, &session, &payload);
                 // Circuits that are kept back are for calls that come here first.
-                let claim = if index == 0 { Claim::First } else { Claim::Overflow };
+                let claim = if index == 0 { RouteChoice::First } else { RouteChoice::Overflow };
                 self.trunk.set_up(now, attempt, server, setup, claim);
             }
             Output::Release { attempt, server, .. } if self.trunk.leads_to(server) => {
--- a/crates/desk/src/trunk.rs
+++ b/crates/desk/src/trunk.rs
@@ -1,6 +1,6 @@
 //! Calls over trunk groups: set-ups that seize circuits, and circuits that far ends seize, which are calls like others.
 //!
-//! This counter owns the exchange's [`Office`] and what it knows of its calls. It turns what becomes of circuits into
+//! This counter owns the exchange's [`SignallingPoint`] and what it knows of its calls. It turns what becomes of circuits into
 //! [`News`], in words of its own; the desk hands those to the engine. It decides nothing: which group, what an end
 //! means and what is reported are [`baydrift_trunk::route`]'s, all else the engine's.
 //!
@@ -13,9 +13,9 @@
 use baydrift_call::{AttemptEnd, AttemptId, LinkId, Request};
 use baydrift_config::{Config, Incoming};
 use baydrift_isup::Data;
-use baydrift_signalling::Office;
-use baydrift_trunk::decide::Claim;
-use baydrift_trunk::route::{cause, meaning, next_group, report, tries_next_group};
+use baydrift_signalling::SignallingPoint;
+use baydrift_trunk::route::{cause, far_end_report, may_try_next_group, next_group, outcome_of};
+use baydrift_trunk::rules::RouteChoice;
 use baydrift_trunk::{
     AuditSettings, CallKey, End, GroupId, GroupView, Maintenance, Output, Processing, Setup, TimerSettings,
     Trunks, Usage,
@@ -70,7 +70,7 @@
 struct Attempt {
     far: usize,
     setup: Setup,
-    claim: Claim,
+    claim: RouteChoice,
     tried: Vec<GroupId>,
     stands: bool,
 }
@@ -93,7 +93,7 @@
 /// See the module's page.
 #[derive(Debug)]
 pub(crate) struct TrunkSide {
-    office: Office,
+    office: SignallingPoint,
     fars: Vec<Far>,
     /// The far end of each group.
     of_group: Vec<usize>,
@@ -110,7 +110,7 @@
 }
 
 /// One who holds no circuits has nothing that could be wrong with them.
-fn office(config: &Config) -> Office {
+fn office(config: &Config) -> SignallingPoint {
     let own = config.point.unwrap_or(0);
     let groups =
         || config.far_ends.iter().flat_map(|far| far.groups.iter().map(move |group| (far.point, group)));
@@ -120,12 +120,12 @@
     let (timers, audit) = (TimerSettings::default(), AuditSettings::default());
     // The configuration's checks leave nothing that is refused here.
     match Trunks::new(specs, timers, audit) {
-        Ok(trunks) => Office::new(own, places.collect(), trunks),
+        Ok(trunks) => SignallingPoint::new(own, places.collect(), trunks),
         Err((place, error)) => {
             warn!(place, %error, "trunk groups are out of use");
             let none =
                 Trunks::new(Vec::new(), timers, audit).unwrap_or_else(|_| unreachable!("no group is wrong"));
-            Office::new(own, Vec::new(), none)
+            SignallingPoint::new(own, Vec::new(), none)
         }
     }
 }
@@ -161,7 +161,7 @@
         // Links come up later; until then nothing is seized. What far ends hold of a former process is reset then.
         for place in 0..side.fars.len() {
             let point = side.fars[place].point;
-            side.office.reachable(0, point, false, &mut side.done);
+            side.office.set_reachable(0, point, false, &mut side.done);
             for group in side.fars[place].groups.clone() {
                 side.office.reset(0, group, &mut side.done);
             }
@@ -170,7 +170,7 @@
         side
     }
 
-    pub(crate) fn office(&self) -> &Office {
+    pub(crate) fn office(&self) -> &SignallingPoint {
         &self.office
     }
 
@@ -214,7 +214,7 @@
     }
 
     fn report(&self, far: usize) -> Report {
-        report(&self.usages(far))
+        far_end_report(&self.usages(far))
     }
 
     // --- the engine's wishes ---
@@ -226,7 +226,7 @@
         attempt: AttemptId,
         server: ServerId,
         setup: Setup,
-        claim: Claim,
+        claim: RouteChoice,
     ) {
         let Some(far) = self.place_of(server) else { return };
         self.attempts.insert(attempt, Attempt { far, setup, claim, tried: Vec::new(), stands: false });
@@ -252,7 +252,7 @@
     fn end(&mut self, id: AttemptId, end: End) {
         let Some(attempt) = self.attempts.remove(&id) else { return };
         let (far, report) = (attempt.far, self.report(attempt.far));
-        let (outcome, note) = meaning(end);
+        let (outcome, note) = outcome_of(end);
         debug!(attempt = id.0, far = &*self.fars[far].host, ?end, "trunk call ended");
         self.news.push_back(if attempt.stands {
             News::Over(id, report)
@@ -304,7 +304,7 @@
     // --- the far ends ---
 
     pub(crate) fn heard(&mut self, now: Micros, data: &Data) -> bool {
-        let taken = self.office.hear(now, data, &mut self.done);
+        let taken = self.office.handle_packet(now, data, &mut self.done);
         if let Err(error) = &taken {
             debug!(from = data.opc, %error, "packet turned down");
         }
@@ -319,7 +319,7 @@
     }
 
     pub(crate) fn reachable(&mut self, now: Micros, point: u32, reachable: bool) {
-        self.office.reachable(now, point, reachable, &mut self.done);
+        self.office.set_reachable(now, point, reachable, &mut self.done);
         self.settle(now);
     }
 
@@ -348,7 +348,7 @@
     fn completed(&mut self, point: u32) {
         let Some(far) = self.fars.iter().position(|far| far.point == point) else { return };
         let trunks = self.office.trunks();
-        let changing = |group, cic| trunks.view(group, cic).map(|view| view.told.processing);
+        let changing = |group, cic| trunks.view(group, cic).map(|view| view.state.processing);
         let of_far = (far, GroupId(0), 0)..=(far, GroupId(u16::MAX), u16::MAX);
         let over = self.releasing.range(of_far);
         let over = over.filter(|((_, group, cic), _)| changing(*group, *cic) != Some(Processing::Transient));
@@ -371,7 +371,7 @@
                 self.news.push_back(News::Stands(id, self.report(far)));
             }
             Output::Ended(call, _) if call.is_incoming() => self.left(call),
-            Output::Ended(call, end) if tries_next_group(end) => self.try_next(now, AttemptId(call.0), end),
+            Output::Ended(call, end) if may_try_next_group(end) => self.try_next(now, AttemptId(call.0), end),
             Output::Ended(call, end) => self.end(AttemptId(call.0), end),
             Output::Incoming { call, group, setup } => self.seized(now, call, group, &setup),
             Output::Report { group, cic, what } => {
--- a/crates/emulator/src/two_ends.rs
+++ b/crates/emulator/src/two_ends.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use baydrift::interface::Micros;
-use baydrift_trunk::decide::{Claim, Selection};
+use baydrift_trunk::rules::{RouteChoice, Selection};
 use baydrift_trunk::{
     AuditSettings, CallKey, Cic, Counts, End, GroupId, GroupSpec, Maintenance, Output, Processing, Setup,
     Signal, SpecError, TimerSettings, Trunks,
@@ -277,7 +277,7 @@
         let mut out = Vec::new();
         let end = match event {
             Event::Arrive(end, group, cic, signal) => {
-                self.ends[end].hear(now, group, cic, signal, &mut out);
+                self.ends[end].handle_signal(now, group, cic, signal, &mut out);
                 end
             }
             Event::Offer(end) => {
@@ -344,8 +344,11 @@
     fn offer(&mut self, end: usize) {
         let now = self.queue.now();
         let (call, group) = (CallKey(self.next), GroupId(self.rng.random_range(0..self.spec.groups)));
-        let claim =
-            if self.rng.random::<f64>() < self.spec.overflow { Claim::Overflow } else { Claim::First };
+        let claim = if self.rng.random::<f64>() < self.spec.overflow {
+            RouteChoice::Overflow
+        } else {
+            RouteChoice::First
+        };
         self.next += 1;
         self.tally.offered[end] += 1;
         let setup = Setup { number: Arc::from([5u8, 5, 5]), reference: Arc::from(call.0.to_be_bytes()) };
@@ -436,7 +439,7 @@
     /// An audit resets a circuit: no call may stand on it at both ends.
     fn found_stuck(&mut self, end: usize, group: GroupId, cic: Cic) {
         self.tally.stuck += 1;
-        let views = [0, 1].map(|end| self.ends[end].view(group, cic).map(|view| view.told.processing));
+        let views = [0, 1].map(|end| self.ends[end].view(group, cic).map(|view| view.state.processing));
         let calls = [self.reference_on(end, group, cic), self.reference_on(1 - end, group, cic)];
         if calls[0].is_some() && calls[0] == calls[1] {
             self.violation(format!("circuit {cic}: a live call is cut by an audit: {views:?}"));
--- a/crates/emulator/tests/two_ends.rs
+++ b/crates/emulator/tests/two_ends.rs
@@ -1,7 +1,7 @@
 //! Two ends of a trunk group: dual seizure, lost signals, audits, restarts.
 
 use baydrift_emulator::{TwoEnds, TwoEndsSpec};
-use baydrift_trunk::decide::Selection;
+use baydrift_trunk::rules::Selection;
 use baydrift_trunk::AuditSettings;
 
 const MS: u64 = 1_000;
@@ -85,7 +85,7 @@
             lost: 0.01,
             doubled: 0.01,
             selection: if seed % 2 == 0 { Selection::Sequential } else { Selection::Opposite },
-            audit: AuditSettings { every: 500 * MS, ..AuditSettings::default() },
+            audit: AuditSettings { query_interval: 500 * MS, ..AuditSettings::default() },
             seed,
             ..TwoEndsSpec::default()
         };
--- a/crates/front/src/admin.rs
+++ b/crates/front/src/admin.rs
@@ -161,7 +161,7 @@
     let trunks = desk.office().trunks();
     let circuits = (view.first..view.first.saturating_add(view.circuits)).filter_map(|cic| {
         let circuit = trunks.view(*id, cic)?;
-        let told = circuit.told;
+        let told = circuit.state;
         let plain = told.processing == Processing::Idle && !told.locally_blocked && !told.remotely_blocked;
         let state = match told.processing {
             Processing::Transient => "clearing",
--- a/crates/front/src/exchange.rs
+++ b/crates/front/src/exchange.rs
@@ -1,4 +1,4 @@
-//! An exchange's signalling link on a socket: a thin coat around [`baydrift_signalling::Office`].
+//! An exchange's signalling link on a socket: a thin coat around [`baydrift_signalling::SignallingPoint`].
 //!
 //! One task owns the office, another one the connection to one far point. Nothing is decided here. Queues are bounded:
 //! who commands waits, and events are waited for.
@@ -7,8 +7,8 @@
 
 use baydrift::interface::Micros;
 use baydrift_isup::Data;
-use baydrift_signalling::{Office, OfficeCounts};
-use baydrift_trunk::decide::Claim;
+use baydrift_signalling::{SignallingCounts, SignallingPoint};
+use baydrift_trunk::rules::RouteChoice;
 use baydrift_trunk::{CallKey, Counts, GroupId, Output, Setup, Usage};
 use tokio::sync::{mpsc, oneshot};
 use tracing::debug;
@@ -19,7 +19,7 @@
 #[derive(Debug)]
 pub enum ToExchange {
     /// Seize a circuit for a call.
-    Seize(CallKey, GroupId, Setup, Claim),
+    Seize(CallKey, GroupId, Setup, RouteChoice),
     /// Take an incoming call.
     Accept(CallKey),
     /// An incoming call stands.
@@ -38,7 +38,7 @@
     /// What its trunks have counted.
     pub counts: Counts,
     /// What its office has counted.
-    pub office: OfficeCounts,
+    pub office: SignallingCounts,
 }
 
 /// A running exchange; it ends when this is dropped.
@@ -62,7 +62,7 @@
 impl Exchange {
     /// Starts on the current runtime. `far` is the point code at the other end; what becomes of calls goes to
     /// `events`.
-    pub fn start(office: Office, far: u32, role: Role, events: mpsc::Sender<Output>) -> Self {
+    pub fn start(office: SignallingPoint, far: u32, role: Role, events: mpsc::Sender<Output>) -> Self {
         let (commands, received) = mpsc::channel(COMMANDS);
         let began = Instant::now();
         let (link, outgoing) = mpsc::channel(PACKETS);
@@ -86,7 +86,7 @@
 }
 
 struct Run {
-    office: Office,
+    office: SignallingPoint,
     far: u32,
     link: mpsc::Sender<Data>,
     linked: mpsc::Receiver<Linked>,
@@ -102,7 +102,7 @@
     }
 
     async fn run(mut self) {
-        self.office.reachable(0, self.far, false, &mut self.done);
+        self.office.set_reachable(0, self.far, false, &mut self.done);
         loop {
             let due = self.office.next_wake().unwrap_or(Micros::MAX);
             let wait = Duration::from_micros(due.saturating_sub(self.now()).min(60_000_000));
@@ -130,12 +130,12 @@
         let now = self.now();
         match linked {
             Linked::Packet(data) => {
-                if let Err(error) = self.office.hear(now, &data, &mut self.done) {
+                if let Err(error) = self.office.handle_packet(now, &data, &mut self.done) {
                     debug!(far = self.far, %error, "packet turned down");
                 }
             }
-            Linked::Up => self.office.reachable(now, self.far, true, &mut self.done),
-            Linked::Down => self.office.reachable(now, self.far, false, &mut self.done),
+            Linked::Up => self.office.set_reachable(now, self.far, true, &mut self.done),
+            Linked::Down => self.office.set_reachable(now, self.far, false, &mut self.done),
         }
     }
 
--- a/crates/signalling/src/office.rs
+++ b/crates/signalling/src/office.rs
@@ -4,14 +4,14 @@
 
 use baydrift::interface::Micros;
 use baydrift_isup::{cause, Data, Error, Kind, Message};
-use baydrift_trunk::decide::Claim;
+use baydrift_trunk::rules::RouteChoice;
 use baydrift_trunk::{CallKey, Cic, GroupId, Output, Setup, Trunks};
 
 use crate::map::{message, signal, MapError, Meant};
 
 /// Why a packet was not taken. Nothing of it was done.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum OfficeError {
+pub enum SignallingError {
     /// It is for another point code, or from one that no group leads to.
     #[error("from point {opc} to {dpc}: no trunk group of this exchange")]
     Stranger {
@@ -30,7 +30,7 @@
 
 /// What has happened so far; each only grows.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct OfficeCounts {
+pub struct SignallingCounts {
     /// Messages that were signals.
     pub signals: u64,
     /// Messages read and of no consequence.
@@ -46,24 +46,24 @@
 
 /// See the module's page. Several groups may lead to one far point; a circuit's code is unique among them.
 #[derive(Debug)]
-pub struct Office {
+pub struct SignallingPoint {
     own_point: u32,
     /// Each group's far point and circuits.
     groups: Vec<(u32, std::ops::Range<Cic>)>,
     by_point: BTreeMap<u32, Vec<GroupId>>,
     trunks: Trunks,
-    counts: OfficeCounts,
+    counts: SignallingCounts,
     seen: Vec<Output>,
 }
 
-impl Office {
+impl SignallingPoint {
     /// An office of these groups: far point and circuits of each, in the order in which `trunks` has them.
     pub fn new(own_point: u32, groups: Vec<(u32, std::ops::Range<Cic>)>, trunks: Trunks) -> Self {
         let mut by_point: BTreeMap<u32, Vec<GroupId>> = BTreeMap::new();
         for (place, (far, _)) in groups.iter().enumerate() {
             by_point.entry(*far).or_default().push(GroupId(place as u16));
         }
-        Self { own_point, groups, by_point, trunks, counts: OfficeCounts::default(), seen: Vec::new() }
+        Self { own_point, groups, by_point, trunks, counts: SignallingCounts::default(), seen: Vec::new() }
     }
 
     /// Its trunks.
@@ -72,7 +72,7 @@
     }
 
     /// What has happened.
-    pub fn counts(&self) -> OfficeCounts {
+    pub fn counts(&self) -> SignallingCounts {
         self.counts
     }
 
@@ -80,16 +80,21 @@
     ///
     /// # Errors
     /// Why it was not taken; `done` may still hold a notice for its sender.
-    pub fn hear(&mut self, now: Micros, data: &Data, done: &mut Done) -> Result<(), OfficeError> {
+    pub fn handle_packet(
+        &mut self,
+        now: Micros,
+        data: &Data,
+        done: &mut Done,
+    ) -> Result<(), SignallingError> {
         let taken = self.take(now, data, done);
         self.counts.refused += u64::from(taken.is_err());
         taken
     }
 
-    fn take(&mut self, now: Micros, data: &Data, done: &mut Done) -> Result<(), OfficeError> {
+    fn take(&mut self, now: Micros, data: &Data, done: &mut Done) -> Result<(), SignallingError> {
         let (opc, dpc) = (data.opc, data.dpc);
         let groups = self.by_point.get(&opc).filter(|_| dpc == self.own_point);
-        let Some(groups) = groups else { return Err(OfficeError::Stranger { opc, dpc }) };
+        let Some(groups) = groups else { return Err(SignallingError::Stranger { opc, dpc }) };
         let message = match Message::read(&data.message) {
             Ok(message) => message,
             Err(Error::Type(code)) => {
@@ -101,11 +106,11 @@
         let has = |group: &&GroupId| self.groups[usize::from(group.0)].1.contains(&message.cic);
         // A circuit of no group belongs to the first one, which says that it is not equipped.
         let group = groups.iter().find(has).or_else(|| groups.first()).copied();
-        let Some(group) = group else { return Err(OfficeError::Stranger { opc, dpc }) };
+        let Some(group) = group else { return Err(SignallingError::Stranger { opc, dpc }) };
         match signal(&message)? {
             Meant::Signal(signal) => {
                 self.counts.signals += 1;
-                self.with(done, |trunks, out| trunks.hear(now, group, message.cic, signal, out));
+                self.with(done, |trunks, out| trunks.handle_signal(now, group, message.cic, signal, out));
             }
             Meant::Nothing(_) => self.counts.passed_over += 1,
         }
@@ -156,7 +161,7 @@
         call: CallKey,
         group: GroupId,
         setup: Setup,
-        claim: Claim,
+        claim: RouteChoice,
         done: &mut Done,
     ) {
         self.with(done, |trunks, out| trunks.seize(now, call, group, setup, claim, out));
@@ -188,14 +193,14 @@
     }
 
     /// A far point can be reached, or cannot.
-    pub fn reachable(&mut self, now: Micros, far: u32, reachable: bool, done: &mut Done) {
+    pub fn set_reachable(&mut self, now: Micros, far: u32, reachable: bool, done: &mut Done) {
         let groups = self.by_point.get(&far).cloned().unwrap_or_default();
         for group in groups {
-            self.with(done, |trunks, out| trunks.reachable(now, group, reachable, out));
+            self.with(done, |trunks, out| trunks.set_reachable(now, group, reachable, out));
         }
     }
 
-    /// When [`Office::tick`] is wanted at the latest.
+    /// When [`SignallingPoint::tick`] is wanted at the latest.
     pub fn next_wake(&self) -> Option<Micros> {
         self.trunks.next_wake()
     }
--- a/crates/signalling/tests/office.rs
+++ b/crates/signalling/tests/office.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use baydrift_isup::{Data, Error, Kind, Message};
-use baydrift_signalling::{message, signal, MapError, Meant, Office, OfficeError};
-use baydrift_trunk::decide::{Claim, Selection};
+use baydrift_signalling::{message, signal, MapError, Meant, SignallingError, SignallingPoint};
+use baydrift_trunk::rules::{RouteChoice, Selection};
 use baydrift_trunk::{
     AuditSettings, CallKey, End, GroupId, GroupSpec, Output, Processing, Setup, Signal, TimerSettings, Told,
     Trunks,
@@ -52,32 +52,32 @@
     assert_eq!(signal(&Message::new(Kind::Lpa, 1)).unwrap(), Meant::Nothing(Kind::Lpa));
 }
 
-fn office(own_point: u32, far_point: u32) -> Office {
+fn office(own_point: u32, far_point: u32) -> SignallingPoint {
     let spec =
         GroupSpec { own_point, far_point, first: 1, circuits: 4, selection: Selection::Opposite, reserve: 0 };
     let trunks = Trunks::new(vec![spec], TimerSettings::default(), AuditSettings::default()).unwrap();
-    Office::new(own_point, vec![(far_point, 1..5)], trunks)
+    SignallingPoint::new(own_point, vec![(far_point, 1..5)], trunks)
 }
 
 #[test]
 fn two_offices_set_a_call_up_and_release_it() {
     let (mut one, mut two) = (office(1, 2), office(2, 1));
     let mut from_one = Default::default();
-    one.seize(0, CallKey(9), GroupId(0), setup(), Claim::First, &mut from_one);
+    one.seize(0, CallKey(9), GroupId(0), setup(), RouteChoice::First, &mut from_one);
     let mut from_two: (Vec<Data>, Vec<Output>) = Default::default();
-    two.hear(1, &from_one.0.remove(0), &mut from_two).unwrap();
+    two.handle_packet(1, &from_one.0.remove(0), &mut from_two).unwrap();
     let Output::Incoming { call, setup: asked, .. } = from_two.1.remove(0) else { panic!() };
     assert_eq!(asked, setup());
     two.accept(call, &mut from_two);
     two.answer(call, &mut from_two);
     for data in from_two.0.drain(..) {
-        one.hear(2, &data, &mut from_one).unwrap();
+        one.handle_packet(2, &data, &mut from_one).unwrap();
     }
     assert_eq!(from_one.1, [Output::Accepted(CallKey(9)), Output::Answered(CallKey(9))]);
     two.release(3, call, 16, &mut from_two);
-    one.hear(4, &from_two.0.remove(0), &mut from_one).unwrap();
+    one.handle_packet(4, &from_two.0.remove(0), &mut from_one).unwrap();
     assert_eq!(from_one.1.last(), Some(&Output::Ended(CallKey(9), End::Released(16))));
-    two.hear(5, &from_one.0.remove(0), &mut from_two).unwrap();
+    two.handle_packet(5, &from_one.0.remove(0), &mut from_two).unwrap();
     for office in [&one, &two] {
         assert_eq!(office.trunks().usage(GroupId(0)).unwrap().free, 4);
     }
@@ -90,25 +90,28 @@
     let data = |opc, dpc, message: &[u8]| Data { opc, dpc, sls: 0, message: message.to_vec() };
     let iam = message(1, &Signal::Seize(setup())).unwrap().write().unwrap();
     for (opc, dpc) in [(3, 1), (2, 7)] {
-        let stranger = one.hear(0, &data(opc, dpc, &iam), &mut done);
-        assert_eq!(stranger, Err(OfficeError::Stranger { opc, dpc }));
+        let stranger = one.handle_packet(0, &data(opc, dpc, &iam), &mut done);
+        assert_eq!(stranger, Err(SignallingError::Stranger { opc, dpc }));
     }
-    assert!(matches!(one.hear(0, &data(2, 1, &iam[..6]), &mut done), Err(OfficeError::Message(_))));
+    assert!(matches!(
+        one.handle_packet(0, &data(2, 1, &iam[..6]), &mut done),
+        Err(SignallingError::Message(_))
+    ));
     assert!(done.0.is_empty() && done.1.is_empty());
     // A type that is not known and says nothing of itself is told by CFN; one that wants silence is not.
     assert_eq!(
-        one.hear(0, &data(2, 1, &[1, 0, 0x7f]), &mut done),
-        Err(OfficeError::Message(Error::Type(0x7f)))
+        one.handle_packet(0, &data(2, 1, &[1, 0, 0x7f]), &mut done),
+        Err(SignallingError::Message(Error::Type(0x7f)))
     );
     assert_eq!(Message::read(&done.0.remove(0).message).unwrap().kind, Kind::Cfn);
-    assert!(one.hear(0, &data(2, 1, &[1, 0, 0x7f, 1, 0x38, 1, 0, 0]), &mut done).is_err());
+    assert!(one.handle_packet(0, &data(2, 1, &[1, 0, 0x7f, 1, 0x38, 1, 0, 0]), &mut done).is_err());
     assert!(done.0.is_empty());
     // A circuit that is none is told so, and that is not answered in turn.
     let ninety = message(90, &Signal::Seize(setup())).unwrap().write().unwrap();
-    one.hear(0, &data(2, 1, &ninety), &mut done).unwrap();
+    one.handle_packet(0, &data(2, 1, &ninety), &mut done).unwrap();
     let ucic = done.0.remove(0);
     assert_eq!(Message::read(&ucic.message).unwrap().kind, Kind::Ucic);
-    one.hear(0, &data(2, 1, &ucic.message), &mut done).unwrap();
+    one.handle_packet(0, &data(2, 1, &ucic.message), &mut done).unwrap();
     assert!(done.0.is_empty());
     assert_eq!((one.counts().refused, one.counts().confusions), (5, 1));
 }
--- a/crates/trunk/src/audit.rs
+++ b/crates/trunk/src/audit.rs
@@ -4,7 +4,7 @@
 
 use baydrift::interface::Micros;
 
-use crate::decide::is_stuck;
+use crate::rules::is_stuck;
 use crate::types::Cic;
 
 /// Circuits of one query at most (Q.763, 3.43: a CQM's range is 0 to 31).
@@ -14,14 +14,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct AuditSettings {
     /// A query of a group is sent no sooner than this after the one before; 0 for no audits.
-    pub every: Micros,
+    pub query_interval: Micros,
     /// A second look is no sooner than this after the first: longer than any message stays under way.
-    pub second_look: Micros,
+    pub recheck_after: Micros,
 }
 
 impl Default for AuditSettings {
     fn default() -> Self {
-        Self { every: 1_000_000, second_look: 4_000_000 }
+        Self { query_interval: 1_000_000, recheck_after: 4_000_000 }
     }
 }
 
@@ -92,14 +92,14 @@
     /// Both ends differ; whether that makes it stuck.
     pub(crate) fn differs(&mut self, now: Micros, cic: Cic, changes: u32, settings: AuditSettings) -> bool {
         match self.suspects.get(&cic) {
-            Some(first) if is_stuck(first.seen_at, first.changes, now, changes, settings.second_look) => {
+            Some(first) if is_stuck(first.seen_at, first.changes, now, changes, settings.recheck_after) => {
                 self.suspects.remove(&cic);
                 true
             }
             Some(first) if first.changes == changes => false,
             _ => {
                 self.suspects.insert(cic, Suspect { seen_at: now, changes });
-                self.want(now + settings.second_look, cic);
+                self.want(now + settings.recheck_after, cic);
                 false
             }
         }
--- a/crates/trunk/src/circuit.rs
+++ b/crates/trunk/src/circuit.rs
@@ -2,7 +2,7 @@
 
 use baydrift::interface::Micros;
 
-use crate::decide::Ours;
+use crate::rules::Ours;
 use crate::types::{CallKey, Processing, Told};
 
 /// What it is used for.
--- a/crates/trunk/src/group.rs
+++ b/crates/trunk/src/group.rs
@@ -5,7 +5,7 @@
 use baydrift::interface::Micros;
 
 use crate::circuit::{Circuit, Tally};
-use crate::decide::{controls, gives_way, Selection};
+use crate::rules::{controls, gives_way, Selection};
 use crate::types::{Cic, Usage};
 
 /// Most circuits of a group: CICs have 12 bits.
--- a/crates/trunk/src/lib.rs
+++ b/crates/trunk/src/lib.rs
@@ -2,7 +2,7 @@
 //! about them.
 //!
 //! [`Trunks`] owns all groups of an exchange. It hears signals of far ends and wishes of the call side, and says by
-//! [`Output`]s what to send and what became of calls. Decisions, which are pure functions, stand in [`decide`]: which
+//! [`Output`]s what to send and what became of calls. Decisions, which are pure functions, stand in [`rules`]: which
 //! circuit, whose call proceeds when both ends seize one, what the other call does, when a circuit counts as stuck
 //! and who is believed.
 //!
@@ -10,9 +10,9 @@
 
 mod audit;
 mod circuit;
-pub mod decide;
 mod group;
 pub mod route;
+pub mod rules;
 mod timers;
 mod trunks;
 mod types;
--- a/crates/trunk/src/route.rs
+++ b/crates/trunk/src/route.rs
@@ -40,7 +40,7 @@
 /// Whether a call whose try of a group ended so tries the far end's next group: only where the far end has nothing of
 /// it, by the rule for dual seizure or since nothing was sent. All else is for who decides on routes, who keeps the
 /// release guard.
-pub fn tries_next_group(end: End) -> bool {
+pub fn may_try_next_group(end: End) -> bool {
     matches!(end, End::NoCircuit | End::Yielded)
 }
 
@@ -49,7 +49,7 @@
 /// No circuit, and a call that yielded, are "no line": it never ran, and may go elsewhere at once. A seizure that was
 /// not answered in time, or was reset, may have run; so may one that was released without a cause that says why the
 /// far end does not want it.
-pub fn meaning(end: End) -> (Outcome, Note) {
+pub fn outcome_of(end: End) -> (Outcome, Note) {
     match end {
         End::NoCircuit | End::Yielded => (Outcome::Full, Note::NoLine),
         End::Unreachable => (Outcome::ConnectFailed, Note::None),
@@ -74,7 +74,7 @@
 
 /// What is told of a far end: its free lines, and lines in all. Blocked circuits are no lines; one that awaits its
 /// release or reset is a line, but not free.
-pub fn report(groups: &[(GroupId, Usage)]) -> Report {
+pub fn far_end_report(groups: &[(GroupId, Usage)]) -> Report {
     let sum = |of: fn(&Usage) -> usize| groups.iter().map(|(_, usage)| of(usage)).sum::<usize>() as f64;
     Report {
         free: Some(sum(|u| u.free)),
@@ -114,21 +114,21 @@
             End::Unreachable,
         ];
         for end in all {
-            let (outcome, _) = meaning(end);
-            if tries_next_group(end) {
+            let (outcome, _) = outcome_of(end);
+            if may_try_next_group(end) {
                 assert_eq!(outcome, Outcome::Full);
             }
             // What may have run must not count as "never ran".
             let may_have_run = matches!(outcome, Outcome::Timeout | Outcome::Reset);
             assert_eq!(may_have_run, matches!(end, End::NoAnswer | End::Reset | End::Released(16)));
         }
-        assert_eq!(meaning(End::Released(17)), (Outcome::Error, Note::NumberBusy));
-        assert_eq!(meaning(End::Released(42)), (Outcome::Full, Note::ProcessorFull(0)));
+        assert_eq!(outcome_of(End::Released(17)), (Outcome::Error, Note::NumberBusy));
+        assert_eq!(outcome_of(End::Released(42)), (Outcome::Full, Note::ProcessorFull(0)));
     }
 
     #[test]
     fn blocked_circuits_are_no_lines() {
-        let told = report(&[(GroupId(0), usage(2)), (GroupId(1), usage(5))]);
+        let told = far_end_report(&[(GroupId(0), usage(2)), (GroupId(1), usage(5))]);
         assert_eq!((told.free, told.lines), (Some(7.0), Some(19.0)));
     }
 }
--- a/crates/trunk/src/decide.rs
+++ b/crates/trunk/src/rules.rs
@@ -20,7 +20,7 @@
 
 /// How a call came to a group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Claim {
+pub enum RouteChoice {
     /// The group is its first choice.
     First,
     /// Another group or server had no room: it must leave some circuits to first choices.
@@ -29,10 +29,10 @@
 
 /// Whether a call may seize one of `free` circuits, of which `reserve` are kept back for first choices: in a group
 /// that is nearly full an overflow call takes the place of one that has nowhere else to go.
-pub fn may_seize(claim: Claim, free: usize, reserve: usize) -> bool {
+pub fn may_seize(claim: RouteChoice, free: usize, reserve: usize) -> bool {
     match claim {
-        Claim::First => free > 0,
-        Claim::Overflow => free > reserve,
+        RouteChoice::First => free > 0,
+        RouteChoice::Overflow => free > reserve,
     }
 }
 
@@ -181,8 +181,8 @@
 
     #[test]
     fn the_last_circuits_are_for_first_choices() {
-        assert!(may_seize(Claim::First, 1, 4) && !may_seize(Claim::First, 0, 0));
-        assert!(!may_seize(Claim::Overflow, 4, 4) && may_seize(Claim::Overflow, 5, 4));
+        assert!(may_seize(RouteChoice::First, 1, 4) && !may_seize(RouteChoice::First, 0, 0));
+        assert!(!may_seize(RouteChoice::Overflow, 4, 4) && may_seize(RouteChoice::Overflow, 5, 4));
     }
 
     #[test]
--- a/crates/trunk/src/trunks.rs
+++ b/crates/trunk/src/trunks.rs
@@ -6,12 +6,12 @@
 
 use crate::audit::{Audit, AuditSettings, Query, QUERY_MAX};
 use crate::circuit::{Circuit, Use};
-use crate::decide::{
-    blocking_refuses, blocking_unknown_there, compare, completes_a_release, may_seize, shows_a_lost_call,
-    tries_another, Claim, Look, COMPLETION_FOLLOWS,
-};
 use crate::group::{Group, GroupSpec, SpecError};
 use crate::route::cause;
+use crate::rules::{
+    blocking_refuses, blocking_unknown_there, compare, completes_a_release, may_seize, shows_a_lost_call,
+    tries_another, Look, RouteChoice, COMPLETION_FOLLOWS,
+};
 use crate::timers::{Agenda, Due, TimerSettings};
 use crate::types::{
     CallKey, Cic, End, GroupId, GroupView, Maintenance, Output, Setup, Signal, Told, Usage, View,
@@ -48,7 +48,7 @@
     group: usize,
     cic: Cic,
     setup: Setup,
-    claim: Claim,
+    claim: RouteChoice,
     yields: u8,
 }
 
@@ -82,7 +82,11 @@
         }
         let audits = groups.iter().enumerate().map(|(place, group)| {
             // Groups take turns: all at once would ask every far end in one moment.
-            let due = if audit.every > 0 { audit.every + place as Micros * 1_000 } else { Micros::MAX };
+            let due = if audit.query_interval > 0 {
+                audit.query_interval + place as Micros * 1_000
+            } else {
+                Micros::MAX
+            };
             Audit::new(group.spec.first, due)
         });
         Ok(Self {
@@ -122,7 +126,7 @@
     /// A circuit as it is.
     pub fn view(&self, group: GroupId, cic: Cic) -> Option<View> {
         let circuit = self.circuit(usize::from(group.0), cic)?;
-        Some(View { told: circuit.told(), call: circuit.call(), since: circuit.since })
+        Some(View { state: circuit.told(), call: circuit.call(), since: circuit.since })
     }
 
     /// A group as a whole.
@@ -153,7 +157,7 @@
         call: CallKey,
         group: GroupId,
         setup: Setup,
-        claim: Claim,
+        claim: RouteChoice,
         out: &mut Vec<Output>,
     ) {
         let place = usize::from(group.0);
@@ -261,7 +265,7 @@
     /// The far end can be reached, or cannot: then nothing new is seized, and calls whose seizure it never
     /// acknowledged end. Once it can be reached again, releases and resets that are unanswered are said again at once:
     /// the first ones may have been lost with the link, and the far end's calls stand until T1 runs out.
-    pub fn reachable(&mut self, now: Micros, group: GroupId, reachable: bool, out: &mut Vec<Output>) {
+    pub fn set_reachable(&mut self, now: Micros, group: GroupId, reachable: bool, out: &mut Vec<Output>) {
         let place = usize::from(group.0);
         let Some(found) = self.groups.get_mut(place) else { return };
         let came_back = reachable && !found.reachable;
@@ -291,7 +295,14 @@
     // --- the far end ---
 
     /// A signal came.
-    pub fn hear(&mut self, now: Micros, group: GroupId, cic: Cic, signal: Signal, out: &mut Vec<Output>) {
+    pub fn handle_signal(
+        &mut self,
+        now: Micros,
+        group: GroupId,
+        cic: Cic,
+        signal: Signal,
+        out: &mut Vec<Output>,
+    ) {
         let place = usize::from(group.0);
         if self.circuit(place, cic).is_none() {
             self.counts.strange += 1;
@@ -597,7 +608,7 @@
     }
 
     fn query(&mut self, now: Micros, group: usize, out: &mut Vec<Output>) {
-        let (t28, every) = (self.timers.t28, self.audit.every);
+        let (t28, every) = (self.timers.t28, self.audit.query_interval);
         let (Some(audit), Some(found)) = (self.audits.get_mut(group), self.groups.get(group)) else { return };
         audit.due = now + every;
         if let Some(query) = &audit.query {
--- a/crates/trunk/src/types.rs
+++ b/crates/trunk/src/types.rs
@@ -176,7 +176,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct View {
     /// As the far end is told.
-    pub told: Told,
+    pub state: Told,
     /// Its call.
     pub call: Option<CallKey>,
     /// Since when it is used so, microseconds.
--- a/crates/trunk/tests/checked.rs
+++ b/crates/trunk/tests/checked.rs
@@ -33,7 +33,7 @@
 #[test]
 fn a_planted_fault_in_the_audit_is_found() {
     // A second look as soon as the first: a seizure that the query passed may still be under way.
-    let hasty = AuditSettings { every: 500_000, second_look: 0 };
+    let hasty = AuditSettings { query_interval: 500_000, recheck_after: 0 };
     let hasty = Ends { calls: 1, losses: 0, wakes: 5, reorder: true, audit: hasty, ..Ends::small() };
     let found = broken(hasty);
     assert!(found.contains(&"an audit cuts no live call"), "{found:?}");
--- a/crates/trunk/tests/crossing.rs
+++ b/crates/trunk/tests/crossing.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use baydrift_trunk::decide::{Claim, Selection, COMPLETION_FOLLOWS};
+use baydrift_trunk::rules::{RouteChoice, Selection, COMPLETION_FOLLOWS};
 use baydrift_trunk::{
     AuditSettings, CallKey, Cic, End, GroupId, GroupSpec, Output, Setup, Signal, TimerSettings, Trunks,
 };
@@ -26,14 +26,14 @@
             selection: Selection::Opposite,
             reserve: 0,
         };
-        let audit = AuditSettings { every: 0, ..AuditSettings::default() };
+        let audit = AuditSettings { query_interval: 0, ..AuditSettings::default() };
         let trunks = Trunks::new(vec![spec], TimerSettings::default(), audit).expect("a group");
         Self { trunks, now: S }
     }
 
     fn seize(&mut self, call: u64) -> Cic {
         let mut out = Vec::new();
-        self.trunks.seize(self.now, CallKey(call), GROUP, setup(), Claim::First, &mut out);
+        self.trunks.seize(self.now, CallKey(call), GROUP, setup(), RouteChoice::First, &mut out);
         match &out[..] {
             [Output::Send { cic, signal: Signal::Seize(_), .. }] => *cic,
             other => panic!("{other:?}"),
@@ -42,7 +42,7 @@
 
     fn hear(&mut self, cic: Cic, signal: Signal) -> Vec<Output> {
         let mut out = Vec::new();
-        self.trunks.hear(self.now, GROUP, cic, signal, &mut out);
+        self.trunks.handle_signal(self.now, GROUP, cic, signal, &mut out);
         out
     }
 
@@ -133,14 +133,14 @@
     let (standing, seized) = (exchange.seize(2), exchange.seize(3));
     exchange.hear(standing, Signal::Answered);
     let mut out = Vec::new();
-    exchange.trunks.reachable(exchange.now, GROUP, false, &mut out);
+    exchange.trunks.set_reachable(exchange.now, GROUP, false, &mut out);
     assert!(out.contains(&Output::Ended(CallKey(3), End::Unreachable)));
     let TimerSettings { t5, t17, .. } = TimerSettings::default();
     for _ in 0..(t5 + t17) / S + 60 {
         assert!(exchange.tick(S).is_empty(), "nobody hears it");
     }
     out.clear();
-    exchange.trunks.reachable(exchange.now, GROUP, true, &mut out);
+    exchange.trunks.set_reachable(exchange.now, GROUP, true, &mut out);
     // What was unanswered is said at once, and the call that stood stands.
     let again = exchange.tick(0);
     let mut circuits: Vec<_> = said(&again).into_iter().map(|(cic, signal)| (cic, signal.clone())).collect();
@@ -187,9 +187,14 @@
         exchange.hear(cic, signal);
         let mut out = Vec::new();
         match draw(6) {
-            0 | 1 => {
-                exchange.trunks.seize(exchange.now, CallKey(call), GROUP, setup(), Claim::First, &mut out)
-            }
+            0 | 1 => exchange.trunks.seize(
+                exchange.now,
+                CallKey(call),
+                GROUP,
+                setup(),
+                RouteChoice::First,
+                &mut out,
+            ),
             2 => exchange.release(call.saturating_sub(draw(6))),
             3 => exchange.trunks.block(exchange.now, GROUP, cic, draw(3) == 0, &mut out),
             4 if draw(40) == 0 => exchange.trunks.reset(exchange.now, GROUP, &mut out),
@@ -198,7 +203,7 @@
         let usage = exchange.trunks.usage(GROUP).expect("a group");
         let mut counted = baydrift_trunk::Usage::default();
         for cic in 0..4 {
-            let told = exchange.trunks.view(GROUP, cic).expect("a circuit").told;
+            let told = exchange.trunks.view(GROUP, cic).expect("a circuit").state;
             seen.insert(format!("{:?}", told.processing));
             let blocked = told.locally_blocked || told.remotely_blocked;
             *match told.processing {
--- a/crates/trunk/tests/model/mod.rs
+++ b/crates/trunk/tests/model/mod.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use baydrift_trunk::decide::{Claim, Selection};
+use baydrift_trunk::rules::{RouteChoice, Selection};
 use baydrift_trunk::{
     AuditSettings, CallKey, Cic, GroupId, GroupSpec, Maintenance, Output, Setup, Signal, TimerSettings,
     Trunks,
@@ -42,7 +42,7 @@
             wakes: 0,
             reorder: false,
             points: [(2, 1), (1, 2)],
-            audit: AuditSettings { every: S, second_look: 4 * S },
+            audit: AuditSettings { query_interval: S, recheck_after: 4 * S },
         }
     }
 
@@ -140,7 +140,7 @@
     fn deliver(&mut self, to: usize, index: usize) {
         let (_, cic, signal) = self.net[to].remove(index);
         let mut out = Vec::new();
-        self.ends[to].hear(self.now, GROUP, cic, signal, &mut out);
+        self.ends[to].handle_signal(self.now, GROUP, cic, signal, &mut out);
         self.outputs(to, out);
     }
 
@@ -259,7 +259,7 @@
                 let (call, reference) = (CallKey(state.offered), state.offered);
                 state.calls[end].insert(call, Held { reference, incoming: false, stands: false });
                 let setup = Setup { number: Arc::from([5u8]), reference: Arc::from([reference as u8]) };
-                state.ends[end].seize(state.now, call, GROUP, setup, Claim::First, &mut out);
+                state.ends[end].seize(state.now, call, GROUP, setup, RouteChoice::First, &mut out);
                 state.outputs(end, out);
             }
             Act::Deliver(to, index) => state.deliver(to, index),
