--- a/crates/signalling/src/lib.rs
+++ b/crates/signalling/src/lib.rs
@@ -1,11 +1,12 @@
-//! Between [`baydrift_trunk::Signal`]s and [`baydrift_isup::Message`]s, and an exchange's end of its signalling links,
-//! without I/O.
+//! Conversion between [`baydrift_trunk::Signal`]s and ISUP [`Message`](baydrift_isup::Message)s, and the
+//! signalling point of an exchange, without I/O.
 //!
-//! [`message`] and [`signal`] translate. [`SignallingPoint`] knows which far point each group leads to, turns packets into
-//! signals and back, and answers what is not known by its compatibility information (Q.764, 2.9.5).
+//! [`signal_to_message`] and [`message_to_signal`] convert single messages. [`SignallingPoint`] routes
+//! packets between far point codes and trunk groups, and handles unrecognized messages by their compatibility
+//! information (Q.764, 2.9.5).
 
 mod map;
-mod office;
+mod signalling_point;
 
-pub use map::{message, signal, MapError, Meant};
-pub use office::{SignallingCounts, SignallingError, SignallingPoint};
+pub use map::{message_to_signal, signal_to_message, Decoded, MapError};
+pub use signalling_point::{SignallingCounts, SignallingError, SignallingPoint};
--- a/crates/signalling/tests/office.rs
+++ b/crates/signalling/tests/signalling_point.rs
@@ -1,13 +1,15 @@
-//! Signals as messages and back, and two offices that speak packets.
+//! Conversion of signals to messages and back, and packet exchange between two signalling points.
 
 use std::sync::Arc;
 
 use baydrift_isup::{Data, Error, Kind, Message};
-use baydrift_signalling::{message, signal, MapError, Meant, SignallingError, SignallingPoint};
+use baydrift_signalling::{
+    message_to_signal, signal_to_message, Decoded, MapError, SignallingError, SignallingPoint,
+};
 use baydrift_trunk::rules::{RouteChoice, Selection};
 use baydrift_trunk::{
-    AuditSettings, CallKey, End, GroupId, GroupSpec, Output, Processing, Setup, Signal, TimerSettings, Told,
-    Trunks,
+    AuditSettings, CallKey, End, GroupId, GroupSpec, Output, Processing, ReportedState, Setup, Signal,
+    TimerSettings, Trunks,
 };
 
 fn setup() -> Setup {
@@ -15,9 +17,10 @@
 }
 
 #[test]
-fn every_signal_is_a_message_and_reads_back() {
-    let told = |processing| Told { processing, locally_blocked: false, remotely_blocked: true };
-    let states = [Processing::Idle, Processing::IncomingBusy, Processing::OutgoingBusy].map(told).to_vec();
+fn every_signal_round_trips_as_message() {
+    let reported = |processing| ReportedState { processing, locally_blocked: false, remotely_blocked: true };
+    let states =
+        [Processing::Idle, Processing::IncomingBusy, Processing::OutgoingBusy].map(reported).to_vec();
     let status = vec![true, false, true];
     let all = [
         Signal::Seize(setup()),
@@ -41,18 +44,18 @@
         Signal::QueryReply(states),
         Signal::Unequipped,
     ];
-    for said in all {
-        let octets = message(77, &said).unwrap().write().unwrap();
+    for original in all {
+        let octets = signal_to_message(77, &original).unwrap().write().unwrap();
         let read = Message::read(&octets).unwrap();
-        assert_eq!((read.cic, signal(&read).unwrap()), (77, Meant::Signal(said)));
+        assert_eq!((read.cic, message_to_signal(&read).unwrap()), (77, Decoded::Signal(original)));
     }
-    for wrong in [Signal::GroupReset(0), Signal::Query(33), Signal::GroupBlock(Vec::new())] {
-        assert!(matches!(message(1, &wrong), Err(MapError::Range(_))));
+    for invalid in [Signal::GroupReset(0), Signal::Query(33), Signal::GroupBlock(Vec::new())] {
+        assert!(matches!(signal_to_message(1, &invalid), Err(MapError::Range(_))));
     }
-    assert_eq!(signal(&Message::new(Kind::Lpa, 1)).unwrap(), Meant::Nothing(Kind::Lpa));
+    assert_eq!(message_to_signal(&Message::new(Kind::Lpa, 1)).unwrap(), Decoded::Ignored(Kind::Lpa));
 }
 
-fn office(own_point: u32, far_point: u32) -> SignallingPoint {
+fn signalling_point(own_point: u32, far_point: u32) -> SignallingPoint {
     let spec =
         GroupSpec { own_point, far_point, first: 1, circuits: 4, selection: Selection::Opposite, reserve: 0 };
     let trunks = Trunks::new(vec![spec], TimerSettings::default(), AuditSettings::default()).unwrap();
@@ -60,8 +63,8 @@
 }
 
 #[test]
-fn two_offices_set_a_call_up_and_release_it() {
-    let (mut one, mut two) = (office(1, 2), office(2, 1));
+fn two_signalling_points_set_up_and_release_a_call() {
+    let (mut one, mut two) = (signalling_point(1, 2), signalling_point(2, 1));
     let mut from_one = Default::default();
     one.seize(0, CallKey(9), GroupId(0), setup(), RouteChoice::First, &mut from_one);
     let mut from_two: (Vec<Data>, Vec<Output>) = Default::default();
@@ -78,40 +81,41 @@
     one.handle_packet(4, &from_two.0.remove(0), &mut from_one).unwrap();
     assert_eq!(from_one.1.last(), Some(&Output::Ended(CallKey(9), End::Released(16))));
     two.handle_packet(5, &from_one.0.remove(0), &mut from_two).unwrap();
-    for office in [&one, &two] {
-        assert_eq!(office.trunks().usage(GroupId(0)).unwrap().free, 4);
+    for point in [&one, &two] {
+        assert_eq!(point.trunks().usage(GroupId(0)).unwrap().free, 4);
     }
 }
 
 #[test]
-fn strangers_and_nonsense_change_nothing_and_what_is_not_known_is_told() {
-    let mut one = office(1, 2);
-    let mut done: (Vec<Data>, Vec<Output>) = Default::default();
+fn invalid_packets_change_nothing_and_unknown_types_are_notified() {
+    let mut one = signalling_point(1, 2);
+    let mut outputs: (Vec<Data>, Vec<Output>) = Default::default();
     let data = |opc, dpc, message: &[u8]| Data { opc, dpc, sls: 0, message: message.to_vec() };
-    let iam = message(1, &Signal::Seize(setup())).unwrap().write().unwrap();
+    let iam = signal_to_message(1, &Signal::Seize(setup())).unwrap().write().unwrap();
     for (opc, dpc) in [(3, 1), (2, 7)] {
-        let stranger = one.handle_packet(0, &data(opc, dpc, &iam), &mut done);
-        assert_eq!(stranger, Err(SignallingError::Stranger { opc, dpc }));
+        let result = one.handle_packet(0, &data(opc, dpc, &iam), &mut outputs);
+        assert_eq!(result, Err(SignallingError::UnknownRoute { opc, dpc }));
     }
     assert!(matches!(
-        one.handle_packet(0, &data(2, 1, &iam[..6]), &mut done),
+        one.handle_packet(0, &data(2, 1, &iam[..6]), &mut outputs),
         Err(SignallingError::Message(_))
     ));
-    assert!(done.0.is_empty() && done.1.is_empty());
-    // A type that is not known and says nothing of itself is told by CFN; one that wants silence is not.
+    assert!(outputs.0.is_empty() && outputs.1.is_empty());
+    // An unknown type without compatibility information is answered with CFN; one that asks for no
+    // notification is not.
     assert_eq!(
-        one.handle_packet(0, &data(2, 1, &[1, 0, 0x7f]), &mut done),
+        one.handle_packet(0, &data(2, 1, &[1, 0, 0x7f]), &mut outputs),
         Err(SignallingError::Message(Error::Type(0x7f)))
     );
-    assert_eq!(Message::read(&done.0.remove(0).message).unwrap().kind, Kind::Cfn);
-    assert!(one.handle_packet(0, &data(2, 1, &[1, 0, 0x7f, 1, 0x38, 1, 0, 0]), &mut done).is_err());
-    assert!(done.0.is_empty());
-    // A circuit that is none is told so, and that is not answered in turn.
-    let ninety = message(90, &Signal::Seize(setup())).unwrap().write().unwrap();
-    one.handle_packet(0, &data(2, 1, &ninety), &mut done).unwrap();
-    let ucic = done.0.remove(0);
+    assert_eq!(Message::read(&outputs.0.remove(0).message).unwrap().kind, Kind::Cfn);
+    assert!(one.handle_packet(0, &data(2, 1, &[1, 0, 0x7f, 1, 0x38, 1, 0, 0]), &mut outputs).is_err());
+    assert!(outputs.0.is_empty());
+    // An unequipped circuit is answered with UCIC, and a UCIC is not answered.
+    let unequipped = signal_to_message(90, &Signal::Seize(setup())).unwrap().write().unwrap();
+    one.handle_packet(0, &data(2, 1, &unequipped), &mut outputs).unwrap();
+    let ucic = outputs.0.remove(0);
     assert_eq!(Message::read(&ucic.message).unwrap().kind, Kind::Ucic);
-    one.handle_packet(0, &data(2, 1, &ucic.message), &mut done).unwrap();
-    assert!(done.0.is_empty());
+    one.handle_packet(0, &data(2, 1, &ucic.message), &mut outputs).unwrap();
+    assert!(outputs.0.is_empty());
     assert_eq!((one.counts().refused, one.counts().confusions), (5, 1));
 }
--- a/crates/trunk/src/audit.rs
+++ b/crates/trunk/src/audit.rs
@@ -1,4 +1,4 @@
-//! Looking for circuits that are stuck: queries by ranges, paced, and what the answers add up to.
+//! Circuit audits: paced circuit group queries (CQM), and detection of stuck circuits from their answers.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,15 +7,16 @@
 use crate::rules::is_stuck;
 use crate::types::Cic;
 
-/// Circuits of one query at most (Q.763, 3.43: a CQM's range is 0 to 31).
+/// Maximum number of circuits in one query (Q.763, 3.43: the range field of a CQM is 0 to 31).
 pub(crate) const QUERY_MAX: u16 = 32;
 
-/// How much auditing there is.
+/// Pacing of audits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct AuditSettings {
-    /// A query of a group is sent no sooner than this after the one before; 0 for no audits.
+    /// Minimum interval between queries of a group, in microseconds; 0 disables audits.
     pub query_interval: Micros,
-    /// A second look is no sooner than this after the first: longer than any message stays under way.
+    /// Minimum delay before a mismatch is confirmed by a second query, in microseconds: longer than any
+    /// message is in transit.
     pub recheck_after: Micros,
 }
 
@@ -25,48 +26,51 @@
     }
 }
 
-/// A query that is out.
+/// An outstanding query.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct Query {
     pub(crate) first: Cic,
     pub(crate) sent_at: Micros,
-    /// The changes of each circuit when it was sent.
+    /// Change counter of each circuit when the query was sent.
     pub(crate) changes: Vec<u32>,
 }
 
-/// A first look that found a difference.
+/// A circuit whose first query showed a mismatch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Suspect {
-    seen_at: Micros,
+    first_seen: Micros,
+    /// Change counter of the circuit at that query.
     changes: u32,
 }
 
-/// One group's audit.
+/// Audit state of one group.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Audit {
-    /// The next circuit of the round.
+    /// First circuit of the next regular query.
     next: Cic,
+    /// Earliest time of the next query; `MAX` where audits are disabled.
     pub(crate) due: Micros,
     pub(crate) query: Option<Query>,
-    /// When a query was last answered.
+    /// Time of the last answered query.
     pub(crate) answered_at: Option<Micros>,
     suspects: BTreeMap<Cic, Suspect>,
-    /// Circuits that want a look of their own, out of turn.
-    wanted: VecDeque<(Micros, Cic)>,
+    /// Circuits to query individually before the regular order, with the earliest time for each.
+    out_of_turn: VecDeque<(Micros, Cic)>,
 }
 
-/// Circuits that want a look out of turn at once; beyond it they wait for the round.
-const WANTED_MAX: usize = 256;
+/// Maximum number of queued individual queries; further circuits wait for their regular query.
+const OUT_OF_TURN_MAX: usize = 256;
 
 impl Audit {
     pub(crate) fn new(first: Cic, due: Micros) -> Self {
         Self { next: first, due, ..Self::default() }
     }
 
-    /// The range to ask for now: one that wants a look, or the next of the round.
-    pub(crate) fn range(&mut self, now: Micros, cics: std::ops::Range<Cic>) -> (Cic, u16) {
-        if let Some((_, cic)) = self.wanted.front().copied().filter(|(at, _)| *at <= now) {
-            self.wanted.pop_front();
+    /// First circuit and number of circuits of the next query: a queued individual circuit, or the next
+    /// regular range.
+    pub(crate) fn next_range(&mut self, now: Micros, cics: std::ops::Range<Cic>) -> (Cic, u16) {
+        if let Some((_, cic)) = self.out_of_turn.front().copied().filter(|(at, _)| *at <= now) {
+            self.out_of_turn.pop_front();
             return (cic, 1);
         }
         if !cics.contains(&self.next) {
@@ -77,29 +81,38 @@
         (first, count)
     }
 
-    /// Something odd was seen on a circuit: it wants a look.
-    pub(crate) fn want(&mut self, at: Micros, cic: Cic) {
-        if self.wanted.len() < WANTED_MAX && self.wanted.iter().all(|(_, other)| *other != cic) {
-            self.wanted.push_back((at, cic));
+    /// Queues an individual query of a circuit.
+    pub(crate) fn request_check(&mut self, at: Micros, cic: Cic) {
+        if self.out_of_turn.len() < OUT_OF_TURN_MAX && self.out_of_turn.iter().all(|(_, other)| *other != cic)
+        {
+            self.out_of_turn.push_back((at, cic));
         }
     }
 
-    /// Both ends say the same of a circuit, or it changes.
+    /// Drops a suspicion: both ends agree, or the circuit's state is changing.
     pub(crate) fn clear(&mut self, cic: Cic) {
         self.suspects.remove(&cic);
     }
 
-    /// Both ends differ; whether that makes it stuck.
-    pub(crate) fn differs(&mut self, now: Micros, cic: Cic, changes: u32, settings: AuditSettings) -> bool {
+    /// Records a mismatch between both ends and returns whether the circuit is stuck.
+    pub(crate) fn confirms_stuck(
+        &mut self,
+        now: Micros,
+        cic: Cic,
+        changes: u32,
+        settings: AuditSettings,
+    ) -> bool {
         match self.suspects.get(&cic) {
-            Some(first) if is_stuck(first.seen_at, first.changes, now, changes, settings.recheck_after) => {
+            Some(first)
+                if is_stuck(first.first_seen, first.changes, now, changes, settings.recheck_after) =>
+            {
                 self.suspects.remove(&cic);
                 true
             }
             Some(first) if first.changes == changes => false,
             _ => {
-                self.suspects.insert(cic, Suspect { seen_at: now, changes });
-                self.want(now + settings.recheck_after, cic);
+                self.suspects.insert(cic, Suspect { first_seen: now, changes });
+                self.request_check(now + settings.recheck_after, cic);
                 false
             }
         }
--- a/crates/trunk/src/circuit.rs
+++ b/crates/trunk/src/circuit.rs
@@ -1,35 +1,35 @@
-//! One circuit at one end.
+//! State of one circuit at this end.
 
 use baydrift::interface::Micros;
 
-use crate::rules::Ours;
-use crate::types::{CallKey, Processing, Told};
+use crate::rules::LocalState;
+use crate::types::{CallKey, Processing, ReportedState};
 
-/// What it is used for.
+/// Call and reset state of a circuit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub(crate) enum Use {
+pub(crate) enum CircuitState {
     Idle,
-    /// Seized from here: IAM sent, nothing back yet. Only now can both ends have seized it.
+    /// IAM sent, no backward signal yet. Dual seizure is possible only in this state.
     OutSeized(CallKey),
-    /// ACM came.
+    /// ACM received.
     OutAccepted(CallKey),
-    /// ANM came.
+    /// ANM received.
     OutAnswered(CallKey),
-    /// Seized by the far end; accepted or answered by the call side.
+    /// Seized by the far end: an incoming call.
     In(CallKey),
-    /// REL sent; RLC is awaited.
+    /// REL sent, waiting for RLC.
     Releasing,
-    /// RSC sent; RLC is awaited.
+    /// RSC sent, waiting for RLC.
     Resetting,
-    /// Within a GRS; GRA is awaited.
+    /// Covered by a GRS, waiting for GRA.
     GroupResetting,
     /// The far end has no such circuit.
     Unequipped,
 }
 
-/// What it is counted as, for who asks how full a group is.
+/// The field of [`crate::Usage`] that a circuit is counted in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub(crate) enum Tally {
+pub(crate) enum UsageKind {
     Free,
     Blocked,
     Outgoing,
@@ -37,99 +37,123 @@
     Clearing,
 }
 
-/// See the module's page.
+/// A circuit with its timers and blocking state.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct Circuit {
-    pub(crate) used: Use,
-    /// Grows with each change of use, so that an audit sees whether anything moved.
+    pub(crate) state: CircuitState,
+    /// Incremented at each state change, so that an audit detects changes between two queries.
     pub(crate) changes: u32,
-    /// Since when it is so.
+    /// Time of the last state change.
     pub(crate) since: Micros,
-    /// When its timer is due; `MAX` for none.
+    /// Expiry of the state timer; `MAX` while none runs.
     pub(crate) due: Micros,
+    /// Expiry of the blocking timer; `MAX` while none runs.
     pub(crate) blocking_due: Micros,
-    /// Since when a blocking or its end is unanswered.
+    /// Time of the last blocking or unblocking request at this end.
     pub(crate) blocking_since: Micros,
-    /// Key of its place among free circuits; 0 for none.
-    pub(crate) free: u64,
-    pub(crate) blocked_here: bool,
-    pub(crate) blocked_there: bool,
-    /// The far end has not confirmed the last blocking or its end.
-    pub(crate) blocking_open: bool,
-    pub(crate) reported: bool,
-    /// As what it is counted.
-    pub(crate) tallied: Tally,
-    /// This end won the last dual seizure of it.
-    pub(crate) won: bool,
+    /// Key in the group's list of free circuits; 0 while not listed.
+    pub(crate) free_key: u64,
+    pub(crate) locally_blocked: bool,
+    pub(crate) remotely_blocked: bool,
+    /// The far end has not acknowledged the last blocking or unblocking.
+    pub(crate) blocking_unacknowledged: bool,
+    /// An unanswered reset has been reported to operators.
+    pub(crate) unanswered_reported: bool,
+    /// Field of the group's usage that currently counts this circuit.
+    pub(crate) counted_as: UsageKind,
+    /// This end won the last dual seizure of the circuit.
+    pub(crate) won_last_glare: bool,
 }
 
 impl Circuit {
     pub(crate) fn new() -> Self {
         Self {
-            used: Use::Idle,
+            state: CircuitState::Idle,
             changes: 0,
             since: 0,
             due: Micros::MAX,
             blocking_due: Micros::MAX,
             blocking_since: 0,
-            free: 0,
-            blocked_here: false,
-            blocked_there: false,
-            blocking_open: false,
-            reported: false,
-            tallied: Tally::Blocked,
-            won: false,
+            free_key: 0,
+            locally_blocked: false,
+            remotely_blocked: false,
+            blocking_unacknowledged: false,
+            unanswered_reported: false,
+            counted_as: UsageKind::Blocked,
+            won_last_glare: false,
         }
     }
 
+    /// The call that holds the circuit.
     pub(crate) fn call(&self) -> Option<CallKey> {
-        match self.used {
-            Use::OutSeized(call) | Use::OutAccepted(call) | Use::OutAnswered(call) | Use::In(call) => {
-                Some(call)
-            }
+        match self.state {
+            CircuitState::OutSeized(call)
+            | CircuitState::OutAccepted(call)
+            | CircuitState::OutAnswered(call)
+            | CircuitState::In(call) => Some(call),
             _ => None,
         }
     }
 
-    /// As what it is to be counted.
-    pub(crate) fn tally(&self) -> Tally {
-        match self.used {
-            Use::Idle if self.is_free() => Tally::Free,
-            Use::Idle | Use::Unequipped => Tally::Blocked,
-            Use::OutSeized(_) | Use::OutAccepted(_) | Use::OutAnswered(_) => Tally::Outgoing,
-            Use::In(_) => Tally::Incoming,
-            Use::Releasing | Use::Resetting | Use::GroupResetting => Tally::Clearing,
+    /// The usage field that matches the current state.
+    pub(crate) fn usage_kind(&self) -> UsageKind {
+        match self.state {
+            CircuitState::Idle if self.is_free() => UsageKind::Free,
+            CircuitState::Idle | CircuitState::Unequipped => UsageKind::Blocked,
+            CircuitState::OutSeized(_) | CircuitState::OutAccepted(_) | CircuitState::OutAnswered(_) => {
+                UsageKind::Outgoing
+            }
+            CircuitState::In(_) => UsageKind::Incoming,
+            CircuitState::Releasing | CircuitState::Resetting | CircuitState::GroupResetting => {
+                UsageKind::Clearing
+            }
         }
     }
 
     pub(crate) fn is_free(&self) -> bool {
-        self.used == Use::Idle && !self.blocked_here && !self.blocked_there
+        self.state == CircuitState::Idle && !self.locally_blocked && !self.remotely_blocked
     }
 
-    /// A release or reset is out, and its timer runs here.
+    /// Whether a REL, RSC or GRS is unanswered and its timer runs on this circuit.
     pub(crate) fn awaits_completion(&self) -> bool {
-        let out = matches!(self.used, Use::Releasing | Use::Resetting | Use::GroupResetting);
-        out && self.due != Micros::MAX
+        let pending = matches!(
+            self.state,
+            CircuitState::Releasing | CircuitState::Resetting | CircuitState::GroupResetting
+        );
+        pending && self.due != Micros::MAX
     }
 
-    pub(crate) fn ours(&self) -> Ours {
-        match self.used {
-            Use::Idle => Ours::Idle,
-            Use::OutSeized(_) | Use::OutAccepted(_) | Use::OutAnswered(_) => Ours::Outgoing,
-            Use::In(_) => Ours::Incoming,
-            Use::Releasing | Use::Resetting | Use::GroupResetting | Use::Unequipped => Ours::Changing,
+    pub(crate) fn local_state(&self) -> LocalState {
+        match self.state {
+            CircuitState::Idle => LocalState::Idle,
+            CircuitState::OutSeized(_) | CircuitState::OutAccepted(_) | CircuitState::OutAnswered(_) => {
+                LocalState::Outgoing
+            }
+            CircuitState::In(_) => LocalState::Incoming,
+            CircuitState::Releasing
+            | CircuitState::Resetting
+            | CircuitState::GroupResetting
+            | CircuitState::Unequipped => LocalState::Transient,
         }
     }
 
-    /// What the far end is told of it.
-    pub(crate) fn told(&self) -> Told {
-        let processing = match self.used {
-            Use::Idle => Processing::Idle,
-            Use::OutSeized(_) | Use::OutAccepted(_) | Use::OutAnswered(_) => Processing::OutgoingBusy,
-            Use::In(_) => Processing::IncomingBusy,
-            Use::Releasing | Use::Resetting | Use::GroupResetting => Processing::Transient,
-            Use::Unequipped => Processing::Unequipped,
+    /// The state to report to the far end in a CQR.
+    pub(crate) fn reported_state(&self) -> ReportedState {
+        let processing = match self.state {
+            CircuitState::Idle => Processing::Idle,
+            CircuitState::OutSeized(_) | CircuitState::OutAccepted(_) | CircuitState::OutAnswered(_) => {
+                Processing::OutgoingBusy
+            }
+            CircuitState::In(_) => Processing::IncomingBusy,
+            CircuitState::Releasing | CircuitState::Resetting | CircuitState::GroupResetting => {
+                Processing::Transient
+            }
+            CircuitState::Unequipped => Processing::Unequipped,
         };
-        Told { processing, locally_blocked: self.blocked_here, remotely_blocked: self.blocked_there }
+        ReportedState {
+            processing,
+            locally_blocked: self.locally_blocked,
+            remotely_blocked: self.remotely_blocked,
+        }
     }
 }
--- a/crates/trunk/src/lib.rs
+++ b/crates/trunk/src/lib.rs
@@ -1,12 +1,13 @@
-//! Trunk groups at one end, by Q.764, without I/O, clock or threads: circuits with their timers, and what is decided
-//! about them.
+//! One end of ISUP trunk groups (Q.764): circuits, their timers, blocking, reset and audits, without I/O,
+//! clock or threads.
 //!
-//! [`Trunks`] owns all groups of an exchange. It hears signals of far ends and wishes of the call side, and says by
-//! [`Output`]s what to send and what became of calls. Decisions, which are pure functions, stand in [`rules`]: which
-//! circuit, whose call proceeds when both ends seize one, what the other call does, when a circuit counts as stuck
-//! and who is believed.
+//! [`Trunks`] owns all trunk groups of an exchange. It takes signals from far ends and requests from call
+//! control, and returns [`Output`]s: signals to send and events of calls. The decisions are pure functions in
+//! [`rules`]: circuit selection, dual seizure (glare), reattempt after a lost dual seizure, detection of
+//! stuck circuits, and which end's blocking state applies.
 //!
-//! What can grow: circuits are as many as configured, a call holds one circuit, an audit has one query out a group.
+//! Memory is bounded: the number of circuits is configured, a call holds one circuit, and each group has at
+//! most one audit query outstanding.
 
 mod audit;
 mod circuit;
@@ -22,5 +23,6 @@
 pub use timers::TimerSettings;
 pub use trunks::{Counts, Trunks};
 pub use types::{
-    CallKey, Cic, End, GroupId, GroupView, Maintenance, Output, Processing, Setup, Signal, Told, Usage, View,
+    CallKey, Cic, CircuitView, End, GroupId, GroupView, Maintenance, Output, Processing, ReportedState,
+    Setup, Signal, Usage,
 };
--- a/crates/trunk/src/route.rs
+++ b/crates/trunk/src/route.rs
@@ -1,15 +1,15 @@
-//! What is decided between a call and the groups that lead to its far end: which group, what the way a call ended
-//! means to who decides on routes, and what that is told of circuits. No state.
+//! Pure functions between call routing and trunk groups: selection of the next group, mapping of a call's end
+//! to a routing outcome, and the load report of a far end.
 
 use baydrift::interface::{Note, Outcome, Report};
 
 use crate::types::{End, GroupId, Usage};
 
-/// Cause values (Q.850) that mean more than "failed" to who decides on routes, and those that are said from here.
+/// Cause values (Q.850) that call routing distinguishes, and those that this end sends.
 pub mod cause {
-    /// The caller is done, or a call that stood is over.
+    /// Normal call clearing: the caller or the called party ended the call.
     pub const NORMAL_CLEARING: u8 = 16;
-    /// The number is busy.
+    /// User busy.
     pub const USER_BUSY: u8 = 17;
     /// Normal, unspecified.
     pub const NORMAL_UNSPECIFIED: u8 = 31;
@@ -17,9 +17,9 @@
     pub const NO_CIRCUIT: u8 = 34;
     /// Network out of order.
     pub const NETWORK_OUT_OF_ORDER: u8 = 38;
-    /// Temporary failure: a call that was taken could not be set up.
+    /// Temporary failure: a call was accepted but could not be set up.
     pub const TEMPORARY_FAILURE: u8 = 41;
-    /// Switching equipment congestion: turned away, never ran.
+    /// Switching equipment congestion: the call was rejected before any processing.
     pub const SWITCHING_CONGESTION: u8 = 42;
     /// Requested circuit not available.
     pub const CIRCUIT_NOT_AVAILABLE: u8 = 44;
@@ -29,26 +29,26 @@
     pub const RECOVERY_ON_TIMER_EXPIRY: u8 = 102;
 }
 
-/// The group that a call tries next: of those not tried yet the one with most free circuits, the first of equals. A
-/// group without a free one is not tried: that would be known at once, and cost the call a decision. `None`: the far
-/// end cannot take the call now.
+/// Selects the group that a call tries next: of the untried groups the one with the most free circuits, the
+/// lowest id among equals. Groups without a free circuit are skipped, as the seizure would fail at once.
+/// `None` means that the far end cannot take the call now.
 pub fn next_group(groups: &[(GroupId, Usage)], tried: &[GroupId]) -> Option<GroupId> {
-    let open = groups.iter().filter(|(group, usage)| usage.free > 0 && !tried.contains(group));
-    open.max_by_key(|(group, usage)| (usage.free, std::cmp::Reverse(*group))).map(|(group, _)| *group)
+    let available = groups.iter().filter(|(group, usage)| usage.free > 0 && !tried.contains(group));
+    available.max_by_key(|(group, usage)| (usage.free, std::cmp::Reverse(*group))).map(|(group, _)| *group)
 }
 
-/// Whether a call whose try of a group ended so tries the far end's next group: only where the far end has nothing of
-/// it, by the rule for dual seizure or since nothing was sent. All else is for who decides on routes, who keeps the
-/// release guard.
+/// Returns whether a call whose attempt on one group ended this way may try the far end's next group: only if
+/// the far end holds nothing of it, because nothing was sent or because it yielded on dual seizure. All other
+/// endings go to call routing, which applies the retry hold-off.
 pub fn may_try_next_group(end: End) -> bool {
     matches!(end, End::NoCircuit | End::Yielded)
 }
 
-/// What the end of a set-up means to who decides on routes.
+/// Maps the end of a set-up to the outcome and note reported to call routing.
 ///
-/// No circuit, and a call that yielded, are "no line": it never ran, and may go elsewhere at once. A seizure that was
-/// not answered in time, or was reset, may have run; so may one that was released without a cause that says why the
-/// far end does not want it.
+/// A call that found no circuit or yielded never ran at the far end and may be routed elsewhere at once. A
+/// seizure that timed out or was reset may have run, and so may a call released with a cause that does not
+/// say that the far end rejected it.
 pub fn outcome_of(end: End) -> (Outcome, Note) {
     match end {
         End::NoCircuit | End::Yielded => (Outcome::Full, Note::NoLine),
@@ -60,7 +60,8 @@
         End::Released(cause::SWITCHING_CONGESTION | cause::RESOURCE_UNAVAILABLE) => {
             (Outcome::Full, Note::ProcessorFull(0))
         }
-        // The far end had it and let go of it: it may have stood there, and its answer been lost on the way.
+        // The far end accepted the call and then released it: the call may have been answered there, and the
+        // ANM lost.
         End::Released(
             cause::NORMAL_CLEARING
             | cause::NORMAL_UNSPECIFIED
@@ -72,8 +73,8 @@
     }
 }
 
-/// What is told of a far end: its free lines, and lines in all. Blocked circuits are no lines; one that awaits its
-/// release or reset is a line, but not free.
+/// Builds the load report of a far end: free circuits, and circuits in service. Blocked circuits are not in
+/// service; a circuit that is being released or reset is in service but not free.
 pub fn far_end_report(groups: &[(GroupId, Usage)]) -> Report {
     let sum = |of: fn(&Usage) -> usize| groups.iter().map(|(_, usage)| of(usage)).sum::<usize>() as f64;
     Report {
@@ -92,7 +93,7 @@
     }
 
     #[test]
-    fn the_group_with_most_free_circuits_comes_first_and_none_twice() {
+    fn next_group_prefers_most_free_circuits_without_repeats() {
         let groups =
             [(GroupId(0), usage(2)), (GroupId(1), usage(5)), (GroupId(2), usage(5)), (GroupId(3), usage(0))];
         let mut tried = Vec::new();
@@ -103,7 +104,7 @@
     }
 
     #[test]
-    fn only_what_left_nothing_at_the_far_end_goes_on_at_once() {
+    fn only_calls_unknown_to_far_end_try_next_group() {
         let all = [
             End::Released(16),
             End::Released(34),
@@ -118,7 +119,7 @@
             if may_try_next_group(end) {
                 assert_eq!(outcome, Outcome::Full);
             }
-            // What may have run must not count as "never ran".
+            // A call that may have run must not be reported as one that never ran.
             let may_have_run = matches!(outcome, Outcome::Timeout | Outcome::Reset);
             assert_eq!(may_have_run, matches!(end, End::NoAnswer | End::Reset | End::Released(16)));
         }
@@ -127,8 +128,8 @@
     }
 
     #[test]
-    fn blocked_circuits_are_no_lines() {
-        let told = far_end_report(&[(GroupId(0), usage(2)), (GroupId(1), usage(5))]);
-        assert_eq!((told.free, told.lines), (Some(7.0), Some(19.0)));
+    fn load_report_excludes_blocked_circuits() {
+        let report = far_end_report(&[(GroupId(0), usage(2)), (GroupId(1), usage(5))]);
+        assert_eq!((report.free, report.lines), (Some(7.0), Some(19.0)));
     }
 }
--- a/crates/trunk/src/rules.rs
+++ b/crates/trunk/src/rules.rs
@@ -1,155 +1,166 @@
-//! What is decided about circuits. No state: each is a rule that can be read, tested and argued about alone.
+//! Decisions about circuits, as pure functions: control, selection, dual seizure, release, blocking and
+//! audits.
 
-use crate::types::{Cic, Processing, Told};
+use crate::types::{Cic, Processing, ReportedState};
 
-/// Which of two ends controls a circuit, whose call proceeds when both seize it: the exchange with the higher
-/// signalling point code the even ones, the other the odd ones (Q.764, 2.9.1.4).
+/// Returns whether this end controls a circuit, so that its call proceeds on dual seizure. The exchange with
+/// the higher signalling point code controls the even circuits, the other one the odd circuits (Q.764,
+/// 2.9.1.4).
 pub fn controls(own_point: u32, far_point: u32, cic: Cic) -> bool {
     (own_point > far_point) == (cic % 2 == 0)
 }
 
-/// How a free circuit is chosen.
+/// Circuit selection method.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Selection {
-    /// Own circuits first, the one that was free longest; then those that the far end controls, the one that was
-    /// freed last (Q.764, 2.9.1.3, method 2). Each end begins where the other one comes last.
+    /// First the circuits that this end controls, longest idle first; then those that the far end controls,
+    /// most recently released first (Q.764, 2.9.1.3, method 2). The two ends select in opposite order, which
+    /// makes dual seizure rare.
     Opposite,
-    /// The lowest number: what a plain exchange does, and what makes glare common.
+    /// The lowest free circuit, as simple exchanges select it. Dual seizure is frequent.
     Sequential,
 }
 
-/// How a call came to a group.
+/// How a call was routed to a trunk group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RouteChoice {
-    /// The group is its first choice.
+    /// The group is the call's first choice.
     First,
-    /// Another group or server had no room: it must leave some circuits to first choices.
+    /// The call overflowed from another group or server and may not use the circuits reserved for
+    /// first-choice calls.
     Overflow,
 }
 
-/// Whether a call may seize one of `free` circuits, of which `reserve` are kept back for first choices: in a group
-/// that is nearly full an overflow call takes the place of one that has nowhere else to go.
-pub fn may_seize(claim: RouteChoice, free: usize, reserve: usize) -> bool {
-    match claim {
+/// Returns whether a call may seize one of `free` circuits, of which `reserve` are reserved for first-choice
+/// calls (trunk reservation): in a nearly full group an overflow call would displace a call that has no other
+/// route.
+pub fn may_seize(choice: RouteChoice, free: usize, reserve: usize) -> bool {
+    match choice {
         RouteChoice::First => free > 0,
         RouteChoice::Overflow => free > reserve,
     }
 }
 
-/// An end that won the last dual seizure of a circuit leaves it to the far end for so long once it is idle again,
-/// microseconds: longer than a seizure is under way. By the fixed rule alone the end that controls the last free
-/// circuit would win it every time, and the other end's calls would starve.
-pub const GIVES_WAY: u64 = 200_000;
+/// After winning a dual seizure of a circuit, an end leaves the idle circuit to the far end for this time, in
+/// microseconds. It is longer than an IAM is in transit. Without it the end that controls the last free
+/// circuit would win every dual seizure of it and starve the other end's calls.
+pub const POST_GLARE_HOLDOFF_US: u64 = 200_000;
 
-/// Whether a circuit that has been idle for so long is left to the far end.
-pub fn gives_way(won_the_last: bool, idle_for: u64) -> bool {
-    won_the_last && idle_for < GIVES_WAY
+/// Returns whether a circuit that has been idle for `idle_us` is left to the far end.
+pub fn leaves_to_far_end(won_last_glare: bool, idle_us: u64) -> bool {
+    won_last_glare && idle_us < POST_GLARE_HOLDOFF_US
 }
 
-/// Seizures of one call that may lose to the far end's in one group. Each was settled by the exchange that controls
-/// the circuit, so nothing of the call is left there and the next circuit may be tried at once; but a call that lost
-/// so often is better sent elsewhere, by who decides on routes.
-pub const YIELDS_MAX: u8 = 3;
+/// Maximum number of dual seizures that one call may lose in a group. The exchange that controls the circuit
+/// has discarded the yielding call, so another circuit may be seized at once. A call that has reached the
+/// limit is returned to call control, which may route it elsewhere.
+pub const MAX_YIELDS: u8 = 3;
 
-/// Whether a call that yielded tries another circuit of the same group.
-pub fn tries_another(yielded: u8) -> bool {
-    yielded < YIELDS_MAX
+/// Returns whether a call that yielded `yielded` times may seize another circuit of the same group.
+pub fn may_reseize(yielded: u8) -> bool {
+    yielded < MAX_YIELDS
 }
 
-/// A backward signal on a circuit that has been idle for less than this may be a late copy of the last call's,
-/// microseconds: longer than a signal is under way.
-pub const LATE: u64 = 1_000_000;
+/// A backward signal on a circuit that has been idle for less than this time, in microseconds, may be a
+/// delayed duplicate of the previous call's. It is longer than a signal is in transit.
+pub const LATE_SIGNAL_WINDOW_US: u64 = 1_000_000;
 
-/// Whether a backward signal on an idle circuit shows that the far end holds what is no call: the circuit is reset
-/// then (Q.764, 2.9.5.1). Right after a release it may be a copy, and the reset would cut the far end's next call: an
-/// audit looks instead.
-pub fn shows_a_lost_call(idle_for: u64) -> bool {
-    idle_for >= LATE
+/// Returns whether a backward signal on an idle circuit shows that the far end holds a call that does not
+/// exist here; the circuit is then reset (Q.764, 2.9.5.1). Shortly after a release the signal may be a
+/// delayed duplicate, and a reset would cut the far end's next call, so an audit checks the circuit instead.
+pub fn indicates_unknown_call(idle_us: u64) -> bool {
+    idle_us >= LATE_SIGNAL_WINDOW_US
 }
 
-/// What this end uses a circuit for, as an audit compares it.
+/// State of a circuit at this end, as compared by an audit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Ours {
+pub enum LocalState {
     /// Idle.
     Idle,
-    /// Busy by a call from here.
+    /// Busy with an outgoing call.
     Outgoing,
-    /// Busy by the far end's call.
+    /// Busy with an incoming call.
     Incoming,
-    /// Being released or reset: its own timers see to it.
-    Changing,
+    /// Being released or reset, which is supervised by timers; or unequipped.
+    Transient,
 }
 
-/// What an audit concludes of one look at one circuit.
+/// Result of comparing one circuit's state at both ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Look {
-    /// Both ends say the same.
-    Agree,
-    /// One of them is changing: nothing can be concluded.
-    Open,
-    /// They say what cannot both be true for long.
-    Differ,
+pub enum Comparison {
+    /// Both ends agree.
+    Consistent,
+    /// The state is changing at one end: nothing can be concluded.
+    Inconclusive,
+    /// The states contradict each other; only a message in transit explains that.
+    Mismatch,
     /// The far end has no such circuit.
     Unequipped,
 }
 
-/// Compares what both ends say of a circuit.
-pub fn compare(ours: Ours, told: Told) -> Look {
+/// Compares a circuit's state at this end with the state that the far end reports.
+pub fn compare_states(local: LocalState, remote: ReportedState) -> Comparison {
     use Processing::{Idle, IncomingBusy, OutgoingBusy, Transient, Unequipped};
-    match (ours, told.processing) {
-        (_, Unequipped) => Look::Unequipped,
-        (Ours::Changing, _) | (_, Transient) => Look::Open,
-        (Ours::Idle, Idle) | (Ours::Outgoing, IncomingBusy) | (Ours::Incoming, OutgoingBusy) => Look::Agree,
-        _ => Look::Differ,
+    match (local, remote.processing) {
+        (_, Unequipped) => Comparison::Unequipped,
+        (LocalState::Transient, _) | (_, Transient) => Comparison::Inconclusive,
+        (LocalState::Idle, Idle)
+        | (LocalState::Outgoing, IncomingBusy)
+        | (LocalState::Incoming, OutgoingBusy) => Comparison::Consistent,
+        _ => Comparison::Mismatch,
     }
 }
 
-/// Whether a circuit whose ends differ is stuck. One look proves nothing: a seizure or a release may be under way.
-/// Two looks, longer apart than any message stays under way, with no change here between them, prove that what one
-/// end holds the other one does not: no call stands on it, whichever end is right, and it may be reset.
+/// Returns whether a circuit with mismatching states is stuck. A single mismatch proves nothing, as a seizure
+/// or release may be in transit. Two mismatches further apart than any message's transit time, with no change
+/// at this end in between, prove that only one end holds a call: no call is established, and the circuit may
+/// be reset.
 pub fn is_stuck(
-    first_look: u64,
+    first_mismatch: u64,
     changes_then: u32,
     now: u64,
     changes_now: u32,
-    second_look_after: u64,
+    recheck_after: u64,
 ) -> bool {
-    changes_then == changes_now && now >= first_look.saturating_add(second_look_after)
+    changes_then == changes_now && now >= first_mismatch.saturating_add(recheck_after)
 }
 
-/// Who is believed about blocking: the end that blocks. `true`: say our own blocking again.
-pub fn blocking_unknown_there(own_block: bool, told: Told) -> bool {
-    own_block != told.remotely_blocked
+/// Returns whether the far end's view of this end's blocking is wrong. The end that blocks is authoritative:
+/// on a mismatch it sends its blocking state again.
+pub fn blocking_mismatch(locally_blocked: bool, remote: ReportedState) -> bool {
+    locally_blocked != remote.remotely_blocked
 }
 
-/// An IAM on a circuit whose release or reset is still to be completed here shows that the far end has it idle. Either
-/// the IAM crossed the REL, or is a copy: then the RLC follows it, and the far end's call ended with the REL. Or the
-/// RLC was lost: then the far end's call waits, and its caller with it, until T1 runs out. So it is neither taken nor
-/// answered at once, for an REL said again would meet the far end's next call when it has completed the first one; but
-/// where the RLC does not follow within this, microseconds, the release is said again before T1.
-pub const COMPLETION_FOLLOWS: u64 = 200_000;
-
-/// Whether an REL is answered by an RLC: not where this end's reset of the circuit is out. The far end is done with the
-/// circuit once it reads that, and awaits no RLC then; one that it reads later it would take for the completion of its
-/// next call's release, and signals of that call for those of the one after.
-pub fn completes_a_release(resetting: bool) -> bool {
+/// Wait for an RLC after an IAM arrived on a circuit whose release or reset is incomplete, in microseconds.
+/// Such an IAM shows that the far end has the circuit idle. If the IAM crossed the REL or is a duplicate, the
+/// RLC follows it and the far end's call ended with the REL. If the RLC was lost, the far end's call and its
+/// caller would wait until T1 expires. Repeating the REL at once could hit the far end's next call after the
+/// first release completes, so the IAM is neither accepted nor answered, and the REL or RSC is repeated
+/// before T1 only if no RLC arrives within this time.
+pub const RLC_GRACE_US: u64 = 200_000;
+
+/// Returns whether an REL is answered with an RLC: not while this end's reset of the circuit is pending. The
+/// reset ends the far end's release, so the far end would take a later RLC for the completion of its next
+/// call's release, and signals of that call for signals of the one after.
+pub fn answers_release(resetting: bool) -> bool {
     !resetting
 }
 
-/// Whether a blocking that comes while an IAM is unanswered says that the IAM was not taken. The first one does not:
-/// it may have been sent after the IAM was read, and then the call goes on there (Q.764, 2.8.2). To go on by another
-/// circuit at once, as Q.764, 2.8.2.3 allows, would have two attempts out. An exchange that reads an IAM on a circuit
-/// that it has blocked says the blocking again, and that is an answer.
-pub fn blocking_refuses(blocked: bool, blocked_before: bool) -> bool {
-    blocked && blocked_before
+/// Returns whether a blocking signal received while an IAM is unanswered rejects the IAM. The first BLO or
+/// CGB does not: it may have been sent after the IAM was processed, and the call then proceeds at the far end
+/// (Q.764, 2.8.2). Reattempting on another circuit at once, as Q.764, 2.8.2.3 allows, could leave two
+/// attempts in progress. An exchange that receives an IAM on a circuit that it has blocked repeats the
+/// blocking, and that repetition rejects the IAM.
+pub fn blocking_rejects_seizure(blocked: bool, already_blocked: bool) -> bool {
+    blocked && already_blocked
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    fn told(processing: Processing) -> Told {
-        Told { processing, locally_blocked: false, remotely_blocked: false }
+    fn reported(processing: Processing) -> ReportedState {
+        ReportedState { processing, locally_blocked: false, remotely_blocked: false }
     }
 
     #[test]
@@ -163,44 +174,56 @@
     }
 
     #[test]
-    fn only_a_blocking_said_again_answers_a_seizure() {
-        assert!(blocking_refuses(true, true));
-        assert!(!blocking_refuses(true, false) && !blocking_refuses(false, true));
+    fn only_repeated_blocking_rejects_seizure() {
+        assert!(blocking_rejects_seizure(true, true));
+        assert!(!blocking_rejects_seizure(true, false) && !blocking_rejects_seizure(false, true));
     }
 
     #[test]
-    fn who_won_gives_way_for_a_while() {
-        assert!(gives_way(true, 0) && gives_way(true, GIVES_WAY - 1));
-        assert!(!gives_way(true, GIVES_WAY) && !gives_way(false, 0));
+    fn glare_winner_leaves_circuit_to_far_end() {
+        assert!(leaves_to_far_end(true, 0) && leaves_to_far_end(true, POST_GLARE_HOLDOFF_US - 1));
+        assert!(!leaves_to_far_end(true, POST_GLARE_HOLDOFF_US) && !leaves_to_far_end(false, 0));
     }
 
     #[test]
-    fn a_signal_right_after_a_release_proves_nothing() {
-        assert!(!shows_a_lost_call(0) && !shows_a_lost_call(LATE - 1) && shows_a_lost_call(LATE));
+    fn early_backward_signal_does_not_trigger_reset() {
+        assert!(
+            !indicates_unknown_call(0)
+                && !indicates_unknown_call(LATE_SIGNAL_WINDOW_US - 1)
+                && indicates_unknown_call(LATE_SIGNAL_WINDOW_US)
+        );
     }
 
     #[test]
-    fn the_last_circuits_are_for_first_choices() {
+    fn reserved_circuits_exclude_overflow_calls() {
         assert!(may_seize(RouteChoice::First, 1, 4) && !may_seize(RouteChoice::First, 0, 0));
         assert!(!may_seize(RouteChoice::Overflow, 4, 4) && may_seize(RouteChoice::Overflow, 5, 4));
     }
 
     #[test]
-    fn ends_agree_only_where_each_is_the_others_mirror() {
+    fn states_are_consistent_only_when_mirrored() {
         use Processing::{Idle, IncomingBusy, OutgoingBusy, Transient};
-        let agree = [(Ours::Idle, Idle), (Ours::Outgoing, IncomingBusy), (Ours::Incoming, OutgoingBusy)];
-        for ours in [Ours::Idle, Ours::Outgoing, Ours::Incoming] {
-            for theirs in [Idle, IncomingBusy, OutgoingBusy] {
-                let wanted = if agree.contains(&(ours, theirs)) { Look::Agree } else { Look::Differ };
-                assert_eq!(compare(ours, told(theirs)), wanted);
+        let consistent = [
+            (LocalState::Idle, Idle),
+            (LocalState::Outgoing, IncomingBusy),
+            (LocalState::Incoming, OutgoingBusy),
+        ];
+        for local in [LocalState::Idle, LocalState::Outgoing, LocalState::Incoming] {
+            for remote in [Idle, IncomingBusy, OutgoingBusy] {
+                let expected = if consistent.contains(&(local, remote)) {
+                    Comparison::Consistent
+                } else {
+                    Comparison::Mismatch
+                };
+                assert_eq!(compare_states(local, reported(remote)), expected);
             }
-            assert_eq!(compare(ours, told(Transient)), Look::Open);
+            assert_eq!(compare_states(local, reported(Transient)), Comparison::Inconclusive);
         }
-        assert_eq!(compare(Ours::Changing, told(Idle)), Look::Open);
+        assert_eq!(compare_states(LocalState::Transient, reported(Idle)), Comparison::Inconclusive);
     }
 
     #[test]
-    fn a_circuit_is_stuck_only_when_nothing_moved_between_two_looks_far_enough_apart() {
+    fn stuck_requires_two_unchanged_mismatches_apart() {
         assert!(is_stuck(0, 5, 4_000_000, 5, 4_000_000));
         assert!(!is_stuck(0, 5, 3_999_999, 5, 4_000_000));
         assert!(!is_stuck(0, 5, 9_000_000, 6, 4_000_000));
--- a/crates/trunk/src/timers.rs
+++ b/crates/trunk/src/timers.rs
@@ -1,4 +1,4 @@
-//! Timers, by the names of Q.764, annex A.
+//! Timers, named as in Q.764, annex A.
 
 use std::collections::BTreeSet;
 
@@ -6,64 +6,66 @@
 
 use crate::types::Cic;
 
-const S: Micros = 1_000_000;
+const SECOND: Micros = 1_000_000;
 
-/// Their lengths, microseconds; the defaults are the least that annex A allows.
+/// Timer values in microseconds; the defaults are the minimum values of Q.764, annex A.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct TimerSettings {
-    /// REL unanswered: said again.
+    /// REL unanswered: repeat it.
     pub t1: Micros,
-    /// REL unanswered for so long: the circuit is reset.
+    /// REL still unanswered: reset the circuit.
     pub t5: Micros,
-    /// No ACM or ANM after an IAM.
+    /// Maximum wait for ACM or ANM after an IAM.
     pub t7: Micros,
-    /// No ANM after an ACM (Q.118).
+    /// Maximum wait for ANM after an ACM (Q.118).
     pub t9: Micros,
-    /// BLO (T12), UBL (T14), CGB (T18) or CGU (T20) unanswered: said again.
+    /// BLO (T12), UBL (T14), CGB (T18) or CGU (T20) unanswered: repeat it.
     pub t12: Micros,
-    /// The same for so long (T13, T15, T19, T21): reported, and said again at this pace.
+    /// Blocking or unblocking still unanswered (T13, T15, T19, T21): report it, and repeat it at this
+    /// interval.
     pub t13: Micros,
-    /// RSC (T16) or GRS (T22) unanswered: said again.
+    /// RSC (T16) or GRS (T22) unanswered: repeat it.
     pub t16: Micros,
-    /// The same for so long (T17, T23): reported, and said again at this pace.
+    /// RSC or GRS still unanswered (T17, T23): report it, and repeat it at this interval.
     pub t17: Micros,
-    /// CQM unanswered (T28).
+    /// Maximum wait for the answer to a CQM (T28).
     pub t28: Micros,
 }
 
 impl Default for TimerSettings {
     fn default() -> Self {
         Self {
-            t1: 15 * S,
-            t5: 300 * S,
-            t7: 20 * S,
-            t9: 90 * S,
-            t12: 15 * S,
-            t13: 300 * S,
-            t16: 15 * S,
-            t17: 300 * S,
-            t28: 10 * S,
+            t1: 15 * SECOND,
+            t5: 300 * SECOND,
+            t7: 20 * SECOND,
+            t9: 90 * SECOND,
+            t12: 15 * SECOND,
+            t13: 300 * SECOND,
+            t16: 15 * SECOND,
+            t17: 300 * SECOND,
+            t28: 10 * SECOND,
         }
     }
 }
 
-/// What is due on a circuit. One of each kind at most; which timer it is shows in the circuit's state.
+/// Kind of a circuit's timer. A circuit has at most one timer of each kind; its state tells which Q.764 timer
+/// runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(crate) enum Due {
+pub(crate) enum TimerKind {
     /// T1, T5, T7, T9, T16, T17, T22, T23.
-    Use,
+    State,
     /// T12 to T15, T18 to T21.
     Blocking,
 }
 
-/// Due times, earliest first.
+/// Expiry times of all circuit timers, earliest first.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Agenda {
-    due: BTreeSet<(Micros, usize, Cic, Due)>,
+pub(crate) struct TimerQueue {
+    due: BTreeSet<(Micros, usize, Cic, TimerKind)>,
 }
 
-impl Agenda {
-    pub(crate) fn set(&mut self, old: &mut Micros, at: Micros, group: usize, cic: Cic, what: Due) {
+impl TimerQueue {
+    pub(crate) fn set(&mut self, old: &mut Micros, at: Micros, group: usize, cic: Cic, what: TimerKind) {
         if *old != Micros::MAX {
             self.due.remove(&(*old, group, cic, what));
         }
@@ -77,7 +79,7 @@
         self.due.first().map(|due| due.0)
     }
 
-    pub(crate) fn take(&mut self, now: Micros) -> Option<(usize, Cic, Due)> {
+    pub(crate) fn pop_due(&mut self, now: Micros) -> Option<(usize, Cic, TimerKind)> {
         let (at, group, cic, what) = *self.due.first()?;
         (at <= now).then(|| {
             self.due.pop_first();
--- a/crates/trunk/src/trunks.rs
+++ b/crates/trunk/src/trunks.rs
@@ -5,54 +5,55 @@
 use baydrift::interface::Micros;
 
 use crate::audit::{Audit, AuditSettings, Query, QUERY_MAX};
-use crate::circuit::{Circuit, Use};
+use crate::circuit::{Circuit, CircuitState};
 use crate::group::{Group, GroupSpec, SpecError};
 use crate::route::cause;
 use crate::rules::{
-    blocking_refuses, blocking_unknown_there, compare, completes_a_release, may_seize, shows_a_lost_call,
-    tries_another, Look, RouteChoice, COMPLETION_FOLLOWS,
+    answers_release, blocking_mismatch, blocking_rejects_seizure, compare_states, indicates_unknown_call,
+    may_reseize, may_seize, Comparison, RouteChoice, RLC_GRACE_US,
 };
-use crate::timers::{Agenda, Due, TimerSettings};
+use crate::timers::{TimerKind, TimerQueue, TimerSettings};
 use crate::types::{
-    CallKey, Cic, End, GroupId, GroupView, Maintenance, Output, Setup, Signal, Told, Usage, View,
+    CallKey, Cic, CircuitView, End, GroupId, GroupView, Maintenance, Output, ReportedState, Setup, Signal,
+    Usage,
 };
 
-/// What has happened so far; each only grows.
+/// Event counters since start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct Counts {
-    /// Circuits seized from here.
+    /// Circuits seized by this end.
     pub seized: u64,
     /// Circuits seized by the far end.
     pub incoming: u64,
-    /// Dual seizures in which this end's call went on.
+    /// Dual seizures in which this end's call proceeded.
     pub glare_won: u64,
     /// Dual seizures in which this end's call yielded.
     pub glare_lost: u64,
-    /// Circuits reset by RSC from here.
+    /// Circuits that this end reset with an RSC.
     pub resets: u64,
     /// Circuits found stuck by audits.
     pub stuck: u64,
-    /// Queries sent.
+    /// Audit queries sent.
     pub queries: u64,
-    /// Queries unanswered.
+    /// Audit queries left unanswered.
     pub queries_lost: u64,
-    /// Signals that made no sense on their circuit.
+    /// Signals unexpected in their circuit's state.
     pub odd: u64,
-    /// Signals for circuits that are none of a group's.
+    /// Signals for circuits that no group has.
     pub strange: u64,
 }
 
-/// An outgoing call: what is wanted again if it yields.
+/// An outgoing call, with what is needed to seize another circuit if it yields.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Outgoing {
     group: usize,
     cic: Cic,
     setup: Setup,
-    claim: RouteChoice,
+    choice: RouteChoice,
     yields: u8,
 }
 
-/// See the crate's page.
+/// All trunk groups of one exchange, with their circuits, calls, timers and audits.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Trunks {
     groups: Vec<Group>,
@@ -62,28 +63,29 @@
     next_incoming: u64,
     timers: TimerSettings,
     audit: AuditSettings,
-    agenda: Agenda,
+    timer_queue: TimerQueue,
     counts: Counts,
 }
 
 impl Trunks {
-    /// All groups, idle. Where the far end may still hold calls of a former process, [`Trunks::reset`] comes first.
+    /// Creates all groups with idle circuits. If far ends may still hold calls of a previous process, call
+    /// [`Trunks::reset`] first.
     ///
     /// # Errors
-    /// The first group that cannot be, by its place.
+    /// Index of the first group with an invalid configuration, and the reason.
     pub fn new(
         specs: Vec<GroupSpec>,
         timers: TimerSettings,
         audit: AuditSettings,
     ) -> Result<Self, (usize, SpecError)> {
         let mut groups = Vec::new();
-        for (place, spec) in specs.into_iter().enumerate() {
-            groups.push(Group::new(spec).map_err(|error| (place, error))?);
+        for (index, spec) in specs.into_iter().enumerate() {
+            groups.push(Group::new(spec).map_err(|error| (index, error))?);
         }
-        let audits = groups.iter().enumerate().map(|(place, group)| {
-            // Groups take turns: all at once would ask every far end in one moment.
+        let audits = groups.iter().enumerate().map(|(index, group)| {
+            // Staggered, so that the far ends are not all queried at the same time.
             let due = if audit.query_interval > 0 {
-                audit.query_interval + place as Micros * 1_000
+                audit.query_interval + index as Micros * 1_000
             } else {
                 Micros::MAX
             };
@@ -97,82 +99,83 @@
             next_incoming: CallKey::FIRST_INCOMING.0,
             timers,
             audit,
-            agenda: Agenda::default(),
+            timer_queue: TimerQueue::default(),
             counts: Counts::default(),
         })
     }
 
-    /// What has happened.
+    /// Event counters since start.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// What a group's circuits are used for.
+    /// Number of a group's circuits by use.
     pub fn usage(&self, group: GroupId) -> Option<Usage> {
         self.groups.get(usize::from(group.0)).map(Group::usage)
     }
 
-    /// Calls held.
+    /// Number of calls that hold a circuit.
     pub fn calls(&self) -> usize {
         self.outgoing.len() + self.incoming.len()
     }
 
-    /// The circuit of a call.
+    /// The circuit that a call holds.
     pub fn circuit_of(&self, call: CallKey) -> Option<(GroupId, Cic)> {
-        let place = self.place(call)?;
-        Some((GroupId(place.0 as u16), place.1))
+        let index = self.locate(call)?;
+        Some((GroupId(index.0 as u16), index.1))
     }
 
-    /// A circuit as it is.
-    pub fn view(&self, group: GroupId, cic: Cic) -> Option<View> {
+    /// Snapshot of a circuit.
+    pub fn view(&self, group: GroupId, cic: Cic) -> Option<CircuitView> {
         let circuit = self.circuit(usize::from(group.0), cic)?;
-        Some(View { state: circuit.told(), call: circuit.call(), since: circuit.since })
+        Some(CircuitView { state: circuit.reported_state(), call: circuit.call(), since: circuit.since })
     }
 
-    /// A group as a whole.
+    /// Snapshot of a group.
     pub fn group_view(&self, group: GroupId) -> Option<GroupView> {
-        let place = usize::from(group.0);
-        let (found, audit) = (self.groups.get(place)?, self.audits.get(place)?);
+        let index = usize::from(group.0);
+        let (trunk_group, audit) = (self.groups.get(index)?, self.audits.get(index)?);
         Some(GroupView {
-            first: found.spec.first,
-            circuits: found.spec.circuits,
-            reachable: found.reachable,
+            first: trunk_group.spec.first,
+            circuits: trunk_group.spec.circuits,
+            reachable: trunk_group.reachable,
             audited_at: audit.answered_at,
-            usage: found.usage(),
+            usage: trunk_group.usage(),
         })
     }
 
-    /// When [`Trunks::tick`] is wanted at the latest.
+    /// Latest time at which [`Trunks::tick`] must be called next.
     pub fn next_wake(&self) -> Option<Micros> {
         let audits = self.audits.iter().map(|audit| audit.due).filter(|due| *due != Micros::MAX);
-        self.agenda.next().into_iter().chain(audits).min()
+        self.timer_queue.next().into_iter().chain(audits).min()
     }
 
-    // --- the call side ---
+    // --- requests of call control ---
 
-    /// Seizes a circuit for a call. What becomes of it comes as outputs; at once, where there is none.
+    /// Seizes a circuit for a call. Later events of the call arrive as outputs; [`Output::Ended`] is returned
+    /// at once if no circuit can be seized.
     pub fn seize(
         &mut self,
         now: Micros,
         call: CallKey,
         group: GroupId,
         setup: Setup,
-        claim: RouteChoice,
+        choice: RouteChoice,
         out: &mut Vec<Output>,
     ) {
-        let place = usize::from(group.0);
-        let Some(found) = self.groups.get(place).filter(|_| !self.outgoing.contains_key(&call)) else {
+        let index = usize::from(group.0);
+        let Some(trunk_group) = self.groups.get(index).filter(|_| !self.outgoing.contains_key(&call)) else {
             return out.push(Output::Ended(call, End::Unreachable));
         };
-        if !found.reachable {
+        if !trunk_group.reachable {
             return out.push(Output::Ended(call, End::Unreachable));
         }
-        let room = may_seize(claim, found.free(), found.spec.reserve);
-        let Some(cic) = found.choose(now).filter(|_| room) else {
+        let allowed = may_seize(choice, trunk_group.free_count(), trunk_group.spec.reserve);
+        let Some(cic) = trunk_group.choose(now).filter(|_| allowed) else {
             return out.push(Output::Ended(call, End::NoCircuit));
         };
-        self.outgoing.insert(call, Outgoing { group: place, cic, setup, claim, yields: 0 });
-        self.send_seizure(now, call, place, cic, out);
+        self.outgoing.insert(call, Outgoing { group: index, cic, setup, choice, yields: 0 });
+        self.send_seizure(now, call, index, cic, out);
     }
 
     fn send_seizure(&mut self, now: Micros, call: CallKey, group: usize, cic: Cic, out: &mut Vec<Output>) {
@@ -180,121 +183,124 @@
         outgoing.cic = cic;
         let setup = outgoing.setup.clone();
         self.counts.seized += 1;
-        self.used(now, group, cic, Use::OutSeized(call), now + self.timers.t7);
-        say(group, cic, Signal::Seize(setup), out);
+        self.set_state(now, group, cic, CircuitState::OutSeized(call), now + self.timers.t7);
+        send(group, cic, Signal::Seize(setup), out);
     }
 
-    /// The call side takes an incoming call (ACM).
+    /// Accepts an incoming call: sends ACM.
     pub fn accept(&mut self, call: CallKey, out: &mut Vec<Output>) {
         if let Some((group, cic)) = self.incoming.get(&call).copied() {
-            say(group, cic, Signal::Accepted, out);
+            send(group, cic, Signal::Accepted, out);
         }
     }
 
-    /// An incoming call stands (ANM).
+    /// Answers an incoming call: sends ANM.
     pub fn answer(&mut self, call: CallKey, out: &mut Vec<Output>) {
         if let Some((group, cic)) = self.incoming.get(&call).copied() {
-            say(group, cic, Signal::Answered, out);
+            send(group, cic, Signal::Answered, out);
         }
     }
 
-    /// The call side is done with a call, or refuses it. Nothing more is heard of it.
+    /// Releases or rejects a call. No further outputs follow for it.
     pub fn release(&mut self, now: Micros, call: CallKey, cause: u8, out: &mut Vec<Output>) {
-        let Some((group, cic)) = self.place(call) else { return };
-        self.forget(call);
+        let Some((group, cic)) = self.locate(call) else { return };
+        self.remove_call(call);
         self.send_release(now, group, cic, cause, out);
     }
 
     fn send_release(&mut self, now: Micros, group: usize, cic: Cic, cause: u8, out: &mut Vec<Output>) {
-        self.used(now, group, cic, Use::Releasing, now + self.timers.t1);
-        say(group, cic, Signal::Release(cause), out);
+        self.set_state(now, group, cic, CircuitState::Releasing, now + self.timers.t1);
+        send(group, cic, Signal::Release(cause), out);
     }
 
-    fn place(&self, call: CallKey) -> Option<(usize, Cic)> {
+    fn locate(&self, call: CallKey) -> Option<(usize, Cic)> {
         let outgoing = self.outgoing.get(&call).map(|outgoing| (outgoing.group, outgoing.cic));
         outgoing.or_else(|| self.incoming.get(&call).copied())
     }
 
-    fn forget(&mut self, call: CallKey) {
+    fn remove_call(&mut self, call: CallKey) {
         self.outgoing.remove(&call);
         self.incoming.remove(&call);
     }
 
     // --- maintenance ---
 
-    /// Blocks a circuit, or ends that. A call on it goes on (Q.764, 2.8.2).
+    /// Blocks or unblocks a circuit. A call on it continues (Q.764, 2.8.2).
     pub fn block(&mut self, now: Micros, group: GroupId, cic: Cic, blocked: bool, out: &mut Vec<Output>) {
-        let place = usize::from(group.0);
-        let Some(circuit) = self.circuit_mut(place, cic) else { return };
-        circuit.blocked_here = blocked;
-        circuit.blocking_open = true;
+        let index = usize::from(group.0);
+        let Some(circuit) = self.circuit_mut(index, cic) else { return };
+        circuit.locally_blocked = blocked;
+        circuit.blocking_unacknowledged = true;
         circuit.blocking_since = now;
-        self.settle(place, cic);
-        self.say_blocking(now, place, cic, out);
+        self.refresh_free_list(index, cic);
+        self.send_blocking(now, index, cic, out);
     }
 
-    fn say_blocking(&mut self, now: Micros, group: usize, cic: Cic, out: &mut Vec<Output>) {
+    fn send_blocking(&mut self, now: Micros, group: usize, cic: Cic, out: &mut Vec<Output>) {
         let (t12, t13) = (self.timers.t12, self.timers.t13);
         let Some(circuit) = self.groups.get_mut(group).and_then(|group| group.get_mut(cic)) else { return };
-        let long = now.saturating_sub(circuit.blocking_since) >= t13;
-        let signal = if circuit.blocked_here { Signal::Block } else { Signal::Unblock };
-        let at = now + if long { t13 } else { t12 };
-        self.agenda.set(&mut circuit.blocking_due, at, group, cic, Due::Blocking);
-        say(group, cic, signal, out);
-        if long {
+        let overdue = now.saturating_sub(circuit.blocking_since) >= t13;
+        let signal = if circuit.locally_blocked { Signal::Block } else { Signal::Unblock };
+        let at = now + if overdue { t13 } else { t12 };
+        self.timer_queue.set(&mut circuit.blocking_due, at, group, cic, TimerKind::Blocking);
+        send(group, cic, signal, out);
+        if overdue {
             report(group, cic, Maintenance::BlockingUnanswered, out);
         }
     }
 
-    /// Resets all circuits of a group, as after a start: calls on them end.
+    /// Resets all circuits of a group, as after a restart. Calls on them end.
     pub fn reset(&mut self, now: Micros, group: GroupId, out: &mut Vec<Output>) {
-        let place = usize::from(group.0);
-        let Some(cics) = self.groups.get(place).map(Group::cics) else { return };
+        let index = usize::from(group.0);
+        let Some(cics) = self.groups.get(index).map(Group::cics) else { return };
         for first in cics.clone().step_by(usize::from(QUERY_MAX)) {
             let count = QUERY_MAX.min(cics.end - first);
             for cic in first..first + count {
-                self.end_on(place, cic, End::Reset, out);
-                // The range's first circuit keeps its timer.
+                self.end_call_on(index, cic, End::Reset, out);
+                // The timer of a range runs on its first circuit.
                 let due = if cic == first { now + self.timers.t16 } else { Micros::MAX };
-                self.used(now, place, cic, Use::GroupResetting, due);
+                self.set_state(now, index, cic, CircuitState::GroupResetting, due);
             }
-            say(place, first, Signal::GroupReset(count), out);
+            send(index, first, Signal::GroupReset(count), out);
         }
     }
 
-    /// The far end can be reached, or cannot: then nothing new is seized, and calls whose seizure it never
-    /// acknowledged end. Once it can be reached again, releases and resets that are unanswered are said again at once:
-    /// the first ones may have been lost with the link, and the far end's calls stand until T1 runs out.
+    /// Records whether the far end is reachable. While it is not, no circuit is seized, and calls whose IAM
+    /// is unanswered end. Once it is reachable again, unanswered releases and resets are repeated at once:
+    /// the first ones may have been lost with the link, and the far end would hold its calls until T1
+    /// expires.
     pub fn set_reachable(&mut self, now: Micros, group: GroupId, reachable: bool, out: &mut Vec<Output>) {
-        let place = usize::from(group.0);
-        let Some(found) = self.groups.get_mut(place) else { return };
-        let came_back = reachable && !found.reachable;
-        found.reachable = reachable;
-        if came_back {
-            let open = found.cics().filter(|cic| found.get(*cic).is_some_and(Circuit::awaits_completion));
-            for cic in open.collect::<Vec<_>>() {
-                if let Some(circuit) = self.circuit_mut(place, cic) {
+        let index = usize::from(group.0);
+        let Some(trunk_group) = self.groups.get_mut(index) else { return };
+        let recovered = reachable && !trunk_group.reachable;
+        trunk_group.reachable = reachable;
+        if recovered {
+            let unanswered = trunk_group
+                .cics()
+                .filter(|cic| trunk_group.get(*cic).is_some_and(Circuit::awaits_completion));
+            for cic in unanswered.collect::<Vec<_>>() {
+                if let Some(circuit) = self.circuit_mut(index, cic) {
                     circuit.since = now;
                 }
-                self.set_due(now, place, cic);
+                self.set_due(now, index, cic);
             }
         }
         if reachable {
             return;
         }
         let seized: Vec<_> =
-            self.outgoing.iter().filter(|(_, o)| o.group == place).map(|(c, o)| (*c, o.cic)).collect();
+            self.outgoing.iter().filter(|(_, o)| o.group == index).map(|(c, o)| (*c, o.cic)).collect();
         for (call, cic) in seized {
-            if self.circuit(place, cic).is_some_and(|c| c.used == Use::OutSeized(call)) {
+            if self.circuit(index, cic).is_some_and(|c| c.state == CircuitState::OutSeized(call)) {
                 out.push(Output::Ended(call, End::Unreachable));
                 self.release(now, call, cause::RECOVERY_ON_TIMER_EXPIRY, out);
             }
         }
     }
 
-    // --- the far end ---
+    // --- signals from the far end ---
 
-    /// A signal came.
+    /// Handles a signal from the far end.
     pub fn handle_signal(
         &mut self,
         now: Micros,
@@ -303,96 +309,98 @@
         signal: Signal,
         out: &mut Vec<Output>,
     ) {
-        let place = usize::from(group.0);
-        if self.circuit(place, cic).is_none() {
+        let index = usize::from(group.0);
+        if self.circuit(index, cic).is_none() {
             self.counts.strange += 1;
-            // A circuit that is none here is told so; the answer to that is not answered (Q.764, 2.12).
-            if self.groups.get(place).is_some() && matches!(signal, Signal::Seize(_) | Signal::Reset) {
-                say(place, cic, Signal::Unequipped, out);
+            // IAM and RSC for an unequipped circuit are answered with UCIC; other signals, among them UCIC, are
+            // not (Q.764, 2.12).
+            if self.groups.get(index).is_some() && matches!(signal, Signal::Seize(_) | Signal::Reset) {
+                send(index, cic, Signal::Unequipped, out);
             }
             return;
         }
         match signal {
-            Signal::Seize(setup) => self.seized(now, place, cic, setup, out),
-            Signal::Accepted => self.accepted(now, place, cic, out),
-            Signal::Answered => self.answered(now, place, cic, out),
-            Signal::Progress => self.unless_idle(now, place, cic, out),
-            Signal::Release(cause) => self.released(now, place, cic, cause, out),
-            Signal::ReleaseComplete => self.release_complete(now, place, cic),
-            Signal::Reset => self.reset_there(now, place, cic, out),
+            Signal::Seize(setup) => self.on_seizure(now, index, cic, setup, out),
+            Signal::Accepted => self.on_accepted(now, index, cic, out),
+            Signal::Answered => self.on_answered(now, index, cic, out),
+            Signal::Progress => self.on_unmatched_backward_signal(now, index, cic, out),
+            Signal::Release(cause) => self.on_release(now, index, cic, cause, out),
+            Signal::ReleaseComplete => self.on_release_complete(now, index, cic),
+            Signal::Reset => self.on_reset(now, index, cic, out),
             Signal::Block | Signal::Unblock => {
-                self.blocked_there(now, place, cic, signal == Signal::Block, out)
+                self.on_blocking(now, index, cic, signal == Signal::Block, out)
             }
             Signal::BlockAck | Signal::UnblockAck => {
-                self.blocking_known(place, cic, signal == Signal::BlockAck);
+                self.on_blocking_ack(index, cic, signal == Signal::BlockAck);
             }
-            Signal::GroupReset(count) => self.group_reset_there(now, place, cic, count, out),
-            Signal::GroupResetAck(status) => self.group_reset_done(now, place, cic, &status),
+            Signal::GroupReset(count) => self.on_group_reset(now, index, cic, count, out),
+            Signal::GroupResetAck(status) => self.on_group_reset_ack(now, index, cic, &status),
             Signal::GroupBlock(status) => {
-                self.group_blocked_there(now, place, cic, &status, true, out);
-                say(place, cic, Signal::GroupBlockAck(status), out);
+                self.on_group_blocking(now, index, cic, &status, true, out);
+                send(index, cic, Signal::GroupBlockAck(status), out);
             }
             Signal::GroupUnblock(status) => {
-                self.group_blocked_there(now, place, cic, &status, false, out);
-                say(place, cic, Signal::GroupUnblockAck(status), out);
+                self.on_group_blocking(now, index, cic, &status, false, out);
+                send(index, cic, Signal::GroupUnblockAck(status), out);
             }
-            Signal::GroupBlockAck(status) => self.group_blocking_known(place, cic, &status, true),
-            Signal::GroupUnblockAck(status) => self.group_blocking_known(place, cic, &status, false),
-            Signal::Query(count) => self.queried(place, cic, count, out),
-            Signal::QueryReply(states) => self.told(now, place, cic, &states, out),
-            Signal::Unequipped => self.unequipped(now, place, cic, out),
+            Signal::GroupBlockAck(status) => self.on_group_blocking_ack(index, cic, &status, true),
+            Signal::GroupUnblockAck(status) => self.on_group_blocking_ack(index, cic, &status, false),
+            Signal::Query(count) => self.on_query(index, cic, count, out),
+            Signal::QueryReply(states) => self.on_query_reply(now, index, cic, &states, out),
+            Signal::Unequipped => self.on_unequipped(now, index, cic, out),
         }
     }
 
-    fn seized(&mut self, now: Micros, group: usize, cic: Cic, setup: Setup, out: &mut Vec<Output>) {
+    fn on_seizure(&mut self, now: Micros, group: usize, cic: Cic, setup: Setup, out: &mut Vec<Output>) {
         let Some(circuit) = self.circuit(group, cic) else { return };
-        match circuit.used {
-            Use::Idle if circuit.blocked_here => say(group, cic, Signal::Block, out),
-            Use::Idle => self.take(now, group, cic, setup, out),
-            Use::OutSeized(call) => {
+        match circuit.state {
+            CircuitState::Idle if circuit.locally_blocked => send(group, cic, Signal::Block, out),
+            CircuitState::Idle => self.start_incoming(now, group, cic, setup, out),
+            CircuitState::OutSeized(call) => {
                 if self.groups.get(group).is_some_and(|group| group.controls(cic)) {
-                    // The far end yields by the same rule: its IAM is as if it had never been (Q.764, 2.9.1.4).
+                    // The far end yields by the same rule, so its IAM is ignored (Q.764, 2.9.1.4).
                     self.counts.glare_won += 1;
                     if let Some(circuit) = self.circuit_mut(group, cic) {
-                        circuit.won = true;
+                        circuit.won_last_glare = true;
                     }
                     return;
                 }
                 self.counts.glare_lost += 1;
-                self.take(now, group, cic, setup, out);
-                self.yields(now, call, out);
+                self.start_incoming(now, group, cic, setup, out);
+                self.yield_circuit(now, call, out);
             }
-            Use::Releasing | Use::Resetting => {
-                let due = circuit.due.min(now.saturating_add(COMPLETION_FOLLOWS));
+            CircuitState::Releasing | CircuitState::Resetting => {
+                let due = circuit.due.min(now.saturating_add(RLC_GRACE_US));
                 self.set_due(due, group, cic);
             }
-            // A copy of an IAM, or the far end forgot its call: an audit will tell.
-            _ => self.odd(now, group, cic),
+            // A duplicate IAM, or the far end lost its call: an audit finds out.
+            _ => self.note_unexpected(now, group, cic),
         }
     }
 
-    /// The circuit is the far end's call's.
-    fn take(&mut self, now: Micros, group: usize, cic: Cic, setup: Setup, out: &mut Vec<Output>) {
+    /// Creates an incoming call on a circuit.
+    fn start_incoming(&mut self, now: Micros, group: usize, cic: Cic, setup: Setup, out: &mut Vec<Output>) {
         let call = CallKey(self.next_incoming);
         self.next_incoming += 1;
         self.counts.incoming += 1;
         self.incoming.insert(call, (group, cic));
-        self.used(now, group, cic, Use::In(call), Micros::MAX);
+        self.set_state(now, group, cic, CircuitState::In(call), Micros::MAX);
         if let Some(circuit) = self.circuit_mut(group, cic) {
-            circuit.won = false;
+            circuit.won_last_glare = false;
         }
         out.push(Output::Incoming { call, group: GroupId(group as u16), setup });
     }
 
-    /// A call lost its circuit before the far end had anything of it.
-    fn yields(&mut self, now: Micros, call: CallKey, out: &mut Vec<Output>) {
+    /// Handles an outgoing call that lost its circuit before the far end processed its IAM: seizes another
+    /// circuit, or ends the call.
+    fn yield_circuit(&mut self, now: Micros, call: CallKey, out: &mut Vec<Output>) {
         let Some(outgoing) = self.outgoing.get_mut(&call) else { return };
         outgoing.yields = outgoing.yields.saturating_add(1);
-        let (place, claim, yields) = (outgoing.group, outgoing.claim, outgoing.yields);
-        let Some(group) = self.groups.get(place) else { return };
-        let room = may_seize(claim, group.free(), group.spec.reserve);
-        match group.choose(now).filter(|_| room && tries_another(yields)) {
-            Some(cic) => self.send_seizure(now, call, place, cic, out),
+        let (index, choice, yields) = (outgoing.group, outgoing.choice, outgoing.yields);
+        let Some(group) = self.groups.get(index) else { return };
+        let allowed = may_seize(choice, group.free_count(), group.spec.reserve);
+        match group.choose(now).filter(|_| allowed && may_reseize(yields)) {
+            Some(cic) => self.send_seizure(now, call, index, cic, out),
             None => {
                 self.outgoing.remove(&call);
                 out.push(Output::Ended(call, End::Yielded));
@@ -400,163 +408,168 @@
         }
     }
 
-    fn accepted(&mut self, now: Micros, group: usize, cic: Cic, out: &mut Vec<Output>) {
-        match self.circuit(group, cic).map(|circuit| circuit.used) {
-            Some(Use::OutSeized(call)) => {
-                self.used(now, group, cic, Use::OutAccepted(call), now + self.timers.t9);
+    fn on_accepted(&mut self, now: Micros, group: usize, cic: Cic, out: &mut Vec<Output>) {
+        match self.circuit(group, cic).map(|circuit| circuit.state) {
+            Some(CircuitState::OutSeized(call)) => {
+                self.set_state(now, group, cic, CircuitState::OutAccepted(call), now + self.timers.t9);
                 out.push(Output::Accepted(call));
             }
-            _ => self.unless_idle(now, group, cic, out),
+            _ => self.on_unmatched_backward_signal(now, group, cic, out),
         }
     }
 
-    fn answered(&mut self, now: Micros, group: usize, cic: Cic, out: &mut Vec<Output>) {
-        match self.circuit(group, cic).map(|circuit| circuit.used) {
-            Some(Use::OutSeized(call) | Use::OutAccepted(call)) => {
-                self.used(now, group, cic, Use::OutAnswered(call), Micros::MAX);
+    fn on_answered(&mut self, now: Micros, group: usize, cic: Cic, out: &mut Vec<Output>) {
+        match self.circuit(group, cic).map(|circuit| circuit.state) {
+            Some(CircuitState::OutSeized(call) | CircuitState::OutAccepted(call)) => {
+                self.set_state(now, group, cic, CircuitState::OutAnswered(call), Micros::MAX);
                 out.push(Output::Answered(call));
             }
-            _ => self.unless_idle(now, group, cic, out),
+            _ => self.on_unmatched_backward_signal(now, group, cic, out),
         }
     }
 
-    /// A backward signal that belongs to no call here: on an idle circuit the far end holds what is none, and the
-    /// circuit is reset (Q.764, 2.9.5.1); on others it is late, or a copy.
-    fn unless_idle(&mut self, now: Micros, group: usize, cic: Cic, out: &mut Vec<Output>) {
+    /// Handles a backward signal that matches no outgoing call. On an idle circuit it shows that the far end
+    /// holds an unknown call, and the circuit is reset (Q.764, 2.9.5.1); on other circuits it is late or a
+    /// duplicate.
+    fn on_unmatched_backward_signal(&mut self, now: Micros, group: usize, cic: Cic, out: &mut Vec<Output>) {
         let Some(circuit) = self.circuit(group, cic) else { return };
-        match circuit.used {
-            Use::Idle if shows_a_lost_call(now.saturating_sub(circuit.since)) => {
+        match circuit.state {
+            CircuitState::Idle if indicates_unknown_call(now.saturating_sub(circuit.since)) => {
                 self.send_reset(now, group, cic, out);
             }
-            Use::Idle | Use::In(_) => self.odd(now, group, cic),
+            CircuitState::Idle | CircuitState::In(_) => self.note_unexpected(now, group, cic),
             _ => {}
         }
     }
 
-    fn released(&mut self, now: Micros, group: usize, cic: Cic, cause: u8, out: &mut Vec<Output>) {
+    fn on_release(&mut self, now: Micros, group: usize, cic: Cic, cause: u8, out: &mut Vec<Output>) {
         let Some(circuit) = self.circuit(group, cic) else { return };
         if circuit.call().is_some() {
-            self.end_on(group, cic, End::Released(cause), out);
-            self.used(now, group, cic, Use::Idle, Micros::MAX);
+            self.end_call_on(group, cic, End::Released(cause), out);
+            self.set_state(now, group, cic, CircuitState::Idle, Micros::MAX);
         }
-        // Two REL that cross are each answered, and each end still awaits its own RLC (Q.764, 2.3.1).
-        if completes_a_release(self.is_resetting(group, cic)) {
-            say(group, cic, Signal::ReleaseComplete, out);
+        // Each of two crossing RELs is answered, and each end still waits for its own RLC (Q.764, 2.3.1).
+        if answers_release(self.is_resetting(group, cic)) {
+            send(group, cic, Signal::ReleaseComplete, out);
         }
     }
 
-    /// A reset of this end's is out.
+    /// Whether a reset by this end is unanswered.
     fn is_resetting(&self, group: usize, cic: Cic) -> bool {
-        let used = self.circuit(group, cic).map(|circuit| circuit.used);
-        matches!(used, Some(Use::Resetting | Use::GroupResetting))
+        let state = self.circuit(group, cic).map(|circuit| circuit.state);
+        matches!(state, Some(CircuitState::Resetting | CircuitState::GroupResetting))
     }
 
-    fn release_complete(&mut self, now: Micros, group: usize, cic: Cic) {
-        match self.circuit(group, cic).map(|circuit| circuit.used) {
-            Some(Use::Releasing | Use::Resetting) => self.used(now, group, cic, Use::Idle, Micros::MAX),
-            Some(Use::Idle | Use::GroupResetting | Use::Unequipped) | None => {}
-            // Not awaited on a circuit with a call: a late copy, or the far end has let go. No call is cut for it.
-            Some(_) => self.odd(now, group, cic),
+    fn on_release_complete(&mut self, now: Micros, group: usize, cic: Cic) {
+        match self.circuit(group, cic).map(|circuit| circuit.state) {
+            Some(CircuitState::Releasing | CircuitState::Resetting) => {
+                self.set_state(now, group, cic, CircuitState::Idle, Micros::MAX)
+            }
+            Some(CircuitState::Idle | CircuitState::GroupResetting | CircuitState::Unequipped) | None => {}
+            // Unexpected on a circuit with a call: a late duplicate, or the far end released the call. The
+            // call is kept.
+            Some(_) => self.note_unexpected(now, group, cic),
         }
     }
 
-    fn reset_there(&mut self, now: Micros, group: usize, cic: Cic, out: &mut Vec<Output>) {
-        self.cleared_there(now, group, cic, out);
-        if self.circuit(group, cic).is_some_and(|circuit| circuit.blocked_here) {
-            say(group, cic, Signal::Block, out);
+    fn on_reset(&mut self, now: Micros, group: usize, cic: Cic, out: &mut Vec<Output>) {
+        self.clear_after_far_end_reset(now, group, cic, out);
+        if self.circuit(group, cic).is_some_and(|circuit| circuit.locally_blocked) {
+            send(group, cic, Signal::Block, out);
         }
-        say(group, cic, Signal::ReleaseComplete, out);
+        send(group, cic, Signal::ReleaseComplete, out);
     }
 
-    /// The far end knows nothing of a circuit any more, not even its own blocking (Q.764, 2.9.3.1).
-    fn cleared_there(&mut self, now: Micros, group: usize, cic: Cic, out: &mut Vec<Output>) {
+    /// Clears a circuit that the far end has reset; the reset also ends the far end's blocking (Q.764,
+    /// 2.9.3.1).
+    fn clear_after_far_end_reset(&mut self, now: Micros, group: usize, cic: Cic, out: &mut Vec<Output>) {
         let Some(circuit) = self.circuit_mut(group, cic) else { return };
-        circuit.blocked_there = false;
-        let used = circuit.used;
-        // Where this end's own reset is out too, its completion is still to come, and would otherwise be taken for
-        // that of the next call's release.
-        if used == Use::Unequipped || self.is_resetting(group, cic) {
+        circuit.remotely_blocked = false;
+        let state = circuit.state;
+        // A pending reset of this end stays pending: if the circuit became idle now, the completion still to
+        // come would be taken for that of the next call's release.
+        if state == CircuitState::Unequipped || self.is_resetting(group, cic) {
             return;
         }
-        self.used(now, group, cic, Use::Idle, Micros::MAX);
-        match used {
-            // Nothing of it was heard there: it goes on by another circuit.
-            Use::OutSeized(call) => self.yields(now, call, out),
-            Use::OutAccepted(call) | Use::OutAnswered(call) | Use::In(call) => {
-                self.forget(call);
+        self.set_state(now, group, cic, CircuitState::Idle, Micros::MAX);
+        match state {
+            // The far end holds nothing of the call, so it may seize another circuit.
+            CircuitState::OutSeized(call) => self.yield_circuit(now, call, out),
+            CircuitState::OutAccepted(call) | CircuitState::OutAnswered(call) | CircuitState::In(call) => {
+                self.remove_call(call);
                 out.push(Output::Ended(call, End::Reset));
             }
             _ => {}
         }
     }
 
-    fn blocked_there(&mut self, now: Micros, group: usize, cic: Cic, blocked: bool, out: &mut Vec<Output>) {
+    fn on_blocking(&mut self, now: Micros, group: usize, cic: Cic, blocked: bool, out: &mut Vec<Output>) {
         if self.circuit(group, cic).is_none() {
             return;
         }
-        say(group, cic, if blocked { Signal::BlockAck } else { Signal::UnblockAck }, out);
-        self.block_there(now, group, cic, blocked, out);
+        send(group, cic, if blocked { Signal::BlockAck } else { Signal::UnblockAck }, out);
+        self.set_remote_blocking(now, group, cic, blocked, out);
     }
 
-    /// The far end blocks a circuit, or ends that. A seizure under way shows by it whether it was taken: see
-    /// [`blocking_refuses`].
-    fn block_there(&mut self, now: Micros, group: usize, cic: Cic, blocked: bool, out: &mut Vec<Output>) {
+    /// Records blocking or unblocking by the far end. Repeated blocking rejects an unanswered seizure: see
+    /// [`blocking_rejects_seizure`].
+    fn set_remote_blocking(
+        &mut self,
+        now: Micros,
+        group: usize,
+        cic: Cic,
+        blocked: bool,
+        out: &mut Vec<Output>,
+    ) {
         let Some(circuit) = self.circuit_mut(group, cic) else { return };
-        let refuses = blocking_refuses(blocked, circuit.blocked_there);
-        circuit.blocked_there = blocked;
-        let used = circuit.used;
-        self.settle(group, cic);
-        if let (Use::OutSeized(call), true) = (used, refuses) {
-            self.used(now, group, cic, Use::Idle, Micros::MAX);
-            self.yields(now, call, out);
+        let rejected = blocking_rejects_seizure(blocked, circuit.remotely_blocked);
+        circuit.remotely_blocked = blocked;
+        let state = circuit.state;
+        self.refresh_free_list(group, cic);
+        if let (CircuitState::OutSeized(call), true) = (state, rejected) {
+            self.set_state(now, group, cic, CircuitState::Idle, Micros::MAX);
+            self.yield_circuit(now, call, out);
         }
     }
 
-    fn blocking_known(&mut self, group: usize, cic: Cic, blocked: bool) {
+    fn on_blocking_ack(&mut self, group: usize, cic: Cic, blocked: bool) {
         let Some(circuit) = self.groups.get_mut(group).and_then(|group| group.get_mut(cic)) else { return };
-        // The acknowledgement of another word than the last one says nothing of that.
-        if circuit.blocked_here == blocked {
-            circuit.blocking_open = false;
-            self.agenda.set(&mut circuit.blocking_due, Micros::MAX, group, cic, Due::Blocking);
+        // An acknowledgement of an earlier request does not acknowledge the last one.
+        if circuit.locally_blocked == blocked {
+            circuit.blocking_unacknowledged = false;
+            self.timer_queue.set(&mut circuit.blocking_due, Micros::MAX, group, cic, TimerKind::Blocking);
         }
     }
 
-    fn group_reset_there(
-        &mut self,
-        now: Micros,
-        group: usize,
-        first: Cic,
-        count: u16,
-        out: &mut Vec<Output>,
-    ) {
+    fn on_group_reset(&mut self, now: Micros, group: usize, first: Cic, count: u16, out: &mut Vec<Output>) {
         let mut status = Vec::new();
         for cic in first..first.saturating_add(count.clamp(1, QUERY_MAX)) {
-            self.cleared_there(now, group, cic, out);
-            status.push(self.circuit(group, cic).is_some_and(|circuit| circuit.blocked_here));
+            self.clear_after_far_end_reset(now, group, cic, out);
+            status.push(self.circuit(group, cic).is_some_and(|circuit| circuit.locally_blocked));
         }
-        say(group, first, Signal::GroupResetAck(status), out);
+        send(group, first, Signal::GroupResetAck(status), out);
     }
 
-    fn group_reset_done(&mut self, now: Micros, group: usize, first: Cic, status: &[bool]) {
-        // One that answers another range than was asked for is passed over: T22 asks again.
+    fn on_group_reset_ack(&mut self, now: Micros, group: usize, first: Cic, status: &[bool]) {
+        // A GRA for another range than the GRS's is ignored; the GRS is repeated when T22 expires.
         let Some(cics) = self.groups.get(group).map(Group::cics) else { return };
-        let asked = usize::from(QUERY_MAX.min(cics.end.saturating_sub(first)));
-        let awaited = self.circuit(group, first).is_some_and(|c| c.used == Use::GroupResetting);
-        if status.len() != asked || !awaited {
+        let expected = usize::from(QUERY_MAX.min(cics.end.saturating_sub(first)));
+        let awaited = self.circuit(group, first).is_some_and(|c| c.state == CircuitState::GroupResetting);
+        if status.len() != expected || !awaited {
             self.counts.odd += 1;
             return;
         }
         for (cic, blocked) in (first..).zip(status) {
-            if self.circuit(group, cic).is_some_and(|circuit| circuit.used == Use::GroupResetting) {
+            if self.circuit(group, cic).is_some_and(|circuit| circuit.state == CircuitState::GroupResetting) {
                 if let Some(circuit) = self.circuit_mut(group, cic) {
-                    circuit.blocked_there = *blocked;
+                    circuit.remotely_blocked = *blocked;
                 }
-                self.used(now, group, cic, Use::Idle, Micros::MAX);
+                self.set_state(now, group, cic, CircuitState::Idle, Micros::MAX);
             }
         }
     }
 
-    fn group_blocked_there(
+    fn on_group_blocking(
         &mut self,
         now: Micros,
         group: usize,
@@ -566,27 +579,27 @@
         out: &mut Vec<Output>,
     ) {
         for (cic, _) in (first..).zip(status).filter(|(_, named)| **named) {
-            self.block_there(now, group, cic, blocked, out);
+            self.set_remote_blocking(now, group, cic, blocked, out);
         }
     }
 
-    fn group_blocking_known(&mut self, group: usize, first: Cic, status: &[bool], blocked: bool) {
+    fn on_group_blocking_ack(&mut self, group: usize, first: Cic, status: &[bool], blocked: bool) {
         for (cic, _) in (first..).zip(status).filter(|(_, named)| **named) {
-            self.blocking_known(group, cic, blocked);
+            self.on_blocking_ack(group, cic, blocked);
         }
     }
 
-    fn unequipped(&mut self, now: Micros, group: usize, cic: Cic, out: &mut Vec<Output>) {
-        let Some(used) = self.circuit(group, cic).map(|circuit| circuit.used) else { return };
-        if used == Use::Unequipped {
+    fn on_unequipped(&mut self, now: Micros, group: usize, cic: Cic, out: &mut Vec<Output>) {
+        let Some(state) = self.circuit(group, cic).map(|circuit| circuit.state) else { return };
+        if state == CircuitState::Unequipped {
             return;
         }
-        self.used(now, group, cic, Use::Unequipped, Micros::MAX);
+        self.set_state(now, group, cic, CircuitState::Unequipped, Micros::MAX);
         report(group, cic, Maintenance::Unequipped, out);
-        match used {
-            Use::OutSeized(call) => self.yields(now, call, out),
-            Use::OutAccepted(call) | Use::OutAnswered(call) | Use::In(call) => {
-                self.forget(call);
+        match state {
+            CircuitState::OutSeized(call) => self.yield_circuit(now, call, out),
+            CircuitState::OutAccepted(call) | CircuitState::OutAnswered(call) | CircuitState::In(call) => {
+                self.remove_call(call);
                 out.push(Output::Ended(call, End::Reset));
             }
             _ => {}
@@ -595,22 +608,24 @@
 
     // --- audits ---
 
-    fn queried(&mut self, group: usize, first: Cic, count: u16, out: &mut Vec<Output>) {
-        let unequipped = Told {
+    fn on_query(&mut self, group: usize, first: Cic, count: u16, out: &mut Vec<Output>) {
+        let unequipped = ReportedState {
             processing: crate::Processing::Unequipped,
             locally_blocked: false,
             remotely_blocked: false,
         };
         let states = (first..first.saturating_add(count.clamp(1, QUERY_MAX)))
-            .map(|cic| self.circuit(group, cic).map_or(unequipped, Circuit::told));
+            .map(|cic| self.circuit(group, cic).map_or(unequipped, Circuit::reported_state));
         let states = states.collect();
-        say(group, first, Signal::QueryReply(states), out);
+        send(group, first, Signal::QueryReply(states), out);
     }
 
-    fn query(&mut self, now: Micros, group: usize, out: &mut Vec<Output>) {
-        let (t28, every) = (self.timers.t28, self.audit.query_interval);
-        let (Some(audit), Some(found)) = (self.audits.get_mut(group), self.groups.get(group)) else { return };
-        audit.due = now + every;
+    fn send_query(&mut self, now: Micros, group: usize, out: &mut Vec<Output>) {
+        let (t28, interval) = (self.timers.t28, self.audit.query_interval);
+        let (Some(audit), Some(trunk_group)) = (self.audits.get_mut(group), self.groups.get(group)) else {
+            return;
+        };
+        audit.due = now + interval;
         if let Some(query) = &audit.query {
             if now < query.sent_at + t28 {
                 return;
@@ -618,147 +633,172 @@
             self.counts.queries_lost += 1;
         }
         audit.query = None;
-        if !found.reachable {
+        if !trunk_group.reachable {
             return;
         }
-        let (first, count) = audit.range(now, found.cics());
-        let changes = (first..first + count).map(|cic| found.get(cic).map_or(0, |c| c.changes)).collect();
+        let (first, count) = audit.next_range(now, trunk_group.cics());
+        let changes =
+            (first..first + count).map(|cic| trunk_group.get(cic).map_or(0, |c| c.changes)).collect();
         audit.query = Some(Query { first, sent_at: now, changes });
         self.counts.queries += 1;
-        say(group, first, Signal::Query(count), out);
+        send(group, first, Signal::Query(count), out);
     }
 
-    fn told(&mut self, now: Micros, group: usize, first: Cic, states: &[Told], out: &mut Vec<Output>) {
+    fn on_query_reply(
+        &mut self,
+        now: Micros,
+        group: usize,
+        first: Cic,
+        states: &[ReportedState],
+        out: &mut Vec<Output>,
+    ) {
         let Some(audit) = self.audits.get_mut(group) else { return };
-        let asked = |query: &Query| query.first == first && query.changes.len() == states.len();
-        // Late, a copy, or of another length than was asked for: nothing is concluded from it.
-        if !audit.query.as_ref().is_some_and(asked) {
+        let matches_query = |query: &Query| query.first == first && query.changes.len() == states.len();
+        // Late, a duplicate, or of another length than the query's: ignored.
+        if !audit.query.as_ref().is_some_and(matches_query) {
             self.counts.odd += 1;
             return;
         }
         let Some(query) = audit.query.take() else { return };
         audit.answered_at = Some(now);
-        for ((cic, told), changes) in (first..).zip(states).zip(query.changes) {
-            self.look(now, group, cic, *told, changes, out);
+        for ((cic, reported), changes) in (first..).zip(states).zip(query.changes) {
+            self.check_reported_state(now, group, cic, *reported, changes, out);
         }
     }
 
-    /// One circuit as the far end tells it. `changes` is where it stood here when that was asked.
-    fn look(&mut self, now: Micros, group: usize, cic: Cic, told: Told, changes: u32, out: &mut Vec<Output>) {
+    /// Compares a circuit with the state that the far end reports. `changes` is the circuit's change counter
+    /// at the time of the query.
+    fn check_reported_state(
+        &mut self,
+        now: Micros,
+        group: usize,
+        cic: Cic,
+        reported: ReportedState,
+        changes: u32,
+        out: &mut Vec<Output>,
+    ) {
         let Some(circuit) = self.circuit(group, cic).cloned() else { return };
         let settings = self.audit;
-        let moved = circuit.changes != changes;
-        let look = if moved { Look::Open } else { compare(circuit.ours(), told) };
+        let changed = circuit.changes != changes;
+        let comparison =
+            if changed { Comparison::Inconclusive } else { compare_states(circuit.local_state(), reported) };
         let Some(audit) = self.audits.get_mut(group) else { return };
-        match look {
-            Look::Agree | Look::Open => audit.clear(cic),
-            Look::Unequipped => return self.unequipped(now, group, cic, out),
-            Look::Differ => {
-                if audit.differs(now, cic, changes, settings) {
+        match comparison {
+            Comparison::Consistent | Comparison::Inconclusive => audit.clear(cic),
+            Comparison::Unequipped => return self.on_unequipped(now, group, cic, out),
+            Comparison::Mismatch => {
+                if audit.confirms_stuck(now, cic, changes, settings) {
                     self.counts.stuck += 1;
                     report(group, cic, Maintenance::Stuck, out);
-                    self.end_on(group, cic, End::Reset, out);
+                    self.end_call_on(group, cic, End::Reset, out);
                     return self.send_reset(now, group, cic, out);
                 }
             }
         }
-        if told.processing == crate::Processing::Transient || moved {
+        if reported.processing == crate::Processing::Transient || changed {
             return;
         }
-        // Each end is believed about its own blocking.
-        if told.locally_blocked != circuit.blocked_there {
+        // Each end is authoritative about its own blocking.
+        if reported.locally_blocked != circuit.remotely_blocked {
             if let Some(circuit) = self.circuit_mut(group, cic) {
-                circuit.blocked_there = told.locally_blocked;
+                circuit.remotely_blocked = reported.locally_blocked;
             }
-            self.settle(group, cic);
+            self.refresh_free_list(group, cic);
         }
-        if blocking_unknown_there(circuit.blocked_here, told) && !circuit.blocking_open {
-            self.say_blocking(now, group, cic, out);
+        if blocking_mismatch(circuit.locally_blocked, reported) && !circuit.blocking_unacknowledged {
+            self.send_blocking(now, group, cic, out);
         }
     }
 
-    /// Something that makes no sense: no call is cut for it, but an audit looks.
-    fn odd(&mut self, now: Micros, group: usize, cic: Cic) {
+    /// Counts an unexpected signal. No call is cut; an audit checks the circuit.
+    fn note_unexpected(&mut self, now: Micros, group: usize, cic: Cic) {
         self.counts.odd += 1;
         if let Some(audit) = self.audits.get_mut(group) {
-            audit.want(now, cic);
+            audit.request_check(now, cic);
         }
     }
 
     fn send_reset(&mut self, now: Micros, group: usize, cic: Cic, out: &mut Vec<Output>) {
         self.counts.resets += 1;
-        self.used(now, group, cic, Use::Resetting, now + self.timers.t16);
-        say(group, cic, Signal::Reset, out);
+        self.set_state(now, group, cic, CircuitState::Resetting, now + self.timers.t16);
+        send(group, cic, Signal::Reset, out);
     }
 
-    // --- time ---
+    // --- timers ---
 
-    /// Time has passed.
+    /// Handles all timers that have expired.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Output>) {
-        while let Some((group, cic, what)) = self.agenda.take(now) {
+        while let Some((group, cic, what)) = self.timer_queue.pop_due(now) {
             match what {
-                Due::Use => self.use_due(now, group, cic, out),
-                Due::Blocking => {
+                TimerKind::State => self.on_state_timer(now, group, cic, out),
+                TimerKind::Blocking => {
                     if let Some(circuit) = self.circuit_mut(group, cic) {
                         circuit.blocking_due = Micros::MAX;
                     }
-                    self.say_blocking(now, group, cic, out);
+                    self.send_blocking(now, group, cic, out);
                 }
             }
         }
         for group in 0..self.audits.len() {
             if self.audits[group].due <= now {
-                self.query(now, group, out);
+                self.send_query(now, group, out);
             }
         }
     }
 
-    fn use_due(&mut self, now: Micros, group: usize, cic: Cic, out: &mut Vec<Output>) {
+    fn on_state_timer(&mut self, now: Micros, group: usize, cic: Cic, out: &mut Vec<Output>) {
         let TimerSettings { t1, t5, t16, t17, .. } = self.timers;
         let Some(circuit) = self.circuit_mut(group, cic) else { return };
         circuit.due = Micros::MAX;
-        let (used, since) = (circuit.used, circuit.since);
-        // Nobody hears it, and the time of a link's loss is none in which a far end left something unanswered: else
-        // an outage of T5 and T17 would leave every circuit of it blocked for maintenance.
+        let (state, since) = (circuit.state, circuit.since);
+        // An outage of the link does not count as unanswered time: otherwise an outage longer than T5 and T17
+        // would leave all circuits of the group blocked for maintenance.
         if !self.groups.get(group).is_some_and(|group| group.reachable)
-            && matches!(used, Use::Releasing | Use::Resetting | Use::GroupResetting)
+            && matches!(
+                state,
+                CircuitState::Releasing | CircuitState::Resetting | CircuitState::GroupResetting
+            )
         {
             return self.set_due(now + t1, group, cic);
         }
-        let long = now.saturating_sub(since);
-        match used {
-            Use::OutSeized(call) | Use::OutAccepted(call) => {
-                self.forget(call);
+        let elapsed = now.saturating_sub(since);
+        match state {
+            CircuitState::OutSeized(call) | CircuitState::OutAccepted(call) => {
+                self.remove_call(call);
                 out.push(Output::Ended(call, End::NoAnswer));
                 self.send_release(now, group, cic, cause::RECOVERY_ON_TIMER_EXPIRY, out);
             }
-            Use::Releasing if long >= t5 => {
+            CircuitState::Releasing if elapsed >= t5 => {
                 report(group, cic, Maintenance::ReleaseUnanswered, out);
                 self.send_reset(now, group, cic, out);
             }
-            Use::Releasing => {
+            CircuitState::Releasing => {
                 self.set_due(now + t1, group, cic);
-                say(group, cic, Signal::Release(cause::RECOVERY_ON_TIMER_EXPIRY), out);
+                send(group, cic, Signal::Release(cause::RECOVERY_ON_TIMER_EXPIRY), out);
             }
-            Use::Resetting | Use::GroupResetting => {
-                let first_time = long >= t17 && self.circuit(group, cic).is_some_and(|c| !c.reported);
-                if first_time {
+            CircuitState::Resetting | CircuitState::GroupResetting => {
+                let report_now =
+                    elapsed >= t17 && self.circuit(group, cic).is_some_and(|c| !c.unanswered_reported);
+                if report_now {
                     if let Some(circuit) = self.circuit_mut(group, cic) {
-                        circuit.reported = true;
-                        circuit.blocked_here = true;
+                        circuit.unanswered_reported = true;
+                        circuit.locally_blocked = true;
                     }
                     report(group, cic, Maintenance::ResetUnanswered, out);
                 }
-                self.set_due(now + if long >= t17 { t17 } else { t16 }, group, cic);
-                let signal = if used == Use::Resetting {
+                self.set_due(now + if elapsed >= t17 { t17 } else { t16 }, group, cic);
+                let signal = if state == CircuitState::Resetting {
                     Signal::Reset
                 } else {
                     let end = self.groups.get(group).map_or(cic + 1, |group| group.cics().end);
                     Signal::GroupReset(QUERY_MAX.min(end - cic))
                 };
-                say(group, cic, signal, out);
+                send(group, cic, signal, out);
             }
-            Use::Idle | Use::OutAnswered(_) | Use::In(_) | Use::Unequipped => {}
+            CircuitState::Idle
+            | CircuitState::OutAnswered(_)
+            | CircuitState::In(_)
+            | CircuitState::Unequipped => {}
         }
     }
 
@@ -772,39 +812,39 @@
         self.groups.get_mut(group)?.get_mut(cic)
     }
 
-    fn settle(&mut self, group: usize, cic: Cic) {
+    fn refresh_free_list(&mut self, group: usize, cic: Cic) {
         if let Some(group) = self.groups.get_mut(group) {
-            group.settle(cic);
+            group.refresh_free(cic);
         }
     }
 
-    /// Changes what a circuit is used for; its timer is due then.
-    fn used(&mut self, now: Micros, group: usize, cic: Cic, used: Use, due: Micros) {
+    /// Changes a circuit's state and starts its state timer, which expires at `due`.
+    fn set_state(&mut self, now: Micros, group: usize, cic: Cic, state: CircuitState, due: Micros) {
         let Some(circuit) = self.circuit_mut(group, cic) else { return };
-        circuit.used = used;
+        circuit.state = state;
         circuit.changes = circuit.changes.wrapping_add(1);
         circuit.since = now;
-        circuit.reported = false;
+        circuit.unanswered_reported = false;
         self.set_due(due, group, cic);
-        self.settle(group, cic);
+        self.refresh_free_list(group, cic);
     }
 
     fn set_due(&mut self, due: Micros, group: usize, cic: Cic) {
         if let Some(circuit) = self.groups.get_mut(group).and_then(|group| group.get_mut(cic)) {
-            self.agenda.set(&mut circuit.due, due, group, cic, Due::Use);
+            self.timer_queue.set(&mut circuit.due, due, group, cic, TimerKind::State);
         }
     }
 
-    /// The call on a circuit is over.
-    fn end_on(&mut self, group: usize, cic: Cic, end: End, out: &mut Vec<Output>) {
+    /// Ends the call on a circuit, if any.
+    fn end_call_on(&mut self, group: usize, cic: Cic, end: End, out: &mut Vec<Output>) {
         if let Some(call) = self.circuit(group, cic).and_then(Circuit::call) {
-            self.forget(call);
+            self.remove_call(call);
             out.push(Output::Ended(call, end));
         }
     }
 }
 
-fn say(group: usize, cic: Cic, signal: Signal, out: &mut Vec<Output>) {
+fn send(group: usize, cic: Cic, signal: Signal, out: &mut Vec<Output>) {
     out.push(Output::Send { group: GroupId(group as u16), cic, signal });
 }
 
--- a/crates/trunk/src/types.rs
+++ b/crates/trunk/src/types.rs
@@ -1,44 +1,46 @@
-//! What is said to and by [`crate::Trunks`].
+//! Input and output types of [`crate::Trunks`].
 
 use std::sync::Arc;
 
 /// Circuit identification code.
 pub type Cic = u16;
 
-/// A trunk group: its place in the configuration.
+/// A trunk group, identified by its index in the configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct GroupId(pub u16);
 
-/// A call over a trunk, as the call side names it. Incoming ones are named here, from 2^63 on.
+/// Identifies a call over a trunk. The call-control side assigns the keys of outgoing calls; keys of incoming
+/// calls are assigned here, from 2^63 on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallKey(pub u64);
 
 impl CallKey {
     pub(crate) const FIRST_INCOMING: Self = Self(1 << 63);
 
-    /// Whether the far end set it up.
+    /// Returns whether the far end set the call up.
     pub fn is_incoming(self) -> bool {
         self >= Self::FIRST_INCOMING
     }
 }
 
-/// What an initial address message asks for.
+/// Contents of an initial address message (IAM).
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Setup {
-    /// Digits of the number called.
+    /// Digits of the called number.
     pub number: Arc<[u8]>,
-    /// A reference of the caller's side.
+    /// Call reference assigned by the calling side.
     pub reference: Arc<[u8]>,
 }
 
-/// Signals on a circuit, or on a range from it on (Q.764, clause 2); `status` has a bit a circuit.
+/// Signals on a circuit, or on a range of circuits that starts at it (Q.764, clause 2). A status list has one
+/// entry per circuit of the range.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Signal {
     /// IAM.
     Seize(Setup),
-    /// ACM: the far side has it.
+    /// ACM: the far end has received the complete address.
     Accepted,
-    /// ANM or CON: it stands.
+    /// ANM or CON: the call is answered.
     Answered,
     /// CPG.
     Progress,
@@ -56,9 +58,9 @@
     Unblock,
     /// UBA.
     UnblockAck,
-    /// GRS, for so many circuits.
+    /// GRS, with the number of circuits.
     GroupReset(u16),
-    /// GRA: which circuits are blocked for maintenance at the far end.
+    /// GRA: which circuits the far end has blocked for maintenance.
     GroupResetAck(Vec<bool>),
     /// CGB.
     GroupBlock(Vec<bool>),
@@ -68,37 +70,37 @@
     GroupUnblock(Vec<bool>),
     /// CGUA.
     GroupUnblockAck(Vec<bool>),
-    /// CQM, for so many circuits.
+    /// CQM, with the number of circuits.
     Query(u16),
     /// CQR.
-    QueryReply(Vec<Told>),
+    QueryReply(Vec<ReportedState>),
     /// UCIC.
     Unequipped,
 }
 
-/// What a circuit is used for, as one end tells the other (Q.763, 3.14).
+/// Call processing state of a circuit, as one end reports it to the other (Q.763, 3.14).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Processing {
-    /// Changing just now: nothing can be concluded.
+    /// In transition: nothing can be concluded from it.
     Transient,
     /// No such circuit.
     Unequipped,
-    /// Busy by a call from the end that is told.
+    /// Busy with a call that the receiver of the report set up.
     IncomingBusy,
-    /// Busy by a call of the end that tells.
+    /// Busy with a call that the reporting end set up.
     OutgoingBusy,
     /// Idle.
     Idle,
 }
 
-/// A circuit's state as its end tells it.
+/// A circuit's state as one end reports it (Q.763, 3.14).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Told {
-    /// Its use.
+pub struct ReportedState {
+    /// Call processing state.
     pub processing: Processing,
-    /// Blocked by the end that tells.
+    /// Blocked by the reporting end.
     pub locally_blocked: bool,
-    /// Blocked by the end that is told.
+    /// Blocked by the end that receives the report.
     pub remotely_blocked: bool,
 }
 
@@ -109,106 +111,106 @@
     Released(u8),
     /// No circuit was free for it.
     NoCircuit,
-    /// It yielded to calls of the far end as often as it may.
+    /// It lost dual seizures to the far end as often as allowed.
     Yielded,
     /// The far end did not answer the seizure in time (T7, T9).
     NoAnswer,
-    /// The circuit was reset under it: the far end lost or never had it.
+    /// The circuit was reset during the call: the far end lost the call or never had it.
     Reset,
-    /// The group's far end cannot be reached.
+    /// The group's far end is unreachable.
     Unreachable,
 }
 
-/// What people are to hear of.
+/// Faults reported to operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Maintenance {
-    /// A release went unanswered for T5: the circuit is reset.
+    /// REL unanswered until T5 expired: the circuit is reset.
     ReleaseUnanswered,
-    /// A reset went unanswered for T17 or T23: the circuit is blocked here.
+    /// RSC or GRS unanswered until T17 or T23 expired: the circuit is blocked at this end.
     ResetUnanswered,
-    /// A blocking or its end went unanswered for T13, T15, T19 or T21.
+    /// Blocking or unblocking unanswered until T13, T15, T19 or T21 expired.
     BlockingUnanswered,
-    /// The far end has no such circuit: it is blocked here.
+    /// The far end has no such circuit: it is not seized from this end.
     Unequipped,
-    /// An audit found it stuck, and reset it.
+    /// An audit found the circuit stuck and reset it.
     Stuck,
 }
 
-/// What is to be done.
+/// Signals to send and events for the call-control side.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Output {
     /// Send a signal.
     Send {
-        /// On which group.
+        /// Trunk group.
         group: GroupId,
-        /// On which circuit.
+        /// Circuit, or the first circuit of a range.
         cic: Cic,
-        /// What.
+        /// Signal to send.
         signal: Signal,
     },
-    /// The far end seized a circuit: accept, answer or release this call.
+    /// The far end seized a circuit; the call-control side accepts, answers or releases the call.
     Incoming {
-        /// The call, by a name made here.
+        /// Key assigned to the call.
         call: CallKey,
-        /// Its group.
+        /// Trunk group that it arrived on.
         group: GroupId,
-        /// What it asks for.
+        /// Contents of its IAM.
         setup: Setup,
     },
-    /// The far side has an outgoing call.
+    /// The far end accepted an outgoing call (ACM).
     Accepted(CallKey),
-    /// An outgoing call stands.
+    /// An outgoing call was answered (ANM or CON).
     Answered(CallKey),
-    /// A call is over, and its circuit no longer its own.
+    /// A call has ended and no longer holds its circuit.
     Ended(CallKey, End),
-    /// People are to hear of it.
+    /// A fault to report to operators.
     Report {
-        /// Its group.
+        /// Trunk group.
         group: GroupId,
-        /// Its circuit.
+        /// Circuit.
         cic: Cic,
-        /// What.
+        /// Kind of fault.
         what: Maintenance,
     },
 }
 
-/// A circuit as it is at one end.
+/// Snapshot of a circuit's state at this end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct View {
-    /// As the far end is told.
-    pub state: Told,
-    /// Its call.
+pub struct CircuitView {
+    /// State as reported to the far end.
+    pub state: ReportedState,
+    /// The call that holds it.
     pub call: Option<CallKey>,
-    /// Since when it is used so, microseconds.
+    /// Time of the last change of use, in microseconds.
     pub since: u64,
 }
 
-/// What a group's circuits are used for, counted.
+/// Number of a group's circuits by use.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct Usage {
-    /// Free to be seized from here.
+    /// Available for seizure by this end.
     pub free: usize,
-    /// Idle but blocked, by either end.
+    /// Idle but blocked by either end, or unequipped.
     pub blocked: usize,
-    /// Busy by calls from here.
+    /// Busy with outgoing calls.
     pub outgoing: usize,
-    /// Busy by calls of the far end.
+    /// Busy with incoming calls.
     pub incoming: usize,
-    /// Awaiting a release's or a reset's completion.
+    /// Waiting for a release or reset to complete.
     pub clearing: usize,
 }
 
-/// A group as it is at one end.
+/// Snapshot of a trunk group's state at this end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GroupView {
-    /// Its first circuit.
+    /// CIC of the first circuit.
     pub first: Cic,
-    /// How many there are.
+    /// Number of circuits.
     pub circuits: u16,
-    /// Whether its far end can be reached.
+    /// Whether the far end is reachable.
     pub reachable: bool,
-    /// When an audit's query was last answered, microseconds.
+    /// Time of the last answered audit query, in microseconds.
     pub audited_at: Option<u64>,
-    /// What its circuits are used for.
+    /// Number of circuits by use.
     pub usage: Usage,
 }
