--- a/crates/trunk/src/route.rs
+++ b/crates/trunk/src/route.rs
@@ -30,8 +30,8 @@
 }
 
 /// Selects the group that a call tries next: of the untried groups the one with the most free circuits, the
-/// lowest id among equals. Groups without a free circuit are skipped, as the seizure would fail at once.
-/// `None` means that the far end cannot take the call now.
+/// lowest id among equals. Groups without a free circuit are skipped: the seizure would fail at once and use
+/// up one of the call's routing decisions. `None` means that the far end cannot take the call now.
 pub fn next_group(groups: &[(GroupId, Usage)], tried: &[GroupId]) -> Option<GroupId> {
     let available = groups.iter().filter(|(group, usage)| usage.free > 0 && !tried.contains(group));
     available.max_by_key(|(group, usage)| (usage.free, std::cmp::Reverse(*group))).map(|(group, _)| *group)
--- a/crates/trunk/src/rules.rs
+++ b/crates/trunk/src/rules.rs
@@ -92,7 +92,7 @@
     Consistent,
     /// The state is changing at one end: nothing can be concluded.
     Inconclusive,
-    /// The states contradict each other; only a message in transit explains that.
+    /// The states contradict each other, which is possible only while a message is in transit.
     Mismatch,
     /// The far end has no such circuit.
     Unequipped,
@@ -131,12 +131,12 @@
     locally_blocked != remote.remotely_blocked
 }
 
-/// Wait for an RLC after an IAM arrived on a circuit whose release or reset is incomplete, in microseconds.
-/// Such an IAM shows that the far end has the circuit idle. If the IAM crossed the REL or is a duplicate, the
-/// RLC follows it and the far end's call ended with the REL. If the RLC was lost, the far end's call and its
-/// caller would wait until T1 expires. Repeating the REL at once could hit the far end's next call after the
-/// first release completes, so the IAM is neither accepted nor answered, and the REL or RSC is repeated
-/// before T1 only if no RLC arrives within this time.
+/// Maximum wait for the RLC, in microseconds, after an IAM arrived on a circuit whose release or reset is
+/// incomplete. Such an IAM shows that the far end has the circuit idle. If the IAM crossed the REL or is a
+/// duplicate, the RLC follows it and the far end's call ended with the REL. If the RLC was lost, the far
+/// end's call and its caller would wait until T1 expires. Repeating the REL at once could hit the far end's
+/// next call after the first release completes, so the IAM is neither accepted nor answered, and the REL or
+/// RSC is repeated before T1 only if no RLC arrives within this time.
 pub const RLC_GRACE_US: u64 = 200_000;
 
 /// Returns whether an REL is answered with an RLC: not while this end's reset of the circuit is pending. The
--- a/crates/trunk/src/trunks.rs
+++ b/crates/trunk/src/trunks.rs
@@ -312,8 +312,8 @@
         let index = usize::from(group.0);
         if self.circuit(index, cic).is_none() {
             self.counts.strange += 1;
-            // IAM and RSC for an unequipped circuit are answered with UCIC; other signals, among them UCIC, are
-            // not (Q.764, 2.12).
+            // IAM and RSC for an unequipped circuit are answered with UCIC; other signals, among them UCIC,
+            // are not (Q.764, 2.12).
             if self.groups.get(index).is_some() && matches!(signal, Signal::Seize(_) | Signal::Reset) {
                 send(index, cic, Signal::Unequipped, out);
             }
