--- a/crates/budget/src/clock.rs
+++ b/crates/budget/src/clock.rs
@@ -1,44 +1,46 @@
-//! Time as one process may rely on it for what others do meanwhile.
+//! Detection of process stalls and clock jumps, and a lower bound on the time that has elapsed.
 
 use baydrift::interface::Micros;
 
-/// Counts a clock's steps. A process wakes often; a longer step than `most` means that it stood still or that its clock
-/// jumped, and nobody knows which.
+/// Detects stalls and clock jumps between two readings of a process's clock. A process wakes often, so an
+/// interval above `max_step` means that either the process stalled or its clock jumped; the two cannot be
+/// told apart.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Steps {
-    most: Micros,
-    last: Option<Micros>,
-    sure: Micros,
+pub struct StallDetector {
+    max_step: Micros,
+    last_reading: Option<Micros>,
+    elapsed: Micros,
 }
 
-impl Steps {
-    /// Steps of at most so long are believed.
-    pub fn new(most: Micros) -> Self {
-        Self { most, last: None, sure: 0 }
+impl StallDetector {
+    /// Creates a detector that accepts intervals of at most `max_step` between readings.
+    pub fn new(max_step: Micros) -> Self {
+        Self { max_step, last_reading: None, elapsed: 0 }
     }
 
-    /// The clock says `now`. `false` where it cannot be relied on since the last time: it went back, or further than a
-    /// process that ran would let it.
-    pub fn step(&mut self, now: Micros) -> bool {
-        let step = self.last.map(|last| now.checked_sub(last));
-        self.last = Some(now);
+    /// Records the clock reading `now`. Returns `false` if the clock cannot be relied on since the previous
+    /// reading: it went backwards, or forwards by more than `max_step`.
+    pub fn observe(&mut self, now: Micros) -> bool {
+        let step = self.last_reading.map(|last| now.checked_sub(last));
+        self.last_reading = Some(now);
         match step {
             None => true,
-            Some(Some(step)) if step <= self.most => {
-                self.sure += step;
+            Some(Some(step)) if step <= self.max_step => {
+                self.elapsed += step;
                 true
             }
-            // At least nothing says that more time than that has passed for others.
+            // The real time may be shorter than the jump, so no more than `max_step` is counted.
             Some(Some(_)) => {
-                self.sure += self.most;
+                self.elapsed += self.max_step;
                 false
             }
             Some(None) => false,
         }
     }
 
-    /// Time that has passed for sure: never more than by the clock, and less after a jump or a standstill.
-    pub fn sure(&self) -> Micros {
-        self.sure
+    /// Time that has certainly elapsed since the first reading: never more than the clock shows, and less
+    /// after a jump or a stall.
+    pub fn elapsed(&self) -> Micros {
+        self.elapsed
     }
 }
--- a/crates/budget/src/escrow.rs
+++ b/crates/budget/src/escrow.rs
@@ -1,310 +1,345 @@
-//! One front's hand in a budget.
+//! One front's account in a shared budget: own, lent and borrowed units.
 
 use std::collections::BTreeMap;
 
 use baydrift::interface::Micros;
 
-use crate::clock::Steps;
+use crate::clock::StallDetector;
+use crate::message::{BudgetId, BudgetMessage, RequestId};
 use crate::share::Share;
-use crate::word::{Ask, BudgetId, Word};
 
-/// What all fronts agree on; by the settings.
+/// Parameters that must be the same at all fronts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Terms {
-    /// A unit is spent once in such a time.
+pub struct EscrowConfig {
+    /// Each unit may be spent once in this time.
     pub window: Micros,
-    /// A loan lasts so long by the borrower's clock, from when it asked.
+    /// Duration of a loan on the borrower's clock, counted from its request.
     pub lease: Micros,
-    /// Longer steps of a clock are standstills or jumps.
-    pub step_most: Micros,
-    /// Clocks run apart by at most so many millionths.
+    /// A longer interval between two clock readings is treated as a stall or a clock jump.
+    pub max_step: Micros,
+    /// Maximum drift between two clocks, in parts per million.
     pub drift_ppm: u32,
 }
 
-impl Default for Terms {
-    /// A rate a second, on the system's monotonic clock of a process that wakes every 50 ms.
+impl Default for EscrowConfig {
+    /// Units per second, on the system's monotonic clock, for a process that wakes every 50 ms.
     fn default() -> Self {
-        Self { window: 1_000_000, lease: 4_000_000, step_most: 100_000, drift_ppm: 200 }
+        Self { window: 1_000_000, lease: 4_000_000, max_step: 100_000, drift_ppm: 200 }
     }
 }
 
-/// Why terms are turned down.
+/// Why a configuration is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum TermsError {
-    /// A time of nothing.
+pub enum EscrowConfigError {
+    /// A duration is zero.
     #[error("the budgets' window, lease and longest step must be above 0")]
-    Zero,
-    /// A unit would be back from a loan before it could be spent.
-    #[error("a lease of {lease} us is shorter than a step of {step} us, so that none would outlast a wait")]
-    Short {
-        /// The lease.
+    ZeroDuration,
+    /// A loan would expire before any of it could be spent.
+    #[error("a lease of {lease} us must be longer than the longest step of {step} us")]
+    LeaseTooShort {
+        /// The configured lease.
         lease: Micros,
-        /// The longest step.
+        /// The configured maximum step.
         step: Micros,
     },
-    /// No clock is that bad.
-    #[error("a drift of {0} millionths is more than 100,000")]
-    Drift(u32),
+    /// The drift is implausibly large.
+    #[error("a drift of {0} ppm is more than 100,000 ppm")]
+    DriftTooLarge(u32),
 }
 
-impl Terms {
-    /// Checks them.
+impl EscrowConfig {
+    /// Validates the parameters.
     ///
     /// # Errors
-    /// What is wrong first.
-    pub fn check(&self) -> Result<(), TermsError> {
-        if self.window == 0 || self.lease == 0 || self.step_most == 0 {
-            return Err(TermsError::Zero);
+    /// The first violation found.
+    pub fn check(&self) -> Result<(), EscrowConfigError> {
+        if self.window == 0 || self.lease == 0 || self.max_step == 0 {
+            return Err(EscrowConfigError::ZeroDuration);
         }
-        if self.lease <= self.step_most {
-            return Err(TermsError::Short { lease: self.lease, step: self.step_most });
+        if self.lease <= self.max_step {
+            return Err(EscrowConfigError::LeaseTooShort { lease: self.lease, step: self.max_step });
         }
         if self.drift_ppm > 100_000 {
-            return Err(TermsError::Drift(self.drift_ppm));
+            return Err(EscrowConfigError::DriftTooLarge(self.drift_ppm));
         }
         Ok(())
     }
 
-    fn drifted(&self, span: Micros, times: u64) -> Micros {
+    /// `span` extended by `times` the maximum drift.
+    fn with_drift(&self, span: Micros, times: u64) -> Micros {
         span + (span * u64::from(self.drift_ppm) * times).div_ceil(1_000_000)
     }
 
-    /// A unit that was spent is free after this by a clock that runs ahead.
-    fn spent_for(&self) -> Micros {
-        self.drifted(self.window, 1)
+    /// Time after which a spent unit is free again, allowing for a local clock that runs fast.
+    fn respend_delay(&self) -> Micros {
+        self.with_drift(self.window, 1)
     }
 
-    /// A loan is over after this by the lender's clock. Guards against a borrower whose clock runs behind while the
-    /// lender's runs ahead, or jumps by what no step shows.
-    fn lent_for(&self) -> Micros {
-        self.drifted(self.lease, 3) + self.step_most
+    /// Time after which a loan has expired on the lender's clock. Longer than the lease, because the
+    /// borrower's clock may run slow while the lender's runs fast, or may jump by less than `max_step`, which
+    /// is not detected.
+    fn lender_lease(&self) -> Micros {
+        self.with_drift(self.lease, 3) + self.max_step
     }
 }
 
-/// Units that another front has.
+/// Own units that are lent to another front.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Lent {
+struct LentLoan {
     units: u16,
-    /// By [`Steps::sure`].
-    over: Micros,
+    /// On the time scale of [`StallDetector::elapsed`].
+    expires_at: Micros,
 }
 
-/// Units of another front.
+/// Units borrowed from another front.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Borrowed {
-    from: u32,
-    /// By the clock itself.
-    over: Micros,
-    /// When each is free, by [`Steps::sure`].
+struct BorrowedLoan {
+    lender: u32,
+    /// On the local clock.
+    expires_at: Micros,
+    /// When each unit is free, on the time scale of [`StallDetector::elapsed`].
     units: Vec<Micros>,
 }
 
-/// An ask without an answer yet.
+/// A request that has not been answered yet.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Pending {
+struct PendingRequest {
     to: u32,
-    at: Micros,
-    keeps: Option<u32>,
+    sent_at: Micros,
+    /// The loan to be renewed, if this is a renewal.
+    renews: Option<u32>,
 }
 
-/// What a front has of a budget now.
+/// Number of units that a front currently has of a budget, by state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Holdings {
     /// Own units that can be spent now.
     pub free: u32,
     /// Own units that were spent within the window.
     pub spent: u32,
-    /// Own units that the process before may have spent or lent.
-    pub barred: u32,
-    /// Own units at other fronts.
+    /// Own units withheld after a restart, because the previous process may have spent or lent them.
+    pub withheld: u32,
+    /// Own units lent to other fronts.
     pub lent: u32,
-    /// Others' units here that can be spent now.
+    /// Borrowed units that can be spent now.
     pub borrowed_free: u32,
-    /// Others' units here, spent within the window.
+    /// Borrowed units that were spent within the window.
     pub borrowed_spent: u32,
 }
 
 impl Holdings {
-    /// Units that this front can spend once in each window as things are.
-    pub fn here(&self) -> u32 {
+    /// Units that this front can currently spend once per window.
+    pub fn spendable(&self) -> u32 {
         self.free + self.spent + self.borrowed_free + self.borrowed_spent
     }
 }
 
-/// How many of these units, soonest free first, are free by then.
-fn free_of(units: &[Micros], sure: Micros) -> u32 {
-    units.partition_point(|free| *free <= sure) as u32
+/// Counts the units that are free at `elapsed`; `units` is sorted by the time at which each becomes free.
+fn count_free(units: &[Micros], elapsed: Micros) -> u32 {
+    units.partition_point(|free_at| *free_at <= elapsed) as u32
 }
 
-/// One front's hand in a budget; see the crate's page for what it promises.
+/// One front's account in a budget; the crate documentation states its guarantees.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Escrow {
-    terms: Terms,
+    config: EscrowConfig,
     budget: BudgetId,
-    me: u32,
+    own_ordinal: u32,
     incarnation: u64,
-    steps: Steps,
+    clock: StallDetector,
+    /// When each own unit is free, sorted, on the time scale of [`StallDetector::elapsed`].
     own: Vec<Micros>,
-    /// Own units that may be at others at once at most: a process that starts anew knows that the rest is here.
+    /// Maximum number of own units lent at once. A restarted process knows that the others were never lent.
     lendable: usize,
-    lent: BTreeMap<Ask, Lent>,
-    /// The last ask of each front that was granted: a copy of it gets the same answer, or none.
-    granted: BTreeMap<u32, Ask>,
-    borrowed: BTreeMap<u32, Borrowed>,
-    pending: BTreeMap<u32, Pending>,
-    next: u32,
+    lent: BTreeMap<RequestId, LentLoan>,
+    /// The last granted request of each front: a duplicate of it gets the same response, or none.
+    last_granted: BTreeMap<u32, RequestId>,
+    /// By the sequence number of the request that opened the loan.
+    borrowed: BTreeMap<u32, BorrowedLoan>,
+    /// By the sequence number of the request.
+    pending: BTreeMap<u32, PendingRequest>,
+    next_request: u32,
 }
 
-/// A home keeps one of so many of its units, whoever asks.
-const KEPT: usize = 4;
-/// Asks without an answer at most; more are not made.
-const PENDING_MAX: usize = 16;
-/// Loans held at once at most.
-const BORROWED_MAX: usize = 64;
+/// A front never lends one in this many of its own units.
+const UNLENDABLE_DIVISOR: usize = 4;
+/// Maximum number of unanswered requests; further ones are not sent.
+const MAX_PENDING_REQUESTS: usize = 16;
+/// Maximum number of borrowed loans, including requests for loans that are pending.
+const MAX_BORROWED_LOANS: usize = 64;
 
 impl Escrow {
-    /// The hand of front `me` at `now`. `since_before`: this process ran before the budget began, so that none before it
-    /// can have spent or lent of its units. Otherwise nothing is spent until all that it may have lent is over: what may
-    /// be spent before anybody is heard is this front's own share or nothing.
+    /// Creates the account of front `own_ordinal` at `now`. `predates_budget` states that this process has
+    /// been running since before the budget began, so that no earlier process can have spent or lent its
+    /// units. Otherwise units are withheld until all that an earlier process may have spent or lent is free
+    /// again; the front starts with its own share or less, never with more.
     pub fn new(
-        terms: Terms,
+        config: EscrowConfig,
         budget: BudgetId,
         share: Share,
-        me: u32,
+        own_ordinal: u32,
         incarnation: u64,
         now: Micros,
-        since_before: bool,
+        predates_budget: bool,
     ) -> Self {
-        let mut steps = Steps::new(terms.step_most);
-        steps.step(now);
-        let all = share.of(me) as usize;
-        let mut own = vec![0; all];
-        if !since_before {
-            // The process before spent those that it never lends a moment ago at the latest, and lent the rest.
-            own.fill(terms.lent_for() + terms.spent_for());
-            own[..all / KEPT].fill(terms.spent_for());
+        let mut clock = StallDetector::new(config.max_step);
+        clock.observe(now);
+        let owned = share.of(own_ordinal) as usize;
+        let mut own = vec![0; owned];
+        if !predates_budget {
+            // The previous process may have spent its unlendable units just before it ended, and lent all
+            // others.
+            own.fill(config.lender_lease() + config.respend_delay());
+            own[..owned / UNLENDABLE_DIVISOR].fill(config.respend_delay());
         }
         Self {
-            terms,
+            config,
             budget,
-            me,
+            own_ordinal,
             incarnation,
-            steps,
+            clock,
             own,
-            lendable: all - all / KEPT,
+            lendable: owned - owned / UNLENDABLE_DIVISOR,
             lent: BTreeMap::new(),
-            granted: BTreeMap::new(),
+            last_granted: BTreeMap::new(),
             borrowed: BTreeMap::new(),
             pending: BTreeMap::new(),
-            next: 0,
+            next_request: 0,
         }
     }
 
-    /// Lets time pass.
+    /// Advances the account to `now` and expires loans and requests.
     pub fn advance(&mut self, now: Micros) {
-        if !self.steps.step(now) {
-            // Guards against a front that stood still past the end of what it borrowed, or whose clock went back before
-            // it: how long others have waited it cannot know.
+        if !self.clock.observe(now) {
+            // After a stall or a clock jump the front cannot know how much time the lenders have counted, so
+            // its loans may have expired.
             self.borrowed.clear();
             self.pending.clear();
         }
-        self.borrowed.retain(|_, loan| now < loan.over);
-        self.pending.retain(|_, ask| now < ask.at.saturating_add(self.terms.lease));
-        let sure = self.steps.sure();
-        let over: Vec<_> =
-            self.lent.iter().filter(|(_, loan)| loan.over <= sure).map(|(ask, _)| *ask).collect();
-        for ask in over {
-            // Whoever had it may have spent it a moment ago.
-            self.reclaim(&ask, self.terms.spent_for());
+        self.borrowed.retain(|_, loan| now < loan.expires_at);
+        self.pending.retain(|_, request| now < request.sent_at.saturating_add(self.config.lease));
+        let elapsed = self.clock.elapsed();
+        let expired: Vec<_> = self
+            .lent
+            .iter()
+            .filter(|(_, loan)| loan.expires_at <= elapsed)
+            .map(|(request, _)| *request)
+            .collect();
+        for request in expired {
+            // The borrower may have spent the units just before the loan expired.
+            self.reclaim(&request, self.config.respend_delay());
         }
     }
 
-    /// Spends one unit, if there is one to spend: a borrowed one first, of the loan that ends first.
+    /// Spends one unit and returns whether one was free. Borrowed units are spent first, from the loan that
+    /// expires soonest.
     pub fn spend(&mut self, now: Micros) -> bool {
         self.advance(now);
-        let (sure, free_at) = (self.steps.sure(), self.steps.sure() + self.terms.spent_for());
+        let (elapsed, free_at) = (self.clock.elapsed(), self.clock.elapsed() + self.config.respend_delay());
         let loans =
-            self.borrowed.values_mut().filter(|loan| loan.units.first().is_some_and(|free| *free <= sure));
-        let units = loans.min_by_key(|loan| loan.over).map_or(&mut self.own, |loan| &mut loan.units);
-        if units.first().is_none_or(|free| *free > sure) {
+            self.borrowed.values_mut().filter(|loan| loan.units.first().is_some_and(|free| *free <= elapsed));
+        let units = loans.min_by_key(|loan| loan.expires_at).map_or(&mut self.own, |loan| &mut loan.units);
+        if units.first().is_none_or(|free| *free > elapsed) {
             return false;
         }
         units.remove(0);
-        // In order: those that are barred after a start are so for longer.
+        // The list stays sorted: units withheld after a start may become free later than the one just spent.
         units.insert(units.partition_point(|free| *free <= free_at), free_at);
         true
     }
 
-    /// Asks another front; what to send it, unless too many asks are unanswered.
-    pub fn ask(&mut self, now: Micros, to: u32, wanted: u16) -> Option<Word> {
+    /// Requests up to `wanted` units from front `to`. Returns the message to send, or `None` if too many
+    /// requests or loans are open.
+    pub fn request(&mut self, now: Micros, to: u32, wanted: u16) -> Option<BudgetMessage> {
         self.advance(now);
-        let full = self.pending.len() + self.borrowed.len() >= BORROWED_MAX;
-        if full || self.pending.len() >= PENDING_MAX || to == self.me || wanted == 0 {
+        let full = self.pending.len() + self.borrowed.len() >= MAX_BORROWED_LOANS;
+        if full || self.pending.len() >= MAX_PENDING_REQUESTS || to == self.own_ordinal || wanted == 0 {
             return None;
         }
-        let ask = self.asked(now, to, None);
-        Some(Word::Ask { budget: self.budget, ask, wanted })
+        let request = self.add_pending(now, to, None);
+        Some(BudgetMessage::Request { budget: self.budget, request, wanted })
     }
 
-    /// Asks that a loan lasts longer.
-    pub fn keep(&mut self, now: Micros, loan: u32) -> Option<(u32, Word)> {
+    /// Requests an extension of a borrowed loan. Returns the lender and the message to send to it.
+    pub fn renew(&mut self, now: Micros, loan: u32) -> Option<(u32, BudgetMessage)> {
         self.advance(now);
-        let to = self.borrowed.get(&loan)?.from;
-        let asked = self.pending.values().any(|ask| ask.keeps == Some(loan));
-        if asked || self.pending.len() >= PENDING_MAX {
+        let to = self.borrowed.get(&loan)?.lender;
+        let already_pending = self.pending.values().any(|request| request.renews == Some(loan));
+        if already_pending || self.pending.len() >= MAX_PENDING_REQUESTS {
             return None;
         }
-        let ask = self.asked(now, to, Some(loan));
-        Some((to, Word::Keep { budget: self.budget, ask, loan }))
+        let request = self.add_pending(now, to, Some(loan));
+        Some((to, BudgetMessage::Renew { budget: self.budget, request, loan }))
     }
 
-    /// Gives a loan back: from now on it is not here.
-    pub fn give_back(&mut self, now: Micros, loan: u32) -> Option<(u32, Word)> {
+    /// Returns a borrowed loan: its units cannot be spent here any more. Returns the lender and the message
+    /// to send to it.
+    pub fn return_loan(&mut self, now: Micros, loan: u32) -> Option<(u32, BudgetMessage)> {
         self.advance(now);
-        let Borrowed { from, units, .. } = self.borrowed.remove(&loan)?;
-        let ask = Ask { front: self.me, incarnation: self.incarnation, number: loan };
-        let busy = units.last().map_or(0, |free| free.saturating_sub(self.steps.sure()));
-        Some((from, Word::Back { budget: self.budget, ask, busy }))
+        let BorrowedLoan { lender, units, .. } = self.borrowed.remove(&loan)?;
+        let request = RequestId { front: self.own_ordinal, incarnation: self.incarnation, number: loan };
+        let busy = units.last().map_or(0, |free| free.saturating_sub(self.clock.elapsed()));
+        Some((lender, BudgetMessage::Return { budget: self.budget, request, busy }))
     }
 
-    fn asked(&mut self, now: Micros, to: u32, keeps: Option<u32>) -> Ask {
-        let number = self.next;
-        self.next = self.next.wrapping_add(1);
-        self.pending.insert(number, Pending { to, at: now, keeps });
-        Ask { front: self.me, incarnation: self.incarnation, number }
+    fn add_pending(&mut self, now: Micros, to: u32, renews: Option<u32>) -> RequestId {
+        let number = self.next_request;
+        self.next_request = self.next_request.wrapping_add(1);
+        self.pending.insert(number, PendingRequest { to, sent_at: now, renews });
+        RequestId { front: self.own_ordinal, incarnation: self.incarnation, number }
     }
 
-    /// Takes a word of front `from`, known by the address that it came from; what to answer. `reserve`: so many of its own
-    /// units this front wants to keep. Words of another budget, or in another's name, change nothing.
-    pub fn hear(&mut self, now: Micros, from: u32, word: &Word, reserve: u32) -> Option<Word> {
+    /// Handles a message of front `from`, which is identified by the source address, and returns the response
+    /// to send, if any. `reserve` is the number of own units that this front does not want to lend. A message
+    /// about another budget, or one that names another front than its sender, has no effect.
+    pub fn handle(
+        &mut self,
+        now: Micros,
+        from: u32,
+        message: &BudgetMessage,
+        reserve: u32,
+    ) -> Option<BudgetMessage> {
         self.advance(now);
-        if word.budget() != self.budget || from == self.me {
+        if message.budget() != self.budget || from == self.own_ordinal {
             return None;
         }
-        match *word {
-            Word::Ask { ask, wanted, .. } if ask.front == from => self.lend(ask, wanted, reserve),
-            Word::Keep { ask, loan, .. } if ask.front == from => self.prolong(ask, loan, reserve),
-            Word::Back { ask, busy, .. } if ask.front == from => {
-                // The word has been on its way since it was true: waiting all of it is enough.
-                self.reclaim(&ask, self.terms.drifted(busy.min(self.terms.spent_for()), 2));
+        match *message {
+            BudgetMessage::Request { request, wanted, .. } if request.front == from => {
+                self.lend(request, wanted, reserve)
+            }
+            BudgetMessage::Renew { request, loan, .. } if request.front == from => {
+                self.extend_loan(request, loan, reserve)
+            }
+            BudgetMessage::Return { request, busy, .. } if request.front == from => {
+                // `busy` was computed when the message was sent, so waiting all of it from now on is
+                // sufficient.
+                self.reclaim(&request, self.config.with_drift(busy.min(self.config.respend_delay()), 2));
                 None
             }
-            Word::Grant { ask, units, .. } if ask.front == self.me && ask.incarnation == self.incarnation => {
-                self.granted(now, from, ask.number, units);
+            BudgetMessage::Grant { request, units, .. }
+                if request.front == self.own_ordinal && request.incarnation == self.incarnation =>
+            {
+                self.accept_grant(now, from, request.number, units);
                 None
             }
             _ => None,
         }
     }
 
-    fn lend(&mut self, ask: Ask, wanted: u16, reserve: u32) -> Option<Word> {
+    fn lend(&mut self, request: RequestId, wanted: u16, reserve: u32) -> Option<BudgetMessage> {
         let budget = self.budget;
-        if self.granted.get(&ask.front) == Some(&ask) {
-            // A copy: the same answer while the loan stands, none once it was given back or is over.
-            return self.lent.get(&ask).map(|loan| Word::Grant { budget, ask, units: loan.units });
+        if self.last_granted.get(&request.front) == Some(&request) {
+            // A duplicate: the same response while the loan is open, none once it was returned or has
+            // expired.
+            return self.lent.get(&request).map(|loan| BudgetMessage::Grant {
+                budget,
+                request,
+                units: loan.units,
+            });
         }
-        // Lent already under a name that only a copy can have: one loan has one life.
-        if self.lent.contains_key(&ask) {
+        // The loan is open already, so the message is a duplicate of an older request: a loan is granted only
+        // once.
+        if self.lent.contains_key(&request) {
             return None;
         }
         let lent: usize = self.lent.values().map(|loan| usize::from(loan.units)).sum();
@@ -314,86 +349,86 @@
             return None;
         }
         self.own.drain(..usize::from(units));
-        let over = self.steps.sure() + self.terms.lent_for();
-        self.lent.insert(ask, Lent { units, over });
-        self.granted.insert(ask.front, ask);
-        Some(Word::Grant { budget, ask, units })
+        let expires_at = self.clock.elapsed() + self.config.lender_lease();
+        self.lent.insert(request, LentLoan { units, expires_at });
+        self.last_granted.insert(request.front, request);
+        Some(BudgetMessage::Grant { budget, request, units })
     }
 
-    fn prolong(&mut self, ask: Ask, number: u32, reserve: u32) -> Option<Word> {
+    fn extend_loan(&mut self, request: RequestId, number: u32, reserve: u32) -> Option<BudgetMessage> {
         if self.own_free() < reserve {
             return None;
         }
-        let over = self.steps.sure() + self.terms.lent_for();
-        let loan = self.lent.get_mut(&Ask { number, ..ask })?;
-        loan.over = loan.over.max(over);
-        Some(Word::Grant { budget: self.budget, ask, units: loan.units })
+        let expires_at = self.clock.elapsed() + self.config.lender_lease();
+        let loan = self.lent.get_mut(&RequestId { number, ..request })?;
+        loan.expires_at = loan.expires_at.max(expires_at);
+        Some(BudgetMessage::Grant { budget: self.budget, request, units: loan.units })
     }
 
     /// Own units that can be spent now.
     fn own_free(&self) -> u32 {
-        free_of(&self.own, self.steps.sure())
+        count_free(&self.own, self.clock.elapsed())
     }
 
-    /// A loan is back, or over; its units can be spent again after `busy`.
-    fn reclaim(&mut self, ask: &Ask, busy: Micros) {
-        let Some(loan) = self.lent.remove(ask) else { return };
-        let free_at = self.steps.sure() + busy;
+    /// Takes back the units of a loan that was returned or has expired; they can be spent again after `busy`.
+    fn reclaim(&mut self, request: &RequestId, busy: Micros) {
+        let Some(loan) = self.lent.remove(request) else { return };
+        let free_at = self.clock.elapsed() + busy;
         self.own.extend(std::iter::repeat_n(free_at, usize::from(loan.units)));
         self.own.sort_unstable();
     }
 
-    fn granted(&mut self, now: Micros, from: u32, number: u32, units: u16) {
-        if self.pending.get(&number).is_none_or(|ask| ask.to != from) {
+    fn accept_grant(&mut self, now: Micros, from: u32, number: u32, units: u16) {
+        if self.pending.get(&number).is_none_or(|request| request.to != from) {
             return;
         }
-        let Some(ask) = self.pending.remove(&number) else { return };
-        // From when it was asked: the lender counts from later.
-        let over = ask.at.saturating_add(self.terms.lease);
-        if over <= now {
+        let Some(request) = self.pending.remove(&number) else { return };
+        // Counted from the request: the lender starts counting later, so the loan ends here first.
+        let expires_at = request.sent_at.saturating_add(self.config.lease);
+        if expires_at <= now {
             return;
         }
-        match ask.keeps {
+        match request.renews {
             Some(loan) => {
                 if let Some(loan) = self.borrowed.get_mut(&loan) {
-                    loan.over = loan.over.max(over);
+                    loan.expires_at = loan.expires_at.max(expires_at);
                 }
             }
             None => {
-                let units = vec![self.steps.sure(); usize::from(units)];
-                self.borrowed.insert(number, Borrowed { from, over, units });
+                let units = vec![self.clock.elapsed(); usize::from(units)];
+                self.borrowed.insert(number, BorrowedLoan { lender: from, expires_at, units });
             }
         }
     }
 
-    /// What it has now.
+    /// Current number of units by state.
     pub fn holdings(&self) -> Holdings {
-        let sure = self.steps.sure();
-        let own = self.own_free();
-        let soon = sure + self.terms.spent_for();
-        let barred = self.own.iter().filter(|free| **free > soon).count() as u32;
-        let (mut here, mut here_free) = (0, 0);
+        let elapsed = self.clock.elapsed();
+        let free = self.own_free();
+        let latest_respend = elapsed + self.config.respend_delay();
+        let withheld = self.own.iter().filter(|free_at| **free_at > latest_respend).count() as u32;
+        let (mut borrowed, mut borrowed_free) = (0, 0);
         for loan in self.borrowed.values() {
-            here += loan.units.len() as u32;
-            here_free += free_of(&loan.units, sure);
+            borrowed += loan.units.len() as u32;
+            borrowed_free += count_free(&loan.units, elapsed);
         }
         Holdings {
-            free: own,
-            spent: self.own.len() as u32 - own - barred,
-            barred,
+            free,
+            spent: self.own.len() as u32 - free - withheld,
+            withheld,
             lent: self.lent.values().map(|loan| u32::from(loan.units)).sum(),
-            borrowed_free: here_free,
-            borrowed_spent: here - here_free,
+            borrowed_free,
+            borrowed_spent: borrowed - borrowed_free,
         }
     }
 
-    /// Its loans from others: which, until when, and of how many units.
+    /// The borrowed loans: number, expiry on the local clock, and number of units.
     pub fn loans(&self) -> impl Iterator<Item = (u32, Micros, u32)> + '_ {
-        self.borrowed.iter().map(|(number, loan)| (*number, loan.over, loan.units.len() as u32))
+        self.borrowed.iter().map(|(number, loan)| (*number, loan.expires_at, loan.units.len() as u32))
     }
 
-    /// The terms.
-    pub fn terms(&self) -> &Terms {
-        &self.terms
+    /// The parameters of the budget.
+    pub fn config(&self) -> &EscrowConfig {
+        &self.config
     }
 }
--- a/crates/budget/src/lib.rs
+++ b/crates/budget/src/lib.rs
@@ -1,26 +1,29 @@
-//! Budgets that all fronts of a fleet spend together: so many of something in a window, such as set-ups at a cold server,
-//! new connections of a server or questions to the name server.
+//! Rate budgets shared by all fronts of a fleet: a fixed number of events per window, such as set-ups sent to
+//! a server in warm-up, new connections to a server, or queries to the name server.
 //!
-//! A budget is a number of *units*. Each unit may be spent once in a window; wherever it is, and whatever is lost, doubled,
-//! late, stopped or started anew, it is in one front's hand at most. So the sum over all fronts never passes the bound, in
-//! no window, not by one.
+//! A budget consists of *units*. Each unit may be spent once per window and is held by at most one front at
+//! any time, even if messages are lost, duplicated or delayed, and if processes stall or restart. The sum
+//! over all fronts therefore never exceeds the budget in any window.
 //!
-//! - [`Share`] says which front is whose home: it follows from the budget's name and the number of fronts alone.
-//! - [`Escrow`] is one front's hand: own units, units lent to others and borrowed from them. What is on its way belongs to
-//!   nobody. A loan ends by the lender's clock later than by the borrower's.
-//! - [`Seeker`] decides whom to ask for units, when, and for how many.
-//! - [`Word`] is what fronts say to each other, in at most [`WORD_MAX`] bytes.
+//! - [`Share`] assigns each unit to an owning front, computed from the budget's id and the number of fronts
+//!   alone.
+//! - [`Escrow`] is one front's account: its own units, those lent to other fronts, and those borrowed from
+//!   them. Units in transit belong to nobody. A loan expires later on the lender's clock than on the
+//!   borrower's.
+//! - [`Borrower`] is the borrowing policy: which fronts to ask for units, when, and for how many.
+//! - [`BudgetMessage`] is the protocol between fronts, in at most [`MAX_MESSAGE_BYTES`] bytes a message.
 //!
-//! Nothing here does I/O, reads a clock or starts a thread. Time is a process's monotonic clock in microseconds.
+//! Nothing here does I/O, reads a clock or starts a thread. Time is a process's monotonic clock in
+//! microseconds.
 
+mod borrower;
 mod clock;
 mod escrow;
-mod seek;
+mod message;
 mod share;
-mod word;
 
-pub use clock::Steps;
-pub use escrow::{Escrow, Holdings, Terms, TermsError};
-pub use seek::{Seeker, Seeking};
+pub use borrower::{Borrower, BorrowerConfig};
+pub use clock::StallDetector;
+pub use escrow::{Escrow, EscrowConfig, EscrowConfigError, Holdings};
+pub use message::{BudgetId, BudgetMessage, MessageError, RequestId, MAX_MESSAGE_BYTES};
 pub use share::Share;
-pub use word::{Ask, BudgetId, Word, WordError, WORD_MAX};
--- a/crates/budget/tests/properties.rs
+++ b/crates/budget/tests/properties.rs
@@ -1,160 +1,174 @@
-//! Twenty fronts under arbitrary schedules: whatever is said, lost, doubled, late, stopped, started anew or set to another
-//! time, the sum over all fronts passes the bound in no window.
+//! Property tests of the escrow protocol with twenty fronts under arbitrary schedules: messages are lost,
+//! duplicated, delayed or invalid, processes stall and restart, and clocks jump. The units spent by all
+//! fronts in any window never exceed the budget.
 
 use baydrift::interface::Micros;
-use baydrift_budget::{BudgetId, Escrow, Seeker, Seeking, Share, Terms, Word, WordError, WORD_MAX};
+use baydrift_budget::{
+    Borrower, BorrowerConfig, BudgetId, BudgetMessage, Escrow, EscrowConfig, MessageError, Share,
+    MAX_MESSAGE_BYTES,
+};
 use proptest::prelude::*;
 
 const FRONTS: u32 = 20;
 const BUDGET: BudgetId = BudgetId(3);
 const S: Micros = 1_000_000;
-const TERMS: Terms = Terms { window: S, lease: 2 * S, step_most: S / 10, drift_ppm: 0 };
+const CONFIG: EscrowConfig = EscrowConfig { window: S, lease: 2 * S, max_step: S / 10, drift_ppm: 0 };
 
 #[derive(Debug, Clone)]
-enum Act {
-    /// All that run wake so often, 50 ms apart.
-    Pass(u8),
-    /// A front spends all that it can.
+enum Step {
+    /// All running fronts wake this many times, 50 ms apart.
+    Advance(u8),
+    /// A front spends all units that it can.
     Spend(u32),
-    Ask(u32, u32, u16),
-    Keep(u32, usize),
-    Back(u32, usize),
+    Request(u32, u32, u16),
+    Renew(u32, usize),
+    Return(u32, usize),
     Deliver(usize),
     Lose(usize),
-    Double(usize),
+    Duplicate(usize),
     Restart(u32),
-    Stop(u32),
-    Wake(u32),
-    Jump(u32, i64),
+    Stall(u32),
+    Resume(u32),
+    /// A front's clock jumps by this many microseconds.
+    ClockJump(u32, i64),
+    /// Arbitrary bytes arrive from one front at another.
     Noise(u32, u32, Vec<u8>),
 }
 
-fn act() -> impl Strategy<Value = Act> {
+fn step() -> impl Strategy<Value = Step> {
     let front = 0..FRONTS;
-    let place = any::<usize>();
+    let index = any::<usize>();
     prop_oneof![
-        6 => (1_u8..30).prop_map(Act::Pass),
-        6 => front.clone().prop_map(Act::Spend),
-        6 => (front.clone(), front.clone(), 1_u16..9).prop_map(|(a, b, n)| Act::Ask(a, b, n)),
-        2 => (front.clone(), place).prop_map(|(a, n)| Act::Keep(a, n)),
-        2 => (front.clone(), place).prop_map(|(a, n)| Act::Back(a, n)),
-        10 => place.prop_map(Act::Deliver),
-        1 => place.prop_map(Act::Lose),
-        2 => place.prop_map(Act::Double),
-        1 => front.clone().prop_map(Act::Restart),
-        1 => front.clone().prop_map(Act::Stop),
-        1 => front.clone().prop_map(Act::Wake),
-        1 => (front.clone(), prop_oneof![Just(5_000_000_i64), Just(-5_000_000)]).prop_map(|(a, by)| Act::Jump(a, by)),
-        1 => (front.clone(), front, proptest::collection::vec(any::<u8>(), 0..80)).prop_map(|(a, b, bytes)| Act::Noise(a, b, bytes)),
+        6 => (1_u8..30).prop_map(Step::Advance),
+        6 => front.clone().prop_map(Step::Spend),
+        6 => (front.clone(), front.clone(), 1_u16..9).prop_map(|(a, b, n)| Step::Request(a, b, n)),
+        2 => (front.clone(), index).prop_map(|(a, n)| Step::Renew(a, n)),
+        2 => (front.clone(), index).prop_map(|(a, n)| Step::Return(a, n)),
+        10 => index.prop_map(Step::Deliver),
+        1 => index.prop_map(Step::Lose),
+        2 => index.prop_map(Step::Duplicate),
+        1 => front.clone().prop_map(Step::Restart),
+        1 => front.clone().prop_map(Step::Stall),
+        1 => front.clone().prop_map(Step::Resume),
+        1 => (front.clone(), prop_oneof![Just(5_000_000_i64), Just(-5_000_000)])
+            .prop_map(|(a, by)| Step::ClockJump(a, by)),
+        1 => (front.clone(), front, proptest::collection::vec(any::<u8>(), 0..80))
+            .prop_map(|(a, b, bytes)| Step::Noise(a, b, bytes)),
     ]
 }
 
 struct World {
     now: Micros,
     units: u32,
-    hands: Vec<Escrow>,
-    ahead: Vec<i64>,
-    stopped: Vec<bool>,
-    net: Vec<(u32, u32, Word)>,
+    escrows: Vec<Escrow>,
+    /// Offset of each front's clock from real time.
+    clock_offsets: Vec<i64>,
+    stalled: Vec<bool>,
+    /// Messages in transit: sender, recipient, message.
+    in_transit: Vec<(u32, u32, BudgetMessage)>,
+    /// When units were spent within the current window.
     spent: Vec<Micros>,
-    incarnations: u64,
-    ever: usize,
+    last_incarnation: u64,
+    total_spent: usize,
 }
 
 impl World {
     fn new(units: u32) -> Self {
         let share = Share::new(BUDGET, units, FRONTS);
-        let hand = |front| Escrow::new(TERMS, BUDGET, share, front, u64::from(front), 100 * S, true);
+        let escrow = |front| Escrow::new(CONFIG, BUDGET, share, front, u64::from(front), 100 * S, true);
         Self {
             now: 100 * S,
             units,
-            hands: (0..FRONTS).map(hand).collect(),
-            ahead: vec![0; FRONTS as usize],
-            stopped: vec![false; FRONTS as usize],
-            net: Vec::new(),
+            escrows: (0..FRONTS).map(escrow).collect(),
+            clock_offsets: vec![0; FRONTS as usize],
+            stalled: vec![false; FRONTS as usize],
+            in_transit: Vec::new(),
             spent: Vec::new(),
-            incarnations: 100,
-            ever: 0,
+            last_incarnation: 100,
+            total_spent: 0,
         }
     }
 
     fn clock(&self, front: u32) -> Micros {
-        (self.now as i64 + self.ahead[front as usize]) as Micros
+        (self.now as i64 + self.clock_offsets[front as usize]) as Micros
     }
 
-    fn hand(&mut self, front: u32) -> Option<(Micros, &mut Escrow)> {
+    fn escrow(&mut self, front: u32) -> Option<(Micros, &mut Escrow)> {
         let clock = self.clock(front);
-        (!self.stopped[front as usize]).then(|| (clock, &mut self.hands[front as usize]))
+        (!self.stalled[front as usize]).then(|| (clock, &mut self.escrows[front as usize]))
     }
 
-    fn hear(&mut self, from: u32, to: u32, word: &Word) {
-        let Some((clock, hand)) = self.hand(to) else { return };
-        if let Some(answer) = hand.hear(clock, from, word, 0) {
-            self.net.push((to, from, answer));
+    fn deliver(&mut self, from: u32, to: u32, message: &BudgetMessage) {
+        let Some((clock, escrow)) = self.escrow(to) else { return };
+        if let Some(response) = escrow.handle(clock, from, message, 0) {
+            self.in_transit.push((to, from, response));
         }
     }
 
-    fn act(&mut self, act: &Act) {
-        match act {
-            Act::Pass(beats) => {
-                for _ in 0..*beats {
+    fn apply(&mut self, step: &Step) {
+        match step {
+            Step::Advance(wakes) => {
+                for _ in 0..*wakes {
                     self.now += 50_000;
                     (0..FRONTS).for_each(|front| {
-                        if let Some((clock, hand)) = self.hand(front) {
-                            hand.advance(clock);
+                        if let Some((clock, escrow)) = self.escrow(front) {
+                            escrow.advance(clock);
                         }
                     });
                 }
             }
-            Act::Spend(front) => {
+            Step::Spend(front) => {
                 let now = self.now;
-                while self.hand(*front).is_some_and(|(clock, hand)| hand.spend(clock)) {
+                while self.escrow(*front).is_some_and(|(clock, escrow)| escrow.spend(clock)) {
                     self.spent.push(now);
-                    self.ever += 1;
+                    self.total_spent += 1;
                 }
-                self.spent.retain(|at| at + TERMS.window > now);
+                self.spent.retain(|at| at + CONFIG.window > now);
             }
-            Act::Ask(front, to, wanted) => {
-                let said = self.hand(*front).and_then(|(clock, hand)| hand.ask(clock, *to, *wanted));
-                self.net.extend(said.map(|word| (*front, *to, word)));
+            Step::Request(front, to, wanted) => {
+                let sent =
+                    self.escrow(*front).and_then(|(clock, escrow)| escrow.request(clock, *to, *wanted));
+                self.in_transit.extend(sent.map(|message| (*front, *to, message)));
             }
-            Act::Keep(front, place) | Act::Back(front, place) => {
-                let keeps = matches!(act, Act::Keep(..));
-                let said = self.hand(*front).and_then(|(clock, hand)| {
-                    let loans: Vec<_> = hand.loans().map(|loan| loan.0).collect();
-                    let loan = *loans.get(place % loans.len().max(1))?;
-                    if keeps {
-                        hand.keep(clock, loan)
+            Step::Renew(front, index) | Step::Return(front, index) => {
+                let renews = matches!(step, Step::Renew(..));
+                let sent = self.escrow(*front).and_then(|(clock, escrow)| {
+                    let loans: Vec<_> = escrow.loans().map(|loan| loan.0).collect();
+                    let loan = *loans.get(index % loans.len().max(1))?;
+                    if renews {
+                        escrow.renew(clock, loan)
                     } else {
-                        hand.give_back(clock, loan)
+                        escrow.return_loan(clock, loan)
                     }
                 });
-                self.net.extend(said.map(|(to, word)| (*front, to, word)));
+                self.in_transit.extend(sent.map(|(to, message)| (*front, to, message)));
             }
-            Act::Deliver(place) if !self.net.is_empty() => {
-                let (from, to, word) = self.net.swap_remove(place % self.net.len());
-                self.hear(from, to, &word);
+            Step::Deliver(index) if !self.in_transit.is_empty() => {
+                let (from, to, message) = self.in_transit.swap_remove(index % self.in_transit.len());
+                self.deliver(from, to, &message);
             }
-            Act::Lose(place) if !self.net.is_empty() => {
-                self.net.swap_remove(place % self.net.len());
+            Step::Lose(index) if !self.in_transit.is_empty() => {
+                self.in_transit.swap_remove(index % self.in_transit.len());
             }
-            Act::Double(place) if !self.net.is_empty() => self.net.push(self.net[place % self.net.len()]),
-            Act::Restart(front) => {
-                self.incarnations += 1;
+            Step::Duplicate(index) if !self.in_transit.is_empty() => {
+                self.in_transit.push(self.in_transit[index % self.in_transit.len()])
+            }
+            Step::Restart(front) => {
+                self.last_incarnation += 1;
                 let (clock, share) = (self.clock(*front), Share::new(BUDGET, self.units, FRONTS));
-                self.stopped[*front as usize] = false;
-                self.hands[*front as usize] =
-                    Escrow::new(TERMS, BUDGET, share, *front, self.incarnations, clock, false);
+                self.stalled[*front as usize] = false;
+                self.escrows[*front as usize] =
+                    Escrow::new(CONFIG, BUDGET, share, *front, self.last_incarnation, clock, false);
             }
-            Act::Stop(front) => self.stopped[*front as usize] = true,
-            Act::Wake(front) => self.stopped[*front as usize] = false,
-            Act::Jump(front, by) => self.ahead[*front as usize] += by,
-            Act::Noise(from, to, bytes) => {
-                if let Ok(word) = Word::read(bytes) {
-                    self.hear(*from, *to, &word);
+            Step::Stall(front) => self.stalled[*front as usize] = true,
+            Step::Resume(front) => self.stalled[*front as usize] = false,
+            Step::ClockJump(front, by) => self.clock_offsets[*front as usize] += by,
+            Step::Noise(from, to, bytes) => {
+                if let Ok(message) = BudgetMessage::decode(bytes) {
+                    self.deliver(*from, *to, &message);
                 }
             }
-            Act::Deliver(_) | Act::Lose(_) | Act::Double(_) => {}
+            Step::Deliver(_) | Step::Lose(_) | Step::Duplicate(_) => {}
         }
     }
 }
@@ -163,121 +177,134 @@
     #![proptest_config(ProptestConfig { cases: 300, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_schedule_passes_the_bound(units in 1_u32..50, acts in proptest::collection::vec(act(), 50..400)) {
+    fn no_schedule_exceeds_the_budget(
+        units in 1_u32..50,
+        steps in proptest::collection::vec(step(), 50..400),
+    ) {
         let mut world = World::new(units);
-        for act in &acts {
-            world.act(act);
-            prop_assert!(world.spent.len() <= units as usize, "{} of {units} after {act:?}", world.spent.len());
+        for step in &steps {
+            world.apply(step);
+            let spent = world.spent.len();
+            prop_assert!(spent <= units as usize, "{spent} of {units} after {step:?}");
         }
     }
 
     #[test]
-    fn shares_come_to_all_units(units in 0_u32..500, fronts in 1_u32..400, budget in any::<u64>()) {
+    fn shares_sum_to_the_budget(units in 0_u32..500, fronts in 1_u32..400, budget in any::<u64>()) {
         let share = Share::new(BudgetId(budget), units, fronts);
-        let parts: Vec<_> = (0..fronts + 3).map(|front| share.of(front)).collect();
-        prop_assert_eq!(parts.iter().sum::<u32>(), units);
-        // Even: no two fronts differ by more than one.
-        let of_fleet = &parts[..fronts as usize];
+        let owned: Vec<_> = (0..fronts + 3).map(|front| share.of(front)).collect();
+        prop_assert_eq!(owned.iter().sum::<u32>(), units);
+        // Even distribution: no two fronts differ by more than one unit.
+        let of_fleet = &owned[..fronts as usize];
         let (least, most) = (of_fleet.iter().min(), of_fleet.iter().max());
         prop_assert!(most.zip(least).is_some_and(|(most, least)| most - least <= 1));
-        prop_assert!(share.homes_after(0).all(|home| share.of(home) > 0 && home != 0));
+        prop_assert!(share.owners_after(0).all(|owner| share.of(owner) > 0 && owner != 0));
     }
 
     #[test]
-    fn noise_is_no_word_or_reads_back_the_same(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
-        match Word::read(&bytes) {
-            Ok(word) => prop_assert_eq!(Word::read(&word.write()), Ok(word)),
-            Err(WordError::Long(size)) => prop_assert!(size > WORD_MAX),
-            Err(WordError::Form) => prop_assert!(bytes.len() <= WORD_MAX),
+    fn decoded_noise_round_trips(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+        match BudgetMessage::decode(&bytes) {
+            Ok(message) => prop_assert_eq!(BudgetMessage::decode(&message.encode()), Ok(message)),
+            Err(MessageError::TooLong(size)) => prop_assert!(size > MAX_MESSAGE_BYTES),
+            Err(MessageError::Malformed) => prop_assert!(bytes.len() <= MAX_MESSAGE_BYTES),
         }
     }
 }
 
-/// What a check finds must be there: schedules in which units move at all, and are spent where they are not at home.
+/// Guards against tests above that pass because no unit is ever lent: units must move to the front that wants
+/// them, be spent there, and return to their owners.
 #[test]
-fn units_move_to_who_wants_them_and_back() {
+fn units_are_lent_on_demand_and_returned() {
     let share = Share::new(BUDGET, 6, 3);
-    let seeking = Seeking { every: S / 10, at_once: 2 };
-    let mut hands: Vec<_> = (0..3)
+    let config = BorrowerConfig { interval: S / 10, fan_out: 2 };
+    let mut escrows: Vec<_> = (0..3)
         .map(|front| {
-            (Escrow::new(TERMS, BUDGET, share, front, 1, 0, true), Seeker::new(seeking, share, front))
+            (Escrow::new(CONFIG, BUDGET, share, front, 1, 0, true), Borrower::new(config, share, front))
         })
         .collect();
     let mut spent = Vec::new();
-    let mut run = |hands: &mut Vec<(Escrow, Seeker)>, from: Micros, wants: bool| {
+    let mut run = |escrows: &mut Vec<(Escrow, Borrower)>, from: Micros, wanted: bool| {
         for now in (from..from + 10 * S).step_by(50_000) {
-            let (hand, seeker) = &mut hands[0];
-            if wants {
-                let there = hand.spend(now);
-                seeker.wanted(now, there, hand);
-                spent.extend(there.then_some(now));
+            let (escrow, borrower) = &mut escrows[0];
+            if wanted {
+                let available = escrow.spend(now);
+                borrower.record_demand(now, available, escrow);
+                spent.extend(available.then_some(now));
             }
             for front in 0..3_usize {
-                let (hand, seeker) = &mut hands[front];
-                for (to, word) in seeker.words(now, hand, |_| true) {
-                    let (other, their) = &mut hands[to as usize];
-                    let answer = other.hear(now, front as u32, &word, their.reserve(now, other));
-                    answer.map(|answer| hands[front].0.hear(now, to, &answer, 0));
+                let (escrow, borrower) = &mut escrows[front];
+                for (to, message) in borrower.poll(now, escrow, |_| true) {
+                    let (other, their) = &mut escrows[to as usize];
+                    let response = other.handle(now, front as u32, &message, their.reserve(now, other));
+                    response.map(|response| escrows[front].0.handle(now, to, &response, 0));
                 }
             }
         }
     };
-    // Two at home; one front wants all six, ten seconds long.
-    run(&mut hands, 0, true);
-    assert_eq!(hands[0].0.holdings().borrowed_free + hands[0].0.holdings().borrowed_spent, 4);
-    run(&mut hands, 10 * S, false);
-    run(&mut hands, 20 * S, false);
-    let lent = |hand: &Escrow| hand.holdings().lent;
-    assert_eq!(hands.iter().map(|(hand, _)| lent(hand)).sum::<u32>(), 0, "what nobody wants is at home");
+    // Each front owns two units; front 0 wants all six for ten seconds.
+    run(&mut escrows, 0, true);
+    assert_eq!(escrows[0].0.holdings().borrowed_free + escrows[0].0.holdings().borrowed_spent, 4);
+    run(&mut escrows, 10 * S, false);
+    run(&mut escrows, 20 * S, false);
+    let lent = |escrow: &Escrow| escrow.holdings().lent;
+    assert_eq!(
+        escrows.iter().map(|(escrow, _)| lent(escrow)).sum::<u32>(),
+        0,
+        "unwanted units are returned to their owners"
+    );
     assert!(spent.len() > 50, "{} of 60", spent.len());
 }
 
 #[test]
-fn a_grant_said_a_hundred_times_is_one_loan_and_one_in_anothers_name_is_none() {
+fn duplicate_grants_open_one_loan_and_misdirected_grants_none() {
     let share = Share::new(BUDGET, 8, 2);
-    let [mut a, mut b] = [0, 1].map(|front| Escrow::new(TERMS, BUDGET, share, front, 5, 0, true));
-    let ask = a.ask(0, 1, 3).expect("an ask");
-    let grants: Vec<_> = (0..100).filter_map(|_| b.hear(1_000, 0, &ask, 0)).collect();
+    let [mut a, mut b] = [0, 1].map(|front| Escrow::new(CONFIG, BUDGET, share, front, 5, 0, true));
+    let request = a.request(0, 1, 3).expect("a request");
+    let grants: Vec<_> = (0..100).filter_map(|_| b.handle(1_000, 0, &request, 0)).collect();
     assert!(grants.windows(2).all(|two| two[0] == two[1]));
     assert_eq!((grants.len(), b.holdings().lent, b.holdings().free), (100, 3, 1));
-    // From another front, to another process, of another budget: nothing.
-    assert_eq!(a.hear(2_000, 3, &grants[0], 0), None);
-    let mut anew = Escrow::new(TERMS, BUDGET, share, 0, 6, 0, true);
-    anew.ask(0, 1, 3);
-    anew.hear(2_000, 1, &grants[0], 0);
-    assert_eq!((a.holdings().borrowed_free, anew.holdings().borrowed_free), (0, 0));
+    // A grant from another front, or for another incarnation, has no effect.
+    assert_eq!(a.handle(2_000, 3, &grants[0], 0), None);
+    let mut restarted = Escrow::new(CONFIG, BUDGET, share, 0, 6, 0, true);
+    restarted.request(0, 1, 3);
+    restarted.handle(2_000, 1, &grants[0], 0);
+    assert_eq!((a.holdings().borrowed_free, restarted.holdings().borrowed_free), (0, 0));
     grants.iter().for_each(|grant| {
-        a.hear(2_000, 1, grant, 0);
+        a.handle(2_000, 1, grant, 0);
     });
     assert_eq!(a.holdings().borrowed_free, 3);
-    // It has gone back: a late copy brings nothing here, and nothing there.
-    let (_, back) = a.give_back(3_000, 0).expect("a loan");
-    b.hear(4_000, 0, &back, 0);
-    a.hear(5_000, 1, &grants[0], 0);
-    assert_eq!((a.holdings().borrowed_free, b.holdings().lent, b.hear(5_000, 0, &ask, 0)), (0, 0, None));
+    // After the loan was returned, a late duplicate opens no loan on either side.
+    let (_, returned) = a.return_loan(3_000, 0).expect("a loan");
+    b.handle(4_000, 0, &returned, 0);
+    a.handle(5_000, 1, &grants[0], 0);
+    assert_eq!(
+        (a.holdings().borrowed_free, b.holdings().lent, b.handle(5_000, 0, &request, 0)),
+        (0, 0, None)
+    );
     assert_eq!(b.holdings().free, 4);
 }
 
 #[test]
-fn terms_that_cannot_hold_are_turned_down() {
-    assert!(TERMS.check().is_ok());
+fn invalid_config_is_rejected() {
+    assert!(CONFIG.check().is_ok());
     let wrong = [
-        Terms { window: 0, ..TERMS },
-        Terms { lease: S / 20, ..TERMS },
-        Terms { drift_ppm: 200_000, ..TERMS },
+        EscrowConfig { window: 0, ..CONFIG },
+        EscrowConfig { lease: S / 20, ..CONFIG },
+        EscrowConfig { drift_ppm: 200_000, ..CONFIG },
     ];
-    assert!(wrong.iter().all(|terms| terms.check().is_err()));
+    assert!(wrong.iter().all(|config| config.check().is_err()));
 }
 
-/// Guards against units out of order: spent, the one that a restarted home may spend went behind those that are barred
-/// until the lease of the process before is over, and was not found again until then.
+/// Guards against an unsorted list of units: after a restart, the unlendable unit was filed behind the units
+/// withheld until the previous process's loans expire once it had been spent, so it could not be spent again
+/// before then.
 #[test]
-fn what_a_home_never_lends_is_spent_in_each_window_after_a_restart() {
+fn unlendable_units_are_spent_in_each_window_after_a_restart() {
     let share = Share::new(BUDGET, 5, 1);
-    let mut hand = Escrow::new(TERMS, BUDGET, share, 0, 2, 0, false);
-    let spent: Vec<_> = (0..3 * S).step_by(50_000).filter(|now| hand.spend(*now)).collect();
+    let mut escrow = Escrow::new(CONFIG, BUDGET, share, 0, 2, 0, false);
+    let spent: Vec<_> = (0..3 * S).step_by(50_000).filter(|now| escrow.spend(*now)).collect();
     assert_eq!(spent, [S, 2 * S]);
-    // Then all five, once a window each.
-    let spent = (3 * S..6 * S).step_by(50_000).filter(|now| hand.spend(*now)).count();
+    // From then on all five units, each once per window.
+    let spent = (3 * S..6 * S).step_by(50_000).filter(|now| escrow.spend(*now)).count();
     assert!(spent > 10, "{spent}");
 }
--- a/crates/call/src/shared.rs
+++ b/crates/call/src/shared.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeMap;
 
 use baydrift::interface::{Micros, ServerId};
-use baydrift_budget::{BudgetId, Escrow, Holdings, Seeker, Seeking, Share, Terms, Word};
+use baydrift_budget::{
+    Borrower, BorrowerConfig, BudgetId, BudgetMessage, Escrow, EscrowConfig, Holdings, Share,
+};
 
 /// The window of the budgets' usual terms: so many set-ups a second are so many units.
 const WINDOW: Micros = 1_000_000;
@@ -34,7 +36,7 @@
 #[derive(Debug)]
 struct Hand {
     escrow: Escrow,
-    seeker: Seeker,
+    seeker: Borrower,
     /// What the module was told last.
     told: Option<Told>,
 }
@@ -88,8 +90,9 @@
             let budget = BudgetId(server);
             let share = Share::new(budget, units, fronts);
             // Whatever its process before this one did of it is over before this one does.
-            let escrow = Escrow::new(Terms::default(), budget, share, ordinal, incarnation, now, false);
-            Hand { escrow, seeker: Seeker::new(Seeking::default(), share, ordinal), told: None }
+            let escrow =
+                Escrow::new(EscrowConfig::default(), budget, share, ordinal, incarnation, now, false);
+            Hand { escrow, seeker: Borrower::new(BorrowerConfig::default(), share, ordinal), told: None }
         })
     }
 
@@ -100,11 +103,11 @@
 
     /// A word of another front: what to answer, if anything.
     pub(crate) fn hear(&mut self, now: Micros, from: u32, word: &[u8]) -> Option<Vec<u8>> {
-        let word = Word::read(word).ok()?;
+        let word = BudgetMessage::decode(word).ok()?;
         // Hands are of servers that this front knows: others' words make none.
         let hand = self.hands.get_mut(&word.budget().0)?;
         let reserve = hand.seeker.reserve(now, &hand.escrow);
-        hand.escrow.hear(now, from, &word, reserve).map(|answer| answer.write())
+        hand.escrow.handle(now, from, &word, reserve).map(|answer| answer.encode())
     }
 
     /// Time passes: what to say, to whom, and what the module is to know. `servers` are all that this front knows, each with
@@ -124,11 +127,11 @@
         let mut beat = Beat::default();
         for (server, ready, cold) in servers {
             let Hand { escrow, seeker, told } = self.hand(now, *server);
-            seeker.demands(now, if *ready && *cold { each } else { 0.0 }, escrow);
-            let said = seeker.words(now, escrow, &may_live);
-            beat.words.extend(said.into_iter().map(|(to, word)| (to, word.write())));
+            seeker.set_demand(now, if *ready && *cold { each } else { 0.0 }, escrow);
+            let said = seeker.poll(now, escrow, &may_live);
+            beat.words.extend(said.into_iter().map(|(to, word)| (to, word.encode())));
             // A process that starts is a new server to the module: it is told anew.
-            let tells = Told { here: escrow.holdings().here(), ready: *ready, cold: *cold };
+            let tells = Told { here: escrow.holdings().spendable(), ready: *ready, cold: *cold };
             if *told != Some(tells) {
                 *told = Some(tells);
                 beat.shares.push((*server, f64::from(tells.here) * 1e6 / WINDOW as f64));
--- a/crates/cli/src/budgets.rs
+++ b/crates/cli/src/budgets.rs
@@ -3,7 +3,7 @@
 use std::process::ExitCode;
 use std::sync::{Mutex, PoisonError};
 
-use baydrift_budget::{Seeking, Terms};
+use baydrift_budget::{BorrowerConfig, EscrowConfig};
 use baydrift_emulator::{
     drawn_troubles, share_budget, BudgetSharing, BudgetSpec, BudgetTally, BudgetTrouble, WaySpec,
 };
@@ -46,8 +46,8 @@
     seeds: Option<u64>,
 }
 
-fn terms(args: &Args) -> Terms {
-    Terms { lease: args.lease_ms * 1_000, ..Terms::default() }
+fn terms(args: &Args) -> EscrowConfig {
+    EscrowConfig { lease: args.lease_ms * 1_000, ..EscrowConfig::default() }
 }
 
 fn spec(args: &Args, seed: u64, sharing: BudgetSharing) -> BudgetSpec {
@@ -68,7 +68,7 @@
         fronts: args.fronts,
         units: args.units,
         terms: terms(args),
-        seeking: Seeking::default(),
+        seeking: BorrowerConfig::default(),
         way: WaySpec {
             delay: 2_000,
             jitter: 3_000,
--- a/crates/emulator/src/budgets.rs
+++ b/crates/emulator/src/budgets.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeSet, VecDeque};
 
 use baydrift::interface::Micros;
-use baydrift_budget::{BudgetId, Escrow, Seeker, Seeking, Share, Terms, Word};
+use baydrift_budget::{Borrower, BorrowerConfig, BudgetId, BudgetMessage, Escrow, EscrowConfig, Share};
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp};
 use rand_pcg::Pcg64Mcg;
@@ -48,9 +48,9 @@
     /// Units of the budget.
     pub units: u32,
     /// What all agree on.
-    pub terms: Terms,
+    pub terms: EscrowConfig,
     /// How a front seeks units.
-    pub seeking: Seeking,
+    pub seeking: BorrowerConfig,
     /// Ways between fronts.
     pub way: WaySpec,
     /// How it is shared.
@@ -119,7 +119,7 @@
     ahead: i64,
     /// It ran when the budget began.
     since_before: bool,
-    hand: Option<(Escrow, Seeker)>,
+    hand: Option<(Escrow, Borrower)>,
     /// When its own units are free, where shares are fixed or believed.
     part: VecDeque<Micros>,
     heard: Vec<Micros>,
@@ -250,7 +250,7 @@
             return;
         }
         let hand = Escrow::new(spec.terms, BUDGET, share, front, incarnation, clock, at.since_before);
-        at.hand = Some((hand, Seeker::new(spec.seeking, share, front)));
+        at.hand = Some((hand, Borrower::new(spec.seeking, share, front)));
         let process = at.process;
         let beat = self.rng.random_range(0..BEAT);
         self.queue.at(self.queue.now() + beat, Event::Wakes(front, process));
@@ -305,7 +305,7 @@
         let spent = match self.spec.sharing {
             BudgetSharing::Escrow => {
                 let spent = hand.spend(clock);
-                seeker.wanted(clock, spent, hand);
+                seeker.record_demand(clock, spent, hand);
                 spent
             }
             BudgetSharing::KnowsAll => {
@@ -358,8 +358,8 @@
             BudgetSharing::Escrow => {
                 let at = &mut self.fronts[front as usize];
                 let Some((hand, seeker)) = at.hand.as_mut() else { return };
-                for (to, word) in seeker.words(clock, hand, |_| true) {
-                    self.say(front, to, Said::Word(word.write()));
+                for (to, word) in seeker.poll(clock, hand, |_| true) {
+                    self.say(front, to, Said::Word(word.encode()));
                 }
             }
             BudgetSharing::Believed if now / SAYS != (now + BEAT) / SAYS => {
@@ -399,10 +399,13 @@
         match said {
             Said::Lives => at.heard[from as usize] = now,
             Said::Word(bytes) => {
-                let (Ok(word), Some((hand, seeker))) = (Word::read(bytes), at.hand.as_mut()) else { return };
+                let (Ok(word), Some((hand, seeker))) = (BudgetMessage::decode(bytes), at.hand.as_mut())
+                else {
+                    return;
+                };
                 let reserve = seeker.reserve(clock, hand);
-                if let Some(answer) = hand.hear(clock, from, &word, reserve) {
-                    self.say(to, from, Said::Word(answer.write()));
+                if let Some(answer) = hand.handle(clock, from, &word, reserve) {
+                    self.say(to, from, Said::Word(answer.encode()));
                 }
             }
         }
--- a/crates/emulator/tests/budgets.rs
+++ b/crates/emulator/tests/budgets.rs
@@ -1,6 +1,6 @@
 //! A budget of a fleet in virtual time: the hard cases, each by itself, and what lending is worth.
 
-use baydrift_budget::{Seeking, Terms};
+use baydrift_budget::{BorrowerConfig, EscrowConfig};
 use baydrift_emulator::{drawn_troubles, share_budget, BudgetSharing, BudgetSpec, BudgetTrouble, WaySpec};
 
 const S: u64 = 1_000_000;
@@ -11,8 +11,8 @@
     BudgetSpec {
         fronts: 60,
         units: 30,
-        terms: Terms { window: S, lease: LEASE, step_most: S / 10, drift_ppm: 200 },
-        seeking: Seeking { every: S / 10, at_once: 3 },
+        terms: EscrowConfig { window: S, lease: LEASE, max_step: S / 10, drift_ppm: 200 },
+        seeking: BorrowerConfig { interval: S / 10, fan_out: 3 },
         way: WaySpec { delay: 2_000, jitter: 3_000, lost: 0.05, doubled: 0.02, reordered: 0.02, rate: 0 },
         sharing,
         wanted: (0..60).map(|front| if front % 10 == 0 { 9.0 } else { 0.11 }).collect(),
--- a/crates/front/src/admin.rs
+++ b/crates/front/src/admin.rs
@@ -128,10 +128,10 @@
     let budgets = desk.holdings().map(|(server, has)| {
         json!({
             "server": server,
-            "here": has.here(),
+            "here": has.spendable(),
             "free": has.free,
             "spent": has.spent,
-            "barred": has.barred,
+            "barred": has.withheld,
             "lent": has.lent,
             "borrowed": has.borrowed_free + has.borrowed_spent,
         })
