--- a/crates/call/src/engine.rs
+++ b/crates/call/src/engine.rs
@@ -10,7 +10,7 @@
     ServerState, Settings, SettingsError,
 };
 use baydrift::Controller;
-use baydrift_fleet::Lives;
+use baydrift_fleet::Membership;
 
 use crate::guard::{Before, Breach, Guard};
 use crate::held::{Attempt, Held, Phase, Stage, WAITING_MAX};
@@ -151,7 +151,7 @@
     /// What cold servers may be sent, where the fleet shares it.
     shared: Option<Shared>,
     /// Who of the fleet lives.
-    lives: Option<Lives>,
+    lives: Option<Membership>,
     calls: BTreeMap<CallId, Held<P>>,
     sessions: BTreeMap<Session, CallId>,
     attempts: BTreeMap<AttemptId, Attempt>,
--- a/crates/call/src/engine/fleet.rs
+++ b/crates/call/src/engine/fleet.rs
@@ -2,7 +2,7 @@
 
 use baydrift::interface::{Event, Micros, ServerId};
 use baydrift_budget::Holdings;
-use baydrift_fleet::{Lives, Spec as LivesSpec, Terms as LivesTerms};
+use baydrift_fleet::{LocalFront as LivesSpec, Membership, MembershipConfig as LivesTerms};
 
 use super::Engine;
 use crate::shared::{Beat, Shared, Sharing, BEAT};
@@ -30,7 +30,7 @@
     pub(super) fn share(&mut self, out: &mut Vec<Output<P>>) {
         let Some(shared) = self.shared.as_mut() else { return };
         let lives = self.lives.as_ref();
-        let may_live = |ordinal| lives.is_none_or(|lives| lives.may_live(ordinal));
+        let may_live = |ordinal| lives.is_none_or(|lives| lives.may_be_alive(ordinal));
         let Beat { words, shares } = shared.beat(self.now, &self.pool.temperatures(self.now), may_live);
         out.extend(words.iter().map(|(to, word)| tell(BUDGETS, *to, word)));
         self.events.extend(shares.into_iter().map(|(server, per_s)| Event::Share { server, per_s }));
@@ -39,12 +39,12 @@
 
     /// The fleet's fronts tell each other who lives.
     pub fn learns_who_lives(&mut self, spec: LivesSpec) {
-        self.lives = Some(Lives::new(LivesTerms::default(), spec, self.now));
+        self.lives = Some(Membership::new(LivesTerms::default(), spec, self.now));
         self.timers.set(self.now, Timer::Lives);
     }
 
     /// Who of the fleet is believed alive, where fronts tell.
-    pub fn lives(&self) -> Option<&Lives> {
+    pub fn lives(&self) -> Option<&Membership> {
         self.lives.as_ref()
     }
 
@@ -61,14 +61,14 @@
     }
 
     fn say_who_lives(&mut self, out: &mut Vec<Output<P>>) {
-        let words = self.lives.as_mut().map(|lives| lives.beat(self.now)).unwrap_or_default();
+        let words = self.lives.as_mut().map(|lives| lives.poll(self.now)).unwrap_or_default();
         out.extend(words.iter().map(|(to, word)| tell(LIVES, *to, word)));
     }
 
     /// A word on who lives: what is answered leaves at once, since a probe waits for it.
     fn hear_lives(&mut self, from: u32, word: &[u8], out: &mut Vec<Output<P>>) {
         let Some(lives) = self.lives.as_mut() else { return };
-        match lives.hear(self.now, from, word) {
+        match lives.handle(self.now, from, word) {
             Ok(()) => self.say_who_lives(out),
             Err(fault) => out.push(Output::Log(format!("a word of front {from} on who lives: {fault}"))),
         }
--- a/crates/cli/src/lives.rs
+++ b/crates/cli/src/lives.rs
@@ -4,7 +4,7 @@
 use std::sync::{Mutex, PoisonError};
 
 use baydrift_emulator::{drawn_lives, who_lives, LivesSpec, LivesTally, LivesTrouble, WaySpec};
-use baydrift_fleet::Terms;
+use baydrift_fleet::MembershipConfig;
 
 use crate::seeds::on_all_cores;
 
@@ -39,7 +39,7 @@
 fn spec(args: &Args, seed: u64, troubles: Vec<(u64, u32, LivesTrouble)>) -> LivesSpec {
     LivesSpec {
         fronts: args.fronts,
-        terms: Terms::default(),
+        terms: MembershipConfig::default(),
         way: WaySpec {
             delay: 2_000,
             jitter: 10_000,
--- a/crates/desk/src/desk.rs
+++ b/crates/desk/src/desk.rs
@@ -318,7 +318,7 @@
         }
         if fleet.is_some_and(|fleet| fleet.lives) {
             let (incarnation, seed) = (boot.state_id, boot.incarnation);
-            engine.learns_who_lives(baydrift_fleet::Spec { ordinal, fronts, incarnation, seed });
+            engine.learns_who_lives(baydrift_fleet::LocalFront { ordinal, fronts, incarnation, seed });
         }
         let trunk = TrunkSide::new(config);
         for (link, owner) in trunk.links() {
@@ -473,7 +473,7 @@
     }
 
     /// Who of the fleet is believed alive, where the settings let fronts tell.
-    pub fn lives(&self) -> Option<&baydrift_fleet::Lives> {
+    pub fn lives(&self) -> Option<&baydrift_fleet::Membership> {
         self.engine.lives()
     }
 
--- a/crates/emulator/src/lives.rs
+++ b/crates/emulator/src/lives.rs
@@ -2,7 +2,7 @@
 //! two, or have clocks that were set back. What each believes is held against what is so.
 
 use baydrift::interface::Micros;
-use baydrift_fleet::{Lives, Spec, Terms};
+use baydrift_fleet::{LocalFront, Membership, MembershipConfig};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -30,7 +30,7 @@
     /// Fronts by the settings.
     pub fronts: u32,
     /// Its times.
-    pub terms: Terms,
+    pub terms: MembershipConfig,
     /// Ways between fronts.
     pub way: WaySpec,
     /// For so long.
@@ -86,7 +86,7 @@
 
 struct Front {
     process: u32,
-    lives: Option<Lives>,
+    lives: Option<Membership>,
     stopped_until: Micros,
     deaf_until: Micros,
     mute_until: Micros,
@@ -145,7 +145,7 @@
                 if now < at.stopped_until {
                     return self.queue.at(at.stopped_until, Event::Wakes(front, process));
                 }
-                let words = lives.beat(now);
+                let words = lives.poll(now);
                 let wake = lives.next_wake().clamp(now + 1_000, now + BEAT);
                 self.queue.at(wake, Event::Wakes(front, process));
                 words.into_iter().for_each(|(to, word)| self.say(front, to, word));
@@ -158,8 +158,8 @@
                     return self.queue.at(later, Event::Arrives(from, to, word));
                 }
                 if let Some(lives) = at.lives.as_mut().filter(|_| now >= at.deaf_until) {
-                    self.tally.faults += u64::from(lives.hear(now, from, &word).is_err());
-                    let words = lives.beat(now);
+                    self.tally.faults += u64::from(lives.handle(now, from, &word).is_err());
+                    let words = lives.poll(now);
                     words.into_iter().for_each(|(next, word)| self.say(to, next, word));
                 }
             }
@@ -184,14 +184,14 @@
     fn starts(&mut self, front: u32, off: i32) {
         let now = self.queue.now();
         let tenths = TENTHS + (now / 100_000) as u32;
-        let spec = Spec {
+        let spec = LocalFront {
             ordinal: front,
             fronts: self.spec.fronts,
             incarnation: tenths.saturating_add_signed(off),
             seed: self.rng.random(),
         };
         let at = &mut self.fronts[front as usize];
-        at.lives = Some(Lives::new(self.spec.terms, spec, now));
+        at.lives = Some(Membership::new(self.spec.terms, spec, now));
         self.queue.at(now, Event::Wakes(front, at.process));
     }
 
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,18 +1,24 @@
-//! Which fronts of a fleet live, as far as one of them can know.
+//! Membership of a fleet: which fronts are alive, as seen by one of them.
 //!
-//! The fleet's fronts are known from the start, by their ordinals; who of them lives is learnt. SWIM (probes of members
-//! drawn by chance, suspicion, news that ride on the probes) is [`foca`]'s; here is what a fleet of fronts adds to it:
+//! The fronts of a fleet are configured by ordinal; which of them are alive is detected at run time. [`foca`]
+//! implements SWIM (random probes, suspicion, and updates piggybacked on probes). This crate adds what a
+//! fleet of fronts needs beyond that:
 //!
-//! - an [`Member`]'s incarnation, new with each process, of which older ones' words change nothing;
-//! - a wire that takes no member which is not the fleet's, no incarnation out of reach, and no more than 256 bytes;
-//! - joining, where all others may be down, and again after a cut of any length;
-//! - a process that stood still, which [learns first](View::learns) and believes nobody dead of its own standstill;
-//! - a [`View`] that never is a bare number: it tells how old the newest word is and whether it may be relied on.
+//! - the incarnation of a [`Member`], new with each process, so that messages of earlier processes have no
+//!   effect;
+//! - a wire format that rejects unknown members and implausible incarnations, and stays within 256 bytes a
+//!   datagram;
+//! - joining while all other fronts may be down, and rejoining after a network partition of any duration;
+//! - detection of stalls of the local process, which then reports itself as [learning](View::learning) and
+//!   does not declare other members down because of its own stall;
+//! - a [`View`] that states how old its information is and whether it can be relied on, beside the number of
+//!   members.
 //!
-//! No I/O, clock, thread or chance but seeded: `hear` and `beat` take the time and give words for others.
+//! Nothing here does I/O, reads a clock or starts a thread, and all randomness is seeded:
+//! [`Membership::handle`] and [`Membership::poll`] take the time and produce the datagrams to send.
 
-mod lives;
+mod membership;
 mod wire;
 
-pub use lives::{Lives, Spec, Terms, View};
-pub use wire::{Fault, Member, DATAGRAM_MAX};
+pub use membership::{LocalFront, Membership, MembershipConfig, View};
+pub use wire::{DatagramError, Member, MAX_DATAGRAM_BYTES};
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -1,22 +1,25 @@
-//! What fronts write to each other of who lives: foca's messages by postcard, each checked before it counts.
+//! Wire format of membership datagrams: foca's messages encoded by postcard, with members validated on
+//! decoding.
 
 use bytes::{Buf, BufMut};
 use foca::{Codec, Header, Identity, PostcardCodec};
 use serde::{Deserialize, Serialize};
 
-/// Bytes of a datagram at most; one for the kind of message is the carrier's.
-pub const DATAGRAM_MAX: usize = 255;
-/// An incarnation so far ahead of this process's own is noise: ten days of the tenths of a second that they count.
-const AHEAD_MAX: u32 = 10 * 24 * 3_600 * 10;
-/// A process that finds itself outbid, since its clock was set back, takes a number so much higher: a minute.
-const RENEWED: u32 = 600;
+/// Maximum length of a datagram. The transport prepends one byte for the type of message.
+pub const MAX_DATAGRAM_BYTES: usize = 255;
+/// Maximum lead of a plausible incarnation over this process's own: ten days, in tenths of a second.
+const MAX_INCARNATION_LEAD: u32 = 10 * 24 * 3_600 * 10;
+/// Increment, in tenths of a second, by which a process renews its incarnation after it has met a higher one
+/// of its own front, which happens when its clock was set back: one minute.
+const RENEWAL_INCREMENT: u32 = 600;
 
 /// One process of a front.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Member {
-    /// Which front.
+    /// Ordinal of the front in its fleet.
     pub ordinal: u32,
-    /// Higher with each start, as far as its clock allows; a process that meets a higher one of its own outbids it.
+    /// Start time of the process in tenths of a second, so that it increases with each start unless the clock
+    /// was set back. A process that meets a higher incarnation of its own front renews its own to exceed it.
     pub incarnation: u32,
 }
 
@@ -24,7 +27,7 @@
     type Addr = u32;
 
     fn renew(&self) -> Option<Self> {
-        let incarnation = self.incarnation.checked_add(RENEWED)?;
+        let incarnation = self.incarnation.checked_add(RENEWAL_INCREMENT)?;
         Some(Self { incarnation, ..*self })
     }
 
@@ -37,67 +40,72 @@
     }
 }
 
-/// Why a datagram changed nothing.
+/// Why a datagram was rejected.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Fault {
-    /// It cannot be read, or is longer than any.
-    #[error("it cannot be read")]
-    Unreadable,
-    /// It names a front that the fleet does not have.
-    #[error("it names front {0}, which the fleet does not have")]
-    Stranger(u32),
-    /// It names an incarnation that no process can have.
-    #[error("it names incarnation {0}, out of reach")]
-    Ahead(u32),
-    /// It does not say what its sender's address says.
-    #[error("it says it comes from front {0}")]
-    Sender(u32),
+pub enum DatagramError {
+    /// The datagram is malformed or too long.
+    #[error("malformed membership datagram")]
+    Malformed,
+    /// It names an ordinal that the fleet does not have.
+    #[error("unknown front {0}: the fleet has no such ordinal")]
+    UnknownOrdinal(u32),
+    /// It names an incarnation too far ahead of this process's own.
+    #[error("implausible incarnation {0}: too far ahead of this process")]
+    IncarnationTooHigh(u32),
+    /// The front named as its sender is not the one at its source address.
+    #[error("sender mismatch: the datagram names front {0}")]
+    SenderMismatch(u32),
 }
 
-/// foca's codec, behind checks.
+/// foca's postcard codec with validation of members.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Wire {
+pub(crate) struct ValidatingCodec {
     fronts: u32,
-    /// Incarnations beyond it are noise.
-    most: u32,
+    max_incarnation: u32,
 }
 
-impl Wire {
-    pub(crate) fn new(fronts: u32, own: u32) -> Self {
-        Self { fronts, most: own.saturating_add(AHEAD_MAX) }
+impl ValidatingCodec {
+    pub(crate) fn new(fronts: u32, own_incarnation: u32) -> Self {
+        Self { fronts, max_incarnation: own_incarnation.saturating_add(MAX_INCARNATION_LEAD) }
     }
 
-    fn check(&self, member: &Member) -> Result<(), Fault> {
+    fn check(&self, member: &Member) -> Result<(), DatagramError> {
         if member.ordinal >= self.fronts {
-            return Err(Fault::Stranger(member.ordinal));
+            return Err(DatagramError::UnknownOrdinal(member.ordinal));
         }
-        if member.incarnation > self.most {
-            return Err(Fault::Ahead(member.incarnation));
+        if member.incarnation > self.max_incarnation {
+            return Err(DatagramError::IncarnationTooHigh(member.incarnation));
         }
         Ok(())
     }
 }
 
-impl Codec<Member> for Wire {
-    type Error = Fault;
+impl Codec<Member> for ValidatingCodec {
+    type Error = DatagramError;
 
-    fn encode_header(&mut self, header: &Header<Member>, buf: impl BufMut) -> Result<(), Fault> {
-        PostcardCodec.encode_header(header, buf).map_err(|_| Fault::Unreadable)
+    fn encode_header(&mut self, header: &Header<Member>, buf: impl BufMut) -> Result<(), DatagramError> {
+        PostcardCodec.encode_header(header, buf).map_err(|_| DatagramError::Malformed)
     }
 
-    fn decode_header(&mut self, buf: impl Buf) -> Result<Header<Member>, Fault> {
-        let header: Header<Member> = PostcardCodec.decode_header(buf).map_err(|_| Fault::Unreadable)?;
+    fn decode_header(&mut self, buf: impl Buf) -> Result<Header<Member>, DatagramError> {
+        let header: Header<Member> =
+            PostcardCodec.decode_header(buf).map_err(|_| DatagramError::Malformed)?;
         self.check(&header.src)?;
         self.check(&header.dst)?;
         Ok(header)
     }
 
-    fn encode_member(&mut self, member: &foca::Member<Member>, buf: impl BufMut) -> Result<(), Fault> {
-        PostcardCodec.encode_member(member, buf).map_err(|_| Fault::Unreadable)
+    fn encode_member(
+        &mut self,
+        member: &foca::Member<Member>,
+        buf: impl BufMut,
+    ) -> Result<(), DatagramError> {
+        PostcardCodec.encode_member(member, buf).map_err(|_| DatagramError::Malformed)
     }
 
-    fn decode_member(&mut self, buf: impl Buf) -> Result<foca::Member<Member>, Fault> {
-        let member: foca::Member<Member> = PostcardCodec.decode_member(buf).map_err(|_| Fault::Unreadable)?;
+    fn decode_member(&mut self, buf: impl Buf) -> Result<foca::Member<Member>, DatagramError> {
+        let member: foca::Member<Member> =
+            PostcardCodec.decode_member(buf).map_err(|_| DatagramError::Malformed)?;
         self.check(member.id())?;
         Ok(member)
     }
--- a/crates/front/src/admin.rs
+++ b/crates/front/src/admin.rs
@@ -105,7 +105,7 @@
 /// Who of the fleet is believed alive, how far that may be relied on, and what this front has of each shared budget.
 pub(crate) fn fleet(desk: &Desk, now: Micros) -> Value {
     let lives = desk.lives().map(|lives| {
-        let (view, own) = (lives.view(now), lives.own());
+        let (view, own) = (lives.view(now), lives.local_member());
         let members = lives.members().map(|(member, alive, since)| {
             json!({
                 "ordinal": member.ordinal,
@@ -118,10 +118,10 @@
             "ordinal": own.ordinal,
             "incarnation": own.incarnation,
             "alive": view.alive,
-            "of": view.of,
+            "of": view.total,
             "known": view.known,
             "age_ms": view.age.map(|age| age / 1_000),
-            "learns": view.learns,
+            "learns": view.learning,
             "members": members.collect::<Vec<_>>(),
         })
     });
