--- a/crates/desk/src/commands.rs
+++ b/crates/desk/src/commands.rs
@@ -6,7 +6,7 @@
 use baydrift_call::{Final, Input, LinkId, Offer, ReleaseResult, Request, Said, Session};
 use baydrift_diameter::credit::{self, Ccr, Ends, RequestType};
 use baydrift_diameter::{dict, Avp, Fault};
-use baydrift_exchange::{Do, Heard, Turn};
+use baydrift_exchange::{ExchangeAction, ExchangeInput, QueueDecision};
 use baydrift_h248::{
     code, parse, ActionReply, Body, Command, CommandKind, Context, ErrorDescriptor, Item, Message, ReplyBody,
     Style, Transaction,
@@ -99,42 +99,44 @@
         let mut dos = Vec::new();
         let actions = match transaction {
             Transaction::Request { id, actions } => {
-                client.exchange.heard(now, Heard::Request(id), &mut dos);
+                client.exchange.handle(now, ExchangeInput::Request(id), &mut dos);
                 actions
             }
             Transaction::Reply { id, immediate_ack, .. } => {
-                client.exchange.heard(now, Heard::Reply { id, immediate_ack }, &mut dos);
+                client.exchange.handle(now, ExchangeInput::Reply { id, immediate_ack }, &mut dos);
                 Vec::new()
             }
             Transaction::Pending(id) => {
-                client.exchange.heard(now, Heard::Pending(id), &mut dos);
+                client.exchange.handle(now, ExchangeInput::Pending(id), &mut dos);
                 Vec::new()
             }
             Transaction::Ack(ranges) => {
-                client.exchange.heard(now, Heard::Ack(ranges), &mut dos);
+                client.exchange.handle(now, ExchangeInput::Ack(ranges), &mut dos);
                 Vec::new()
             }
         };
         let mut actions = Some(actions);
         for what in dos {
             match what {
-                Do::Execute(id) => self.begin(now, link, id, actions.take().unwrap_or_default(), out),
+                ExchangeAction::Execute(id) => {
+                    self.begin(now, link, id, actions.take().unwrap_or_default(), out)
+                }
                 what => self.text_do(now, link, what, out),
             }
         }
     }
 
-    fn text_do(&mut self, now: Micros, link: LinkId, what: Do, out: &mut Vec<DeskOutput>) {
+    fn text_do(&mut self, now: Micros, link: LinkId, what: ExchangeAction, out: &mut Vec<DeskOutput>) {
         let text = match what {
-            Do::Send(text) => text,
-            Do::Pending(id) => self.text.message(Transaction::Pending(id)).into(),
-            Do::Ack(id) => self.text.message(Transaction::Ack(vec![(id, id)])).into(),
-            Do::Refuse(id) => {
+            ExchangeAction::Send(text) => text,
+            ExchangeAction::Pending(id) => self.text.message(Transaction::Pending(id)).into(),
+            ExchangeAction::Ack(id) => self.text.message(Transaction::Ack(vec![(id, id)])).into(),
+            ExchangeAction::Refuse(id) => {
                 let error = ErrorDescriptor::new(code::INSUFFICIENT_RESOURCES, "too many transactions");
                 self.text.reply(id, false, ReplyBody::Error(error))
             }
-            Do::Lost(_) => return self.text_gone(now, link, out),
-            Do::Execute(_) | Do::Delivered(_) => return,
+            ExchangeAction::Lost(_) => return self.text_gone(now, link, out),
+            ExchangeAction::Execute(_) | ExchangeAction::Delivered(_) => return,
         };
         out.push(DeskOutput::Text { link, text });
     }
@@ -145,7 +147,7 @@
             .text
             .clients
             .iter()
-            .filter(|(_, client)| client.exchange.due().is_some_and(|at| at <= now))
+            .filter(|(_, client)| client.exchange.next_wake().is_some_and(|at| at <= now))
             .map(|(link, _)| *link)
             .collect();
         let left =
@@ -185,13 +187,13 @@
         actions: Vec<baydrift_h248::Action>,
         out: &mut Vec<DeskOutput>,
     ) {
-        let (turn, _) = self.text.turns.ask(&link, (link, id));
-        if turn == Turn::Refused {
+        let (turn, _) = self.text.turns.submit(&link, (link, id));
+        if turn == QueueDecision::Refused {
             let error = ErrorDescriptor::new(code::INSUFFICIENT_RESOURCES, "too many transactions wait");
             return self.answer_transaction(now, link, id, None, ReplyBody::Error(error), out);
         }
         self.text.jobs.insert((link, id), Job::new(link, actions, now));
-        if turn == Turn::Runs {
+        if turn == QueueDecision::Run {
             self.text.steps.push_back(Step::Run(link, id));
         }
     }
@@ -253,7 +255,7 @@
             _ => None,
         };
         self.answer_transaction(now, link, id, again_for, ReplyBody::Actions(job.replies), out);
-        if let Some((_, (link, id))) = self.text.turns.done(&job.link) {
+        if let Some((_, (link, id))) = self.text.turns.finish(&job.link) {
             self.text.steps.push_back(Step::Run(link, id));
         }
     }
@@ -270,7 +272,7 @@
         let text = self.text.reply(id, again_for.is_some(), body);
         let mut dos = Vec::new();
         if let Some(client) = self.text.clients.get_mut(&link) {
-            client.exchange.answer(now, id, text, again_for.unwrap_or(0), &mut dos);
+            client.exchange.reply(now, id, text, again_for.unwrap_or(0), &mut dos);
         }
         dos.into_iter().for_each(|what| self.text_do(now, link, what, out));
     }
@@ -537,7 +539,7 @@
             (client.registered, client.leaving, client.leaves_at) = (!leaves, false, None);
             client.overload = None;
             // Its ids start anew: an old reply must not answer a new request.
-            client.exchange.restart(id);
+            client.exchange.peer_restarted(id);
             let job = self.text.jobs.remove(&(link, id));
             self.text.forget_work(link);
             self.text.jobs.extend(job.map(|job| ((link, id), job)));
--- a/crates/desk/src/desk.rs
+++ b/crates/desk/src/desk.rs
@@ -442,8 +442,12 @@
 
     /// When [`DeskInput::Tick`] is wanted at the latest.
     pub fn next_wake(&self) -> Option<Micros> {
-        let text =
-            self.text.clients.values().flat_map(|client| [client.exchange.due(), client.leaves_at]).flatten();
+        let text = self
+            .text
+            .clients
+            .values()
+            .flat_map(|client| [client.exchange.next_wake(), client.leaves_at])
+            .flatten();
         self.engine.next_wake().into_iter().chain(text).chain(self.trunk.next_wake()).min()
     }
 
--- a/crates/desk/src/text.rs
+++ b/crates/desk/src/text.rs
@@ -9,7 +9,7 @@
 use baydrift::interface::Micros;
 use baydrift_call::{Final, LinkId, ReleaseResult, Request, Session};
 use baydrift_config::Config;
-use baydrift_exchange::{Exchange, Ids, Settings, Turns};
+use baydrift_exchange::{Exchange, FairQueue, IdAllocator, Settings};
 use baydrift_h248::{
     code, Action, ActionReply, Command, CommandKind, CommandReply, Context, ErrorDescriptor, Item, Message,
     ReplyBody, Style, Transaction,
@@ -93,8 +93,8 @@
     pub(crate) jobs: BTreeMap<(LinkId, u32), Job>,
     pub(crate) waiting: BTreeMap<Request, (LinkId, u32)>,
     pub(crate) contexts: BTreeMap<(LinkId, u32), Entry>,
-    pub(crate) ids: Ids,
-    pub(crate) turns: Turns<LinkId, (LinkId, u32)>,
+    pub(crate) ids: IdAllocator,
+    pub(crate) turns: FairQueue<LinkId, (LinkId, u32)>,
     pub(crate) steps: VecDeque<Step>,
     pub(crate) seed: u64,
 }
@@ -109,8 +109,8 @@
             jobs: BTreeMap::new(),
             waiting: BTreeMap::new(),
             contexts: BTreeMap::new(),
-            ids: Ids::after(0),
-            turns: Turns::new(TURNS.0, TURNS.1),
+            ids: IdAllocator::after(0),
+            turns: FairQueue::new(TURNS.0, TURNS.1),
             steps: VecDeque::new(),
             seed,
         }
@@ -217,13 +217,13 @@
 
     /// A client restarted: what it had asked for is of no use to it.
     pub(crate) fn forget_work(&mut self, link: LinkId) {
-        let waited = self.turns.forget(&link);
+        let waited = self.turns.remove_queued(&link);
         let jobs: Vec<_> = self.jobs.keys().copied().filter(|key| key.0 == link).collect();
         for key in jobs {
             self.jobs.remove(&key);
             // What only waited holds no turn.
             let ran = !waited.contains(&key);
-            if let Some((_, (link, id))) = ran.then(|| self.turns.done(&link)).flatten() {
+            if let Some((_, (link, id))) = ran.then(|| self.turns.finish(&link)).flatten() {
                 self.steps.push_back(Step::Run(link, id));
             }
         }
--- a/crates/emulator/src/text.rs
+++ b/crates/emulator/src/text.rs
@@ -5,7 +5,7 @@
 
 use baydrift::interface::Micros;
 use baydrift_audit::Moment;
-use baydrift_exchange::{Do, Exchange, Heard, Settings};
+use baydrift_exchange::{Exchange, ExchangeAction, ExchangeInput, Settings};
 use baydrift_h248::code::BEFORE_SERVICE_CHANGE;
 use baydrift_h248::{parse, Body, ReplyBody, Transaction};
 use rand::{Rng, SeedableRng};
@@ -88,7 +88,12 @@
     /// Callers that register with their first tick; `seed` draws everything.
     pub fn new(spec: TextSpec, offers: Offers, seed: u64) -> Self {
         // The client gives a set-up up by itself: its transaction is repeated for as long as that takes.
-        let settings = Settings { sends: 64, lost_after: 0, longest_repeat: REPEAT, ..Settings::default() };
+        let settings = Settings {
+            lost_after_sends: 64,
+            lost_after: 0,
+            max_retransmit_interval: REPEAT,
+            ..Settings::default()
+        };
         Self {
             agenda: Agenda::new(spec.flows.len()),
             exchange: Exchange::new(settings, seed),
@@ -118,7 +123,7 @@
             return now;
         }
         let calls = if self.registered { self.agenda.wake() } else { Micros::MAX };
-        calls.min(self.exchange.due().unwrap_or(Micros::MAX)).min(now.saturating_add(LOOK))
+        calls.min(self.exchange.next_wake().unwrap_or(Micros::MAX)).min(now.saturating_add(LOOK))
     }
 
     /// A datagram came.
@@ -154,20 +159,20 @@
         self.carry(dos, out);
     }
 
-    fn carry(&mut self, dos: Vec<Do>, out: &mut Vec<TextOutput>) {
+    fn carry(&mut self, dos: Vec<ExchangeAction>, out: &mut Vec<TextOutput>) {
         for what in dos {
             match what {
-                Do::Send(text) => out.push(TextOutput::Send(text)),
-                Do::Ack(id) => {
+                ExchangeAction::Send(text) => out.push(TextOutput::Send(text)),
+                ExchangeAction::Ack(id) => {
                     out.push(TextOutput::Send(format!("!/1 {} K{{{id}}}", self.spec.mid).into()));
                 }
-                Do::Lost(id) => drop(self.asked.remove(&id)),
+                ExchangeAction::Lost(id) => drop(self.asked.remove(&id)),
                 _ => {}
             }
         }
     }
 
-    fn act(&mut self, now: Micros, dos: &mut Vec<Do>, out: &mut Vec<TextOutput>) {
+    fn act(&mut self, now: Micros, dos: &mut Vec<ExchangeAction>, out: &mut Vec<TextOutput>) {
         let Offers { factor, flood, heeds, .. } = self.offers;
         if now >= self.throttled_at + STEP {
             self.throttled_at = now;
@@ -200,7 +205,7 @@
         }
     }
 
-    fn release(&mut self, now: Micros, context: u32, dos: &mut Vec<Do>) {
+    fn release(&mut self, now: Micros, context: u32, dos: &mut Vec<ExchangeAction>) {
         let mid = &self.spec.mid;
         let text = |id| format!("!/1 {mid} T={id}{{C={context}{{S=trunk/{context}}}}}");
         if let Some(id) = self.exchange.send(now, text, dos) {
@@ -216,7 +221,7 @@
         first: Option<String>,
         tries: u32,
         choice: usize,
-        dos: &mut Vec<Do>,
+        dos: &mut Vec<ExchangeAction>,
         out: &mut Vec<TextOutput>,
     ) {
         self.count += 1;
@@ -255,7 +260,7 @@
         if std::mem::take(waits) {
             out.push(TextOutput::Record(Moment::GiveUp { front, call: name.clone() }));
             // Guards against a set-up by a front's later process, which cannot know that its caller left.
-            self.exchange.quiet(now, id);
+            self.exchange.abandon(now, id);
             let first = first.clone().unwrap_or_else(|| name.clone());
             let (flow, tries, choice) = (*flow, *tries, *choice);
             self.redial(now, flow, first, tries, choice);
@@ -271,7 +276,13 @@
     }
 
     /// Takes a datagram; whether it was the answer to the registration.
-    fn heard(&mut self, now: Micros, text: &str, dos: &mut Vec<Do>, out: &mut Vec<TextOutput>) -> bool {
+    fn heard(
+        &mut self,
+        now: Micros,
+        text: &str,
+        dos: &mut Vec<ExchangeAction>,
+        out: &mut Vec<TextOutput>,
+    ) -> bool {
         let Ok(message) = parse(text) else { return false };
         let Body::Transactions(all) = message.body else { return false };
         let mut registered = false;
@@ -279,18 +290,18 @@
             match transaction {
                 Transaction::Reply { id, immediate_ack, body } => {
                     let before = dos.len();
-                    self.exchange.heard(now, Heard::Reply { id, immediate_ack }, dos);
-                    let first = dos[before..].contains(&Do::Delivered(id));
+                    self.exchange.handle(now, ExchangeInput::Reply { id, immediate_ack }, dos);
+                    let first = dos[before..].contains(&ExchangeAction::Delivered(id));
                     if first {
                         registered |= self.replied(now, id, &body, dos, out);
                     }
                 }
-                Transaction::Pending(id) => self.exchange.heard(now, Heard::Pending(id), dos),
-                Transaction::Ack(ranges) => self.exchange.heard(now, Heard::Ack(ranges), dos),
+                Transaction::Pending(id) => self.exchange.handle(now, ExchangeInput::Pending(id), dos),
+                Transaction::Ack(ranges) => self.exchange.handle(now, ExchangeInput::Ack(ranges), dos),
                 Transaction::Request { id, actions } => {
                     let before = dos.len();
-                    self.exchange.heard(now, Heard::Request(id), dos);
-                    if dos[before..].contains(&Do::Execute(id)) {
+                    self.exchange.handle(now, ExchangeInput::Request(id), dos);
+                    if dos[before..].contains(&ExchangeAction::Execute(id)) {
                         let mut notified =
                             actions.iter().flat_map(|a| &a.commands).flat_map(|c| &c.descriptors);
                         if notified.any(|d| d.find("ocp/mg_overload", "").is_some()) {
@@ -306,7 +317,7 @@
                             }
                         }
                         let reply = format!("!/1 {} P={id}{{C=-{{N=ROOT}}}}", self.spec.mid);
-                        self.exchange.answer(now, id, reply.into(), 0, dos);
+                        self.exchange.reply(now, id, reply.into(), 0, dos);
                     }
                 }
             }
@@ -319,7 +330,7 @@
         now: Micros,
         id: u32,
         body: &ReplyBody,
-        dos: &mut Vec<Do>,
+        dos: &mut Vec<ExchangeAction>,
         out: &mut Vec<TextOutput>,
     ) -> bool {
         let (call, flow, first, tries, choice, waits) = match self.asked.remove(&id) {
--- a/crates/exchange/src/receive.rs
+++ b/crates/exchange/src/receive.rs
@@ -1,21 +1,22 @@
-//! Requests of the other end, each executed at most once.
+//! Requests of the peer, each executed at most once.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 use baydrift::interface::Micros;
 
-use crate::{Counts, Do, Settings};
+use crate::{Counts, ExchangeAction, Settings};
 
-/// Where a request is.
+/// State of a request.
 #[derive(Debug)]
 enum Stage {
-    /// Being executed; pendings sent so far, and when the next is due.
+    /// Being executed; the number of pendings sent, and when the next is due.
     Executing { pendings: u32, next: Micros },
-    /// Answered; the reply is kept for repeats until `until`. Where its acknowledgement was asked for, it is said
-    /// again by itself at `next`, after `wait` and then after doubling times, up to `last`.
-    Answered { reply: Arc<str>, until: Micros, next: Micros, wait: Micros, last: Micros },
-    /// Answered, and the reply arrived: only the id is kept, so that a late copy of the request does nothing.
+    /// Answered; the reply is kept for duplicates of the request until `until`. If its acknowledgement was
+    /// requested, it is retransmitted at `next`; `interval` doubles each time, and no retransmission is later
+    /// than `last`.
+    Answered { reply: Arc<str>, until: Micros, next: Micros, interval: Micros, last: Micros },
+    /// The reply was acknowledged; only the id is kept, so that a late duplicate of the request is ignored.
     Acknowledged { until: Micros },
 }
 
@@ -23,7 +24,7 @@
 pub(crate) struct Receiver {
     settings: Settings,
     known: BTreeMap<u32, Stage>,
-    /// What is due when: pendings and ends of LONG-TIMER.
+    /// Timers of all known requests: pendings, retransmissions of replies, and the end of LONG-TIMER.
     due: BTreeSet<(Micros, u32)>,
 }
 
@@ -36,77 +37,84 @@
         self.settings.reliable
     }
 
-    pub(crate) fn request(&mut self, now: Micros, id: u32, counts: &mut Counts, out: &mut Vec<Do>) {
+    pub(crate) fn request(
+        &mut self,
+        now: Micros,
+        id: u32,
+        counts: &mut Counts,
+        out: &mut Vec<ExchangeAction>,
+    ) {
         self.expire(now);
         match self.known.get_mut(&id) {
             Some(Stage::Executing { pendings, next }) => {
-                counts.repeats += 1;
-                // A repeat is told at once, but no faster than it could have been repeated for good reason:
-                // guards against a sender that doubles its datagrams.
-                if !self.settings.reliable && *pendings < self.settings.pendings {
+                counts.duplicates += 1;
+                // A duplicate is answered with a pending at once, and the limit on pendings also guards
+                // against a peer that duplicates its datagrams.
+                if !self.settings.reliable && *pendings < self.settings.max_pendings {
                     *pendings += 1;
                     counts.pendings += 1;
                     self.due.remove(&(*next, id));
-                    *next = now.saturating_add(self.settings.execution);
+                    *next = now.saturating_add(self.settings.execution_time);
                     self.due.insert((*next, id));
-                    out.push(Do::Pending(id));
+                    out.push(ExchangeAction::Pending(id));
                 }
             }
             Some(Stage::Answered { reply, .. }) => {
-                counts.repeats += 1;
-                counts.said_again += 1;
-                out.push(Do::Send(reply.clone()));
+                counts.duplicates += 1;
+                counts.replies_resent += 1;
+                out.push(ExchangeAction::Send(reply.clone()));
             }
-            Some(Stage::Acknowledged { .. }) => counts.repeats += 1,
-            None => self.first(now, id, counts, out),
+            Some(Stage::Acknowledged { .. }) => counts.duplicates += 1,
+            None => self.new_request(now, id, counts, out),
         }
     }
 
-    fn first(&mut self, now: Micros, id: u32, counts: &mut Counts, out: &mut Vec<Do>) {
-        if self.known.len() >= self.settings.known && !self.forget_one() {
+    fn new_request(&mut self, now: Micros, id: u32, counts: &mut Counts, out: &mut Vec<ExchangeAction>) {
+        if self.known.len() >= self.settings.max_known_requests && !self.evict_one() {
             counts.refused += 1;
-            return out.push(Do::Refuse(id));
+            return out.push(ExchangeAction::Refuse(id));
         }
-        let next = now.saturating_add(self.settings.execution);
+        let next = now.saturating_add(self.settings.execution_time);
         self.known.insert(id, Stage::Executing { pendings: 0, next });
         self.due.insert((next, id));
         counts.executed += 1;
-        out.push(Do::Execute(id));
+        out.push(ExchangeAction::Execute(id));
     }
 
-    /// Makes room: of what is only remembered, the one that would be forgotten first goes. A request that is
-    /// executed is never forgotten, and a reply that was not acknowledged only when it is over.
-    fn forget_one(&mut self) -> bool {
-        let gone =
+    /// Evicts the acknowledged request that would expire first. A request being executed is never evicted,
+    /// and an unacknowledged reply only goes when it expires.
+    fn evict_one(&mut self) -> bool {
+        let evicted =
             self.due.iter().find(|(_, id)| matches!(self.known.get(id), Some(Stage::Acknowledged { .. })));
-        let Some(key) = gone.copied() else { return false };
+        let Some(key) = evicted.copied() else { return false };
         self.due.remove(&key);
         self.known.remove(&key.1);
         true
     }
 
-    pub(crate) fn answer(
+    pub(crate) fn reply(
         &mut self,
         now: Micros,
         id: u32,
         reply: Arc<str>,
-        again_for: Micros,
-        out: &mut Vec<Do>,
+        retransmit_for: Micros,
+        out: &mut Vec<ExchangeAction>,
     ) {
         let Some(stage) = self.known.get_mut(&id) else { return };
         let Stage::Executing { next, .. } = stage else { return };
         self.due.remove(&(*next, id));
         let until = now.saturating_add(self.settings.long_timer);
-        let again_for = if self.settings.reliable { 0 } else { again_for };
-        let last = now.saturating_add(again_for).min(until);
-        let wait = self.settings.first_repeat.min(self.settings.longest_reply_repeat);
-        let next = next_copy(now, wait, last, until);
-        *stage = Stage::Answered { reply: reply.clone(), until, next, wait, last };
+        let retransmit_for = if self.settings.reliable { 0 } else { retransmit_for };
+        let last = now.saturating_add(retransmit_for).min(until);
+        let interval =
+            self.settings.initial_retransmit_interval.min(self.settings.max_reply_retransmit_interval);
+        let next = next_retransmission(now, interval, last, until);
+        *stage = Stage::Answered { reply: reply.clone(), until, next, interval, last };
         self.due.insert((next, id));
-        out.push(Do::Send(reply));
+        out.push(ExchangeAction::Send(reply));
     }
 
-    /// Replies arrived. Ranges may span billions of ids: only those that are known are looked at.
+    /// Handles acknowledged replies. A range may span billions of ids, so only known requests are visited.
     pub(crate) fn acknowledged(&mut self, ranges: &[(u32, u32)], counts: &mut Counts) {
         for (from, to) in ranges {
             if from > to {
@@ -117,7 +125,7 @@
             for (id, stage) in self.known.range_mut(from..=to) {
                 if let Stage::Answered { until, next, .. } = stage {
                     any = true;
-                    // LONG-TIMER runs on from the answer: copies of the request may still be under way.
+                    // LONG-TIMER still counts from the reply: duplicates of the request may be in transit.
                     self.due.remove(&(*next, *id));
                     self.due.insert((*until, *id));
                     *stage = Stage::Acknowledged { until: *until };
@@ -134,37 +142,37 @@
                     self.known.remove(&id);
                     self.due.remove(&(at, id));
                 }
-                // Not over yet: the next tick's affair.
+                // Another timer is due, which the next tick handles.
                 _ => return,
             }
         }
     }
 
-    pub(crate) fn due(&self) -> Option<Micros> {
+    pub(crate) fn next_wake(&self) -> Option<Micros> {
         self.due.first().map(|(at, _)| *at)
     }
 
-    pub(crate) fn tick(&mut self, now: Micros, counts: &mut Counts, out: &mut Vec<Do>) {
+    pub(crate) fn tick(&mut self, now: Micros, counts: &mut Counts, out: &mut Vec<ExchangeAction>) {
         while let Some((at, id)) = self.due.first().copied().filter(|(at, _)| *at <= now) {
             self.due.remove(&(at, id));
             match self.known.get_mut(&id) {
                 Some(Stage::Executing { pendings, next }) => {
-                    if *pendings < self.settings.pendings {
+                    if *pendings < self.settings.max_pendings {
                         *pendings += 1;
                         counts.pendings += 1;
-                        *next = now.saturating_add(self.settings.execution);
+                        *next = now.saturating_add(self.settings.execution_time);
                         self.due.insert((*next, id));
-                        out.push(Do::Pending(id));
+                        out.push(ExchangeAction::Pending(id));
                     } else {
                         *next = Micros::MAX;
                     }
                 }
-                Some(Stage::Answered { reply, until, next, wait, last }) if *until > now => {
-                    *wait = wait.saturating_mul(2).min(self.settings.longest_reply_repeat);
-                    *next = next_copy(now, *wait, *last, *until);
+                Some(Stage::Answered { reply, until, next, interval, last }) if *until > now => {
+                    *interval = interval.saturating_mul(2).min(self.settings.max_reply_retransmit_interval);
+                    *next = next_retransmission(now, *interval, *last, *until);
                     self.due.insert((*next, id));
-                    counts.said_again += 1;
-                    out.push(Do::Send(reply.clone()));
+                    counts.replies_resent += 1;
+                    out.push(ExchangeAction::Send(reply.clone()));
                 }
                 Some(Stage::Answered { .. } | Stage::Acknowledged { .. }) => {
                     self.known.remove(&id);
@@ -174,7 +182,7 @@
         }
     }
 
-    pub(crate) fn clear_but(&mut self, keep: u32) {
+    pub(crate) fn clear_except(&mut self, keep: u32) {
         self.known.retain(|id, _| *id == keep);
         self.due.retain(|(_, id)| *id == keep);
     }
@@ -184,9 +192,9 @@
     }
 }
 
-/// When a reply is said again by itself; at `until`, when it is forgotten, once `last` is over.
-fn next_copy(now: Micros, wait: Micros, last: Micros, until: Micros) -> Micros {
-    let next = now.saturating_add(wait);
+/// When a reply is due for retransmission, or `until`, when it expires, if that would be later than `last`.
+fn next_retransmission(now: Micros, interval: Micros, last: Micros, until: Micros) -> Micros {
+    let next = now.saturating_add(interval);
     if next <= last {
         next
     } else {
