--- a/crates/call/src/budgets.rs
+++ b/crates/call/src/budgets.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeMap;
 
 use baydrift::interface::{Micros, ServerId};
-use baydrift_budget::{BudgetId, Escrow, Holdings, Seeker, Seeking, Share, Terms, Word};
+use baydrift_budget::{
+    Borrower, BorrowerConfig, BudgetId, BudgetMessage, Escrow, EscrowConfig, Holdings, Share,
+};
 
 /// Window of the default budget terms: one unit is one set-up per window.
 const WINDOW: Micros = 1_000_000;
@@ -36,7 +38,7 @@
 #[derive(Debug)]
 struct ServerBudget {
     escrow: Escrow,
-    borrower: Seeker,
+    borrower: Borrower,
     /// The latest report to the policy.
     reported: Option<ReportedShare>,
 }
@@ -92,8 +94,13 @@
             let share = Share::new(budget, units, fronts);
             // `false`: a previous process may have spent or lent units, which are withheld until that has
             // expired.
-            let escrow = Escrow::new(Terms::default(), budget, share, ordinal, incarnation, now, false);
-            ServerBudget { escrow, borrower: Seeker::new(Seeking::default(), share, ordinal), reported: None }
+            let escrow =
+                Escrow::new(EscrowConfig::default(), budget, share, ordinal, incarnation, now, false);
+            ServerBudget {
+                escrow,
+                borrower: Borrower::new(BorrowerConfig::default(), share, ordinal),
+                reported: None,
+            }
         })
     }
 
@@ -104,11 +111,11 @@
 
     /// Handles a message of another front; returns the reply, if any.
     pub(crate) fn handle(&mut self, now: Micros, from: u32, message: &[u8]) -> Option<Vec<u8>> {
-        let message = Word::read(message).ok()?;
+        let message = BudgetMessage::decode(message).ok()?;
         // Messages of other fronts create no budgets: only those of servers in this front's pool exist.
         let budget = self.budgets.get_mut(&message.budget().0)?;
         let reserve = budget.borrower.reserve(now, &budget.escrow);
-        budget.escrow.hear(now, from, &message, reserve).map(|reply| reply.write())
+        budget.escrow.handle(now, from, &message, reserve).map(|reply| reply.encode())
     }
 
     /// Advances time; returns messages to other fronts and changed shares. `servers` are all servers in the
@@ -129,11 +136,11 @@
         let mut update = BudgetUpdate::default();
         for (server, ready, cold) in servers {
             let ServerBudget { escrow, borrower, reported } = self.budget(now, *server);
-            borrower.demands(now, if *ready && *cold { per_server } else { 0.0 }, escrow);
-            let messages = borrower.words(now, escrow, &may_live);
-            update.messages.extend(messages.into_iter().map(|(to, message)| (to, message.write())));
+            borrower.set_demand(now, if *ready && *cold { per_server } else { 0.0 }, escrow);
+            let messages = borrower.poll(now, escrow, &may_live);
+            update.messages.extend(messages.into_iter().map(|(to, message)| (to, message.encode())));
             // A restarted process is a new server to the policy, so its share is reported again.
-            let share = ReportedShare { here: escrow.holdings().here(), ready: *ready, cold: *cold };
+            let share = ReportedShare { here: escrow.holdings().spendable(), ready: *ready, cold: *cold };
             if *reported != Some(share) {
                 *reported = Some(share);
                 update.shares.push((*server, f64::from(share.here) * 1e6 / WINDOW as f64));
--- a/crates/call/src/engine.rs
+++ b/crates/call/src/engine.rs
@@ -10,7 +10,7 @@
     ServerState, Settings, SettingsError,
 };
 use baydrift::Controller;
-use baydrift_fleet::Lives;
+use baydrift_fleet::Membership;
 
 use crate::active::{ActiveCall, Attempt, Phase, Stage, MAX_WAITING_REQUESTS};
 use crate::answer_cache::AnswerCache;
@@ -153,7 +153,7 @@
     /// Budgets of cold servers, if the fleet shares them.
     budgets: Option<SharedBudgets>,
     /// Membership of the fleet, if enabled.
-    membership: Option<Lives>,
+    membership: Option<Membership>,
     calls: BTreeMap<CallId, ActiveCall<P>>,
     sessions: BTreeMap<Session, CallId>,
     attempts: BTreeMap<AttemptId, Attempt>,
--- a/crates/call/src/engine/fleet.rs
+++ b/crates/call/src/engine/fleet.rs
@@ -2,7 +2,7 @@
 
 use baydrift::interface::{Event, Micros, ServerId};
 use baydrift_budget::Holdings;
-use baydrift_fleet::{Lives, Spec as MembershipSpec, Terms as MembershipTerms};
+use baydrift_fleet::{LocalFront as MembershipSpec, Membership, MembershipConfig as MembershipTerms};
 
 use super::Engine;
 use crate::budgets::{BudgetSharing, BudgetUpdate, SharedBudgets, UPDATE_INTERVAL};
@@ -31,7 +31,7 @@
     pub(super) fn update_budgets(&mut self, out: &mut Vec<Output<P>>) {
         let Some(budgets) = self.budgets.as_mut() else { return };
         let membership = self.membership.as_ref();
-        let may_live = |ordinal| membership.is_none_or(|membership| membership.may_live(ordinal));
+        let may_live = |ordinal| membership.is_none_or(|membership| membership.may_be_alive(ordinal));
         let BudgetUpdate { messages, shares } =
             budgets.update(self.now, &self.pool.warm_up_states(self.now), may_live);
         out.extend(messages.iter().map(|(to, body)| message(BUDGET_MESSAGE, *to, body)));
@@ -41,12 +41,12 @@
 
     /// Exchanges membership messages with the other fronts.
     pub fn enable_membership(&mut self, spec: MembershipSpec) {
-        self.membership = Some(Lives::new(MembershipTerms::default(), spec, self.now));
+        self.membership = Some(Membership::new(MembershipTerms::default(), spec, self.now));
         self.timers.set(self.now, Timer::Membership);
     }
 
     /// The fleet's membership as this front sees it, if membership is enabled.
-    pub fn membership(&self) -> Option<&Lives> {
+    pub fn membership(&self) -> Option<&Membership> {
         self.membership.as_ref()
     }
 
@@ -65,14 +65,14 @@
 
     fn send_membership(&mut self, out: &mut Vec<Output<P>>) {
         let messages =
-            self.membership.as_mut().map(|membership| membership.beat(self.now)).unwrap_or_default();
+            self.membership.as_mut().map(|membership| membership.poll(self.now)).unwrap_or_default();
         out.extend(messages.iter().map(|(to, body)| message(MEMBERSHIP_MESSAGE, *to, body)));
     }
 
     /// Handles a membership message. Replies are sent at once, since a probe may wait for them.
     fn handle_membership(&mut self, from: u32, body: &[u8], out: &mut Vec<Output<P>>) {
         let Some(membership) = self.membership.as_mut() else { return };
-        match membership.hear(self.now, from, body) {
+        match membership.handle(self.now, from, body) {
             Ok(()) => self.send_membership(out),
             Err(error) => {
                 out.push(Output::Log(format!("invalid membership message from front {from}: {error}")))
--- a/crates/desk/src/desk.rs
+++ b/crates/desk/src/desk.rs
@@ -323,7 +323,7 @@
         }
         if fleet.is_some_and(|fleet| fleet.lives) {
             let (incarnation, seed) = (boot.state_id, boot.incarnation);
-            engine.enable_membership(baydrift_fleet::Spec { ordinal, fronts, incarnation, seed });
+            engine.enable_membership(baydrift_fleet::LocalFront { ordinal, fronts, incarnation, seed });
         }
         let trunk = TrunkSide::new(config);
         for (link, owner) in trunk.links() {
@@ -447,8 +447,12 @@
 
     /// When [`DeskInput::Tick`] is wanted at the latest.
     pub fn next_wake(&self) -> Option<Micros> {
-        let text =
-            self.text.clients.values().flat_map(|client| [client.exchange.due(), client.leaves_at]).flatten();
+        let text = self
+            .text
+            .clients
+            .values()
+            .flat_map(|client| [client.exchange.next_wake(), client.leaves_at])
+            .flatten();
         self.engine.next_wake().into_iter().chain(text).chain(self.trunk.next_wake()).min()
     }
 
@@ -478,7 +482,7 @@
     }
 
     /// Who of the fleet is believed alive, where the settings let fronts tell.
-    pub fn lives(&self) -> Option<&baydrift_fleet::Lives> {
+    pub fn lives(&self) -> Option<&baydrift_fleet::Membership> {
         self.engine.membership()
     }
 
