--- a/src/bin/baydrift-wirehost/host.rs
+++ b/src/bin/baydrift-wirehost/host.rs
@@ -1,4 +1,4 @@
-//! The instances of one process and the translation between wire records and the library's types.
+//! The controller instances of the process, and the translation between wire records and the library's types.
 
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -9,13 +9,13 @@
 
 use crate::wire::{put_server, Fields, Header, WireError};
 
-/// One front's controller and its site's wording.
+/// One front's controller and its site parameters.
 struct Instance {
     controller: Controller,
     wording: Wording,
 }
 
-/// All instances of the process, and the lists that records refer to.
+/// All instances of the process, and the server lists to which records refer.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u16, Instance>,
@@ -23,7 +23,7 @@
     actions: Vec<Action>,
 }
 
-fn outcome(code: u16, fields: &Fields) -> Result<Outcome, WireError> {
+fn outcome_of(code: u16, fields: &Fields) -> Result<Outcome, WireError> {
     Ok(match code {
         0 => Outcome::Error,
         1 => Outcome::Ok,
@@ -37,8 +37,8 @@
     })
 }
 
-fn note(why: u32) -> Note {
-    match (why & 15, why >> 4) {
+fn note_of(reason: u32) -> Note {
+    match (reason & 15, reason >> 4) {
         (1, _) => Note::NoLine,
         (2, 1) => Note::ProcessorFull(0),
         (3, wait_ms) => Note::ProcessorFull(u64::from(wait_ms) * 1000),
@@ -47,12 +47,12 @@
     }
 }
 
-fn report(fields: &mut Fields, order: &[(String, Field)]) -> Result<Report, WireError> {
+fn read_report(fields: &mut Fields, fields_in_order: &[(String, Field)]) -> Result<Report, WireError> {
     let n = fields.u8("report size")?;
     let mut report = Report::default();
     for i in 0..usize::from(n) {
         let raw = f64::from(fields.f32("report value")?);
-        order.get(i).map_or(Field::Unknown, |(_, field)| *field).put(raw, &mut report);
+        fields_in_order.get(i).map_or(Field::Unknown, |(_, field)| *field).put(raw, &mut report);
     }
     Ok(report)
 }
@@ -62,7 +62,7 @@
 }
 
 impl Host {
-    /// Takes one batch; appends the reply's records and returns their count.
+    /// Processes one batch of records, appends the reply's records and returns their number.
     pub fn batch(
         &mut self,
         header: &Header,
@@ -89,7 +89,7 @@
             let count = fields.u32("list size")?;
             let mut entries = Vec::new();
             for _ in 0..count {
-                entries.push(entry(fields)?);
+                entries.push(read_entry(fields)?);
             }
             self.lists.insert(number, entries);
             return Ok(0);
@@ -106,8 +106,8 @@
             }
             _ => {}
         }
-        let order = self.instances.get(&front).map_or(&[][..], |i| &i.wording.fields);
-        let marks = self.instances.get(&front).is_some_and(|i| i.wording.marks_redials);
+        let fields_in_order = self.instances.get(&front).map_or(&[][..], |i| &i.wording.fields);
+        let marks_redials = self.instances.get(&front).is_some_and(|i| i.wording.marks_redials);
         let event = match code {
             1010 => {
                 let mode = fields.u8("mode")?;
@@ -122,11 +122,11 @@
                 let entries = match (kind, self.lists.get(&set)) {
                     (ListKind::Failed, _) => Vec::new(),
                     (_, Some(entries)) => entries.clone(),
-                    (_, None) => return Err(fields.error(format!("list {set} was never given"))),
+                    (_, None) => return Err(fields.error(format!("list {set} is not defined"))),
                 };
                 Event::List(kind, entries)
             }
-            1020 => inbound(fields, marks)?,
+            1020 => read_call(fields, marks_redials)?,
             1030 => Event::Stands {
                 call: fields.u32("rid")?,
                 attempt: fields.u16("go")?,
@@ -142,11 +142,11 @@
                     call,
                     attempt,
                     server,
-                    outcome: outcome(code, fields)?,
+                    outcome: outcome_of(code, fields)?,
                     lag: config::micros(fields.f64("lag-s")?),
                     complete: fields.u8("complete")? != 0,
-                    note: note(fields.u32("why")?),
-                    report: report(fields, order)?,
+                    note: note_of(fields.u32("why")?),
+                    report: read_report(fields, fields_in_order)?,
                 }
             }
             1050 => Event::Abandoned(fields.u32("rid")?),
@@ -156,9 +156,9 @@
                 let code = fields.u16("rc")?;
                 Event::Probed {
                     server,
-                    outcome: outcome(code, fields)?,
+                    outcome: outcome_of(code, fields)?,
                     lag: config::micros(fields.f64("lag-s")?),
-                    report: report(fields, order)?,
+                    report: read_report(fields, fields_in_order)?,
                 }
             }
             _ => {
@@ -172,8 +172,8 @@
         };
         self.actions.clear();
         let actions = &mut self.actions;
-        let done = catch_unwind(AssertUnwindSafe(|| instance.controller.handle(now, event, actions)));
-        if done.is_err() {
+        let handled = catch_unwind(AssertUnwindSafe(|| instance.controller.handle(now, event, actions)));
+        if handled.is_err() {
             self.instances.remove(&front);
             put_text(reply, 1090, front, "the decision module panicked");
             return Ok(1);
@@ -195,7 +195,7 @@
     }
 }
 
-fn entry(fields: &mut Fields) -> Result<Entry, WireError> {
+fn read_entry(fields: &mut Fields) -> Result<Entry, WireError> {
     let server = fields.server("server")?;
     fields.take(2, "zone and kind")?;
     let number = fields.u16("node-no")?;
@@ -210,7 +210,7 @@
     Ok(Entry { server, number, state, started_at: (started > 0.0).then(|| config::micros(started)) })
 }
 
-fn inbound(fields: &mut Fields, marks: bool) -> Result<Event, WireError> {
+fn read_call(fields: &mut Fields, marks_redials: bool) -> Result<Event, WireError> {
     let id = fields.u32("rid")?;
     let class = usize::from(fields.u16("type")?);
     let tenant = usize::from(fields.u16("party")?);
@@ -228,7 +228,7 @@
         number,
         gives_up_in,
         first_choice,
-        redial: marks.then_some(bits & 2 != 0),
+        redial: marks_redials.then_some(bits & 2 != 0),
         in_transit: bits & 8 != 0,
         was_cut: bits & 16 != 0,
     }))
@@ -236,59 +236,59 @@
 
 fn put_text(out: &mut Vec<u8>, code: u16, front: u16, text: &str) {
     let bytes = &text.as_bytes()[..text.len().min(usize::from(u16::MAX))];
-    head(out, code, front);
+    put_head(out, code, front);
     out.extend_from_slice(&(bytes.len() as u16).to_le_bytes());
     out.extend_from_slice(bytes);
 }
 
-fn head(out: &mut Vec<u8>, code: u16, front: u16) {
+fn put_head(out: &mut Vec<u8>, code: u16, front: u16) {
     out.extend_from_slice(&code.to_le_bytes());
     out.extend_from_slice(&front.to_le_bytes());
 }
 
-fn seconds(out: &mut Vec<u8>, micros: u64) {
+fn put_seconds(out: &mut Vec<u8>, micros: u64) {
     out.extend_from_slice(&(micros as f64 / 1e6).to_le_bytes());
 }
 
 fn put_action(out: &mut Vec<u8>, front: u16, action: &Action) {
     match action {
         Action::Send { call, server, timeout, .. } => {
-            head(out, 1040, front);
+            put_head(out, 1040, front);
             out.extend_from_slice(&call.to_le_bytes());
-            seconds(out, *timeout);
+            put_seconds(out, *timeout);
             put_server(out, *server);
         }
         Action::Refuse { call, retry_after } => {
-            head(out, 1020, front);
+            put_head(out, 1020, front);
             out.extend_from_slice(&call.to_le_bytes());
-            seconds(out, *retry_after);
+            put_seconds(out, *retry_after);
         }
         Action::Fail(call) => {
-            head(out, 1010, front);
+            put_head(out, 1010, front);
             out.extend_from_slice(&call.to_le_bytes());
         }
         Action::Cancel { call, attempt } => {
-            head(out, 1030, front);
+            put_head(out, 1030, front);
             out.extend_from_slice(&call.to_le_bytes());
             out.extend_from_slice(&attempt.to_le_bytes());
         }
         Action::Probe(server) => {
-            head(out, 1080, front);
+            put_head(out, 1080, front);
             put_server(out, *server);
         }
         Action::TellPeer { to, payload } => {
-            head(out, 1070, front);
+            put_head(out, 1070, front);
             out.extend_from_slice(&to.to_le_bytes());
             out.extend_from_slice(&(payload.len() as u16).to_le_bytes());
             out.extend_from_slice(payload);
         }
         Action::Watch => {
-            head(out, 1100, front);
+            put_head(out, 1100, front);
             out.push(1);
         }
         Action::Timer { at, token } => {
-            head(out, 1050, front);
-            seconds(out, *at);
+            put_head(out, 1050, front);
+            put_seconds(out, *at);
             out.extend_from_slice(&token.to_le_bytes());
         }
         Action::Log(text) => put_text(out, 1110, front, text),
--- a/src/bin/baydrift-wirehost/main.rs
+++ b/src/bin/baydrift-wirehost/main.rs
@@ -1,6 +1,7 @@
-//! Hosts decision modules on the simulator's wire: frames in, one reply per frame out.
+//! Adapter that runs decision modules on the simulator's wire protocol: it reads frames from standard input
+//! and writes one reply per frame to standard output.
 //!
-//! Translation only; every decision is the library's.
+//! It only translates; all decisions are made by the library.
 
 #![forbid(unsafe_code)]
 
--- a/src/bin/baydrift-wirehost/wire.rs
+++ b/src/bin/baydrift-wirehost/wire.rs
@@ -1,9 +1,9 @@
-//! Frames and fields: little-endian, unpadded.
+//! Decoding of frames and their fields, which are little-endian and unpadded.
 
 use std::fmt;
 use std::io::{self, Read};
 
-/// What was wrong with the input, and where.
+/// A malformed input, with the frame and the byte offset of the fault.
 #[derive(Debug)]
 pub struct WireError {
     frame: u64,
@@ -12,7 +12,7 @@
 }
 
 impl WireError {
-    /// An error at a byte of a frame.
+    /// Creates an error at a byte offset of a frame.
     pub fn new(frame: u64, offset: usize, what: String) -> Self {
         Self { frame, offset, what }
     }
@@ -24,15 +24,15 @@
     }
 }
 
-/// The head of a batch.
+/// The header of a frame, which carries one batch of records.
 pub struct Header {
-    /// Clock, in seconds.
+    /// The simulator's clock, in seconds.
     pub clock: f64,
-    /// How many records follow.
+    /// Number of records that follow.
     pub records: u32,
 }
 
-/// Reads one frame; `None` when input ends at a frame's edge.
+/// Reads one frame into `body`; `None` if the input ends between two frames.
 pub fn read_frame(
     input: &mut impl Read,
     body: &mut Vec<u8>,
@@ -51,17 +51,17 @@
     }
     let mut fields = Fields::new(&head, frame);
     let clock = fields.f64("clock")?;
-    // The length counts the bytes after its own field, so the record count too.
+    // The length counts the bytes after its own field, and so includes the record count.
     let length = fields.u32("length")? as usize;
     let Some(length) = length.checked_sub(4) else {
         return Err(WireError::new(frame, 8, format!("length {length} leaves no room for the record count")));
     };
     let records = fields.u32("record count")?;
     if !clock.is_finite() || clock < 0.0 {
-        return Err(WireError::new(frame, 0, format!("the clock reads {clock}")));
+        return Err(WireError::new(frame, 0, format!("clock {clock} is not a finite time of at least 0 s")));
     }
     body.clear();
-    // Grows with what arrives, so that a wrong length cannot claim memory up front.
+    // The buffer grows with the received bytes, so that a wrong length cannot allocate memory in advance.
     let got = input.by_ref().take(length as u64).read_to_end(body);
     match got {
         Ok(n) if n == length => Ok(Some(Header { clock, records })),
@@ -70,16 +70,16 @@
     }
 }
 
-/// Takes fields off a byte slice in order.
+/// Reads fields from a byte slice in order.
 pub struct Fields<'a> {
     bytes: &'a [u8],
-    at: usize,
+    offset: usize,
     frame: u64,
 }
 
 macro_rules! number {
     ($name:ident, $type:ty) => {
-        #[doc = "The next field, named for the error message."]
+        #[doc = "Reads the next field; `what` names it in an error."]
         pub fn $name(&mut self, what: &str) -> Result<$type, WireError> {
             let raw = self.take(std::mem::size_of::<$type>(), what)?;
             let mut bytes = [0; std::mem::size_of::<$type>()];
@@ -90,29 +90,29 @@
 }
 
 impl<'a> Fields<'a> {
-    /// Fields of a frame's bytes.
+    /// Creates a reader of a frame's body.
     pub fn new(bytes: &'a [u8], frame: u64) -> Self {
-        Self { bytes, at: 0, frame }
+        Self { bytes, offset: 0, frame }
     }
 
-    /// Whether all is read.
+    /// Whether all bytes have been read.
     pub fn done(&self) -> bool {
-        self.at == self.bytes.len()
+        self.offset == self.bytes.len()
     }
 
-    /// An error at this place.
+    /// Creates an error at the current offset.
     pub fn error(&self, what: String) -> WireError {
-        WireError::new(self.frame, self.at, what)
+        WireError::new(self.frame, self.offset, what)
     }
 
-    /// The next `n` bytes.
+    /// Reads the next `n` bytes; `what` names them in an error.
     pub fn take(&mut self, n: usize, what: &str) -> Result<&'a [u8], WireError> {
-        let end = self.at.checked_add(n).filter(|end| *end <= self.bytes.len());
+        let end = self.offset.checked_add(n).filter(|end| *end <= self.bytes.len());
         let Some(end) = end else {
             return Err(self.error(format!("the frame ends inside '{what}'")));
         };
-        let raw = &self.bytes[self.at..end];
-        self.at = end;
+        let raw = &self.bytes[self.offset..end];
+        self.offset = end;
         Ok(raw)
     }
 
@@ -123,14 +123,14 @@
     number!(f32, f32);
     number!(f64, f64);
 
-    /// A server's address and port, as one opaque number.
+    /// Reads a server's address and port as one opaque number.
     pub fn server(&mut self, what: &str) -> Result<u64, WireError> {
         let raw = self.take(6, what)?;
         Ok(raw.iter().fold(0, |id, byte| (id << 8) | u64::from(*byte)))
     }
 }
 
-/// Appends a server as it was read.
+/// Appends a server in the encoding that [`Fields::server`] reads.
 pub fn put_server(out: &mut Vec<u8>, server: u64) {
     out.extend_from_slice(&server.to_be_bytes()[2..]);
 }
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,34 +1,34 @@
-//! The settings text: JSON into the library's settings. Unknown keys are passed over. The one reader for the
-//! bench's adapter and the front node.
+//! Reads the JSON settings of a site; unknown keys are ignored. Both the bench's adapter and the front node
+//! use this reader.
 
 use crate::interface::{Class, Micros, Repeat, Report, ReportPath, Settings, Tenant};
 use serde::Deserialize;
 
-/// A value of a load report, by its place in the report.
+/// A value of a load report. Records hold these by position, in the order that the settings give.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Field {
-    /// Free lines towards the server.
+    /// Free circuits towards the server.
     Free,
-    /// Lines in all.
+    /// All circuits towards the server.
     Lines,
-    /// Set-ups in work.
+    /// Set-ups in progress.
     InWork,
     /// Set-ups waiting.
     Queue,
-    /// How busy the processor is.
+    /// Utilisation of the processor.
     Busy,
     /// Wait at the processor, in milliseconds.
     WaitMs,
-    /// Set-ups a second that it can take.
+    /// Set-ups a second that the server can accept.
     Rate,
-    /// Share to hold back.
+    /// Fraction by which each sender should reduce its set-ups.
     HoldBack,
-    /// Not known here.
+    /// A field that this module does not use.
     Unknown,
 }
 
 impl Field {
-    /// The field of this name in the settings.
+    /// Looks up a field by its name in the settings.
     fn named(name: &str) -> Self {
         match name {
             "idle" => Self::Free,
@@ -43,7 +43,8 @@
         }
     }
 
-    /// Sets the field in a report. Not told is -1; other negative or non-finite values say nothing either.
+    /// Sets the field in a report. A value of -1 means that it was not reported; other negative and
+    /// non-finite values are treated the same.
     pub fn put(self, value: f64, report: &mut Report) {
         let value = Some(value).filter(|v| v.is_finite() && *v >= 0.0);
         match self {
@@ -181,28 +182,28 @@
     }
 }
 
-/// How this site words its records, and what a front needs beside the module's settings.
+/// Site parameters that are not part of [`Settings`]: the format of its records and limits of the front.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Wording {
-    /// Load report values by place, with their names.
+    /// The values of a load report in the order of its records, with their names.
     pub fields: Vec<(String, Field)>,
-    /// Callers mark that they dial again.
+    /// Whether callers mark redials.
     pub marks_redials: bool,
-    /// The classes' names, in the order of the settings.
+    /// Names of the classes, in the order of [`Settings::classes`].
     pub classes: Vec<String>,
-    /// The customers' names, in the order of the settings.
+    /// Names of the tenants, in the order of [`Settings::tenants`].
     pub tenants: Vec<String>,
-    /// Circuits that a call of each class takes.
+    /// Number of circuits that a call takes, by class.
     pub widths: Vec<f64>,
-    /// Nothing new to a server later than this after a drain was told.
+    /// Longest time after the notice of a drain until new set-ups to that server stop.
     pub grace: Micros,
-    /// A connection that is not up by then has failed; 0 where none is told.
+    /// Time within which a connection must be established; 0 if not configured.
     pub dial_timeout: Micros,
-    /// Calls in set-up at once; 0 where no bound is told.
+    /// Largest number of calls in set-up at once; 0 if not configured.
     pub max_open: u32,
 }
 
-/// Why a settings text cannot be used.
+/// The settings are not valid JSON or lack a required key.
 #[derive(Debug)]
 pub struct ConfigError(serde_json::Error);
 
@@ -214,15 +215,15 @@
 
 impl std::error::Error for ConfigError {}
 
-/// Seconds to whole microseconds; what is negative or not finite becomes 0.
+/// Converts seconds to whole microseconds, rounded; negative values and NaN become 0.
 pub fn micros(seconds: f64) -> u64 {
     (seconds * 1e6).round() as u64
 }
 
-/// Reads the settings and the site's wording.
+/// Reads the settings and the site parameters.
 ///
 /// # Errors
-/// Names the key, line and column at which the text is no JSON or lacks what must be there.
+/// Names the key, line and column if the text is not valid JSON or lacks a required key.
 pub fn read(text: &[u8]) -> Result<(Settings, Wording), ConfigError> {
     let raw: Raw = serde_json::from_slice(text).map_err(ConfigError)?;
     let wording = raw.wording();
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,113 +1,114 @@
 //! The types a front exchanges with the decision module: settings, events and actions.
 //!
-//! They are the module's own, free of any wire format. Nothing here decides anything.
+//! They are independent of any wire format and hold no decision logic.
 
-/// A point in time or a span, in whole microseconds. The origin is the front's own.
+/// A point in time or a time span, in whole microseconds. Each front chooses its own origin.
 pub type Micros = u64;
 
-/// Names one signalling server. Opaque: equal ids mean the same machine, nothing more.
+/// Identifies one signalling server. Opaque: equal ids mean the same machine, nothing more.
 pub type ServerId = u64;
 
-/// Names one call at this front; never used twice.
+/// Identifies one call at this front; never reused.
 pub type CallId = u32;
 
-/// Most bytes of a message between fronts.
+/// Largest size of a message between fronts, in bytes.
 pub const MESSAGE_MAX: usize = 256;
 
-/// What a repeat of a set-up that may have run already would do.
+/// Effect of repeating a set-up that may already have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Repeat {
-    /// Nothing bad: a call may be set up again at will.
+    /// No effect: the call may be set up again at any time.
     Safe,
-    /// Repeats are thrown away by every server within this time of the first send.
+    /// Every server discards repeats within this time of the first send.
     Within(Micros),
-    /// A repeat would take effect twice; also when servers share no memory of repeats.
+    /// A repeat would take effect twice, for example because servers do not share their record of repeats.
     Never,
 }
 
 /// One class of calls.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
-    /// Worth of a call that stands within its aim.
+    /// Value of a call that is established within its target time.
     pub worth: f64,
-    /// Fraction of the worth when it stands later than that.
+    /// Fraction of that value for a call that is established later.
     pub late_worth: f64,
-    /// The call is wanted to stand within this time.
+    /// Target time within which a call should be established.
     pub aim: Micros,
-    /// Its caller keeps trying for so long, counted from the first try.
+    /// How long a caller keeps trying, counted from the first try.
     pub deadline: Micros,
-    /// What repeats do.
+    /// Effect of repeated set-ups.
     pub repeat: Repeat,
-    /// Numbers of the servers that may take the class; `None` means any.
+    /// Numbers of the servers that may take calls of the class; `None` for all servers.
     pub servers: Option<Vec<u16>>,
 }
 
-/// One customer and what is within its share.
+/// One tenant and its quota.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tenant {
-    /// Calls a second, over all fronts, that count in full.
+    /// Calls a second over all fronts that count with their full worth.
     pub quota_per_s: f64,
 }
 
 /// How load reports reach a front.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportPath {
-    /// With answers and probe results.
+    /// With answers to set-ups and with probe results.
     Answers,
-    /// With probe results alone.
+    /// With probe results only.
     Probes,
     /// Not at all.
     None,
 }
 
-/// All that a front tells its controller at start.
+/// The configuration of a controller.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// How many fronts share the servers, this one included.
+    /// Number of fronts that share the servers, this one included.
     pub fronts: u32,
-    /// This front's own place among them, from 0.
+    /// Index of this front among them, from 0.
     pub ordinal: u32,
-    /// This front's own number where it is an exchange: never a target.
+    /// This front's own server number if it is an exchange itself; no call is sent there.
     pub own_number: Option<u16>,
-    /// The classes, in the order that calls name them.
+    /// The classes, indexed by [`Call::class`].
     pub classes: Vec<Class>,
-    /// The customers, in the order that calls name them; may be empty.
+    /// The tenants, indexed by [`Call::tenant`]; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Worth of a call beyond its customer's share, as a fraction.
+    /// Fraction of its worth that a call beyond its tenant's quota keeps.
     pub over_share_worth: f64,
-    /// Attempts that one call may have in all.
+    /// Largest number of attempts of one call.
     pub max_attempts: u32,
     /// Whether attempts may be cancelled.
     pub may_cancel: bool,
     /// Whether servers may be probed.
     pub may_probe: bool,
-    /// Whether fronts may send each other messages.
+    /// Whether fronts may exchange gossip messages.
     pub may_tell_peers: bool,
-    /// Longest stay-away advice that callers are given; 0 where none may be given.
+    /// Longest retry-after time given to callers, in microseconds; 0 if none may be given.
     pub max_retry_after: Micros,
-    /// How load reports arrive.
+    /// How load reports reach this front.
     pub reports: ReportPath,
-    /// Whether the server list must be subscribed to.
+    /// Whether the server list is delivered only on subscription.
     pub subscribe: bool,
-    /// After this, a set-up that waits is repeated by the transport; 0 for never.
+    /// Time after which the transport retransmits an unanswered set-up; 0 for never.
     pub resend_after: Micros,
-    /// Time that must pass after a time-out, reset or cancel before a call is sent again.
+    /// Time that must pass after a timeout, reset or cancel before the call is sent again, so that the
+    /// earlier attempt is released first.
     pub release_guard: Micros,
-    /// A cold server starts at this fraction of its capacity or above.
+    /// Least fraction of its capacity with which a cold server starts.
     pub cold_from: f64,
-    /// A cold server is warm after this time at most.
+    /// Longest time until a cold server has warmed up.
     pub ramp_time: Micros,
-    /// A cold server sent more than this multiple of its capacity ...
+    /// Multiple of its current capacity above which a cold server fails, if the load lasts for `fall_time`.
     pub fall_multiple: f64,
-    /// ... for this long falls over.
+    /// How long a load above `fall_multiple` must last for a cold server to fail.
     pub fall_time: Micros,
 }
 
 impl Settings {
-    /// Whether the figures are such that a controller can work with them.
+    /// Validates the settings.
     ///
     /// # Errors
-    /// Names the first figure that is out of its range.
+    /// Names the first setting that is out of its range.
     pub fn check(&self) -> Result<(), SettingsError> {
         let sane = |v: f64| v.is_finite() && v >= 0.0;
         let counts = [
@@ -120,10 +121,10 @@
         }
         let ranges = [
             ("a class's worth", self.classes.iter().all(|c| sane(c.worth) && sane(c.late_worth))),
-            ("a customer's quota", self.tenants.iter().all(|t| sane(t.quota_per_s))),
-            ("the worth over a share", sane(self.over_share_worth)),
-            ("the cold start's fraction", (0.0..=1.0).contains(&self.cold_from)),
-            ("the cold start's multiple", sane(self.fall_multiple)),
+            ("a tenant's quota", self.tenants.iter().all(|t| sane(t.quota_per_s))),
+            ("the over-share worth", sane(self.over_share_worth)),
+            ("the cold-start fraction", (0.0..=1.0).contains(&self.cold_from)),
+            ("the cold-start multiple", sane(self.fall_multiple)),
         ];
         match ranges.iter().find(|(_, good)| !good) {
             Some((what, _)) => Err(SettingsError::OutOfRange(what)),
@@ -132,12 +133,12 @@
     }
 }
 
-/// Why settings cannot be used.
+/// Reports invalid settings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SettingsError {
-    /// A count that must be at least one is nought.
+    /// A count that must be at least 1 is 0.
     Zero(&'static str),
-    /// A figure is negative, not finite or out of its range.
+    /// A value is negative, not finite or out of its range.
     OutOfRange(&'static str),
 }
 
@@ -152,257 +153,258 @@
 
 impl std::error::Error for SettingsError {}
 
-/// A server's state as the list tells it.
+/// A server's state in the server list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum ServerState {
-    /// Takes calls.
+    /// Accepts calls.
     #[default]
     Ready,
-    /// Finishes what it has; nothing new goes there.
+    /// Completes its calls and receives no new ones.
     Draining,
-    /// No longer there.
+    /// Removed.
     Gone,
 }
 
-/// One line of the server list.
+/// One entry of the server list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Entry {
     /// The server.
     pub server: ServerId,
-    /// Its number among the servers; calls name their first choice by it.
+    /// Its server number, to which [`Call::first_choice`] refers.
     pub number: u16,
     /// Its state.
     pub state: ServerState,
-    /// When its process last started; `None` when long ago.
+    /// When its process last started; `None` if that is long ago.
     pub started_at: Option<Micros>,
 }
 
-/// How to read a list event.
+/// Meaning of the entries in a list event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListKind {
-    /// Changed lines only.
+    /// Only the changed entries.
     Delta,
-    /// The whole list: what it lacks is gone.
+    /// The complete list: servers missing from it are gone.
     Full,
-    /// A subscription or request failed; the old list holds.
+    /// A subscription or request failed; the previous list remains valid.
     Failed,
 }
 
-/// A load report; each value only where it was told.
+/// A load report of a server; values that were not reported are `None`.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Report {
-    /// Free lines towards the server.
+    /// Free circuits towards the server.
     pub free: Option<f64>,
-    /// Lines in all.
+    /// All circuits towards the server.
     pub lines: Option<f64>,
-    /// Set-ups in work.
+    /// Set-ups in progress.
     pub in_work: Option<f64>,
     /// Set-ups waiting at the processor.
     pub queue: Option<f64>,
-    /// How busy the processor is, 0 to 1.
+    /// Utilisation of the processor, 0 to 1.
     pub busy: Option<f64>,
     /// Wait at the processor, in seconds.
     pub wait_s: Option<f64>,
-    /// New set-ups a second that the server can take from all senders.
+    /// New set-ups a second that the server can accept from all senders together.
     pub rate: Option<f64>,
-    /// Share of new set-ups that each sender is asked to hold back, 0 to 1.
+    /// Fraction by which each sender is asked to reduce its new set-ups, 0 to 1.
     pub hold_back: Option<f64>,
 }
 
 /// How an attempt or a probe ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// The call ended as it should; a probe was answered.
+    /// The call ended normally, or the probe was answered.
     Ok,
     /// The number was busy, or signalling failed.
     Error,
-    /// Turned away: no line, or the processor was full. Never ran.
+    /// Refused for lack of a circuit or because the processor was full. Never ran.
     Full,
-    /// No reply in time; may have run.
+    /// No answer within the timeout; may have run.
     Timeout,
-    /// No connection. Never ran.
+    /// No connection could be established. Never ran.
     ConnectFailed,
-    /// Cut.
+    /// The connection was reset; may have run.
     Reset,
-    /// Called off.
+    /// Cancelled by this front; may have run.
     Cancelled,
-    /// Not sent at all. Never ran.
+    /// Never sent, and so never ran.
     Moot,
 }
 
-/// A further word on an outcome.
+/// Details of an outcome.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Note {
-    /// Nothing further.
+    /// No details.
     None,
-    /// No free line.
+    /// No circuit was free.
     NoLine,
-    /// A server's processor was full; with the wait it names, or 0.
+    /// The server's processor was full; with the wait that it reports, or 0.
     ProcessorFull(Micros),
-    /// Every line of the number dialled is busy.
+    /// Every line of the dialled number is busy.
     NumberBusy,
 }
 
-/// A call as it is handed to the front.
+/// A call as it arrives at the front.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Call {
-    /// Its id.
+    /// Identifier of the call.
     pub id: CallId,
-    /// Index of its class.
+    /// Index of its class in [`Settings::classes`].
     pub class: usize,
-    /// Index of its customer.
+    /// Index of its tenant in [`Settings::tenants`].
     pub tenant: usize,
-    /// The number dialled; 0 for none.
+    /// The dialled number; 0 for none.
     pub number: u64,
-    /// The caller gives this try up after so long.
+    /// Time until the caller abandons this call.
     pub gives_up_in: Micros,
-    /// Number of the server of first choice, or of the destination.
+    /// Number of the preferred server, or of the destination.
     pub first_choice: Option<u16>,
-    /// Whether it is dialled again, where callers mark that.
+    /// Whether the call is a redial; `None` where callers do not mark redials.
     pub redial: Option<bool>,
-    /// In transit: only its destination may take it.
+    /// Whether the call is in transit, so that only its destination may take it.
     pub in_transit: bool,
-    /// It stood, was cut and comes again.
+    /// Whether the call was established, then dropped, and is now being set up again.
     pub was_cut: bool,
 }
 
-/// What a front tells its controller.
+/// Input of a controller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// The server list, or changes to it.
     List(ListKind, Vec<Entry>),
     /// A new call.
     Call(Call),
-    /// A call stands.
+    /// A call was established.
     Stands {
         /// The call.
         call: CallId,
-        /// Which attempt, counted from 0.
+        /// Index of the attempt, from 0.
         attempt: u16,
-        /// At which server.
+        /// The server of the attempt.
         server: ServerId,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         lag: Micros,
     },
-    /// An attempt ended; once for each attempt.
+    /// An attempt ended; reported exactly once for each attempt.
     Ended {
         /// The call.
         call: CallId,
-        /// Which attempt.
+        /// Index of the attempt.
         attempt: u16,
-        /// At which server.
+        /// The server of the attempt.
         server: ServerId,
-        /// How.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         lag: Micros,
-        /// The caller has its final answer already.
+        /// Whether the caller already has its final answer.
         complete: bool,
-        /// A further word.
+        /// Details of the outcome.
         note: Note,
-        /// The load report that came along.
+        /// The load report that came with it.
         report: Report,
     },
-    /// The caller left, or the call is over; nothing is owed for it.
+    /// The caller disconnected or the call is over; no answer is due.
     Abandoned(CallId),
-    /// A probe's result, or news of a server's lines.
+    /// The result of a probe, or an unsolicited load report.
     Probed {
         /// The server.
         server: ServerId,
         /// How the probe ended.
         outcome: Outcome,
-        /// Time since it was sent; 0 when unasked.
+        /// Time since the probe was sent; 0 if unsolicited.
         lag: Micros,
         /// The load report.
         report: Report,
     },
-    /// A message from another front.
+    /// A gossip message from another front.
     Peer {
-        /// Its ordinal.
+        /// Index of that front.
         from: u32,
-        /// What it said.
+        /// The message.
         payload: Vec<u8>,
     },
-    /// What is left to this front of a cold server's budget, where fronts share one: it holds until the next.
+    /// This front's remaining part of a cold server's budget, where fronts share one. Valid until the next.
     Share {
         /// The server.
         server: ServerId,
         /// Set-ups a second.
         per_s: f64,
     },
-    /// A timer that the controller asked for.
+    /// A timer set by [`Action::Timer`] is due; with its token.
     Timer(u64),
 }
 
-/// What a controller believes of one server, for logs.
+/// A controller's view of one server, for logs.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Belief {
     /// The server.
     pub server: ServerId,
     /// Its number.
     pub number: u16,
-    /// Its state as told.
+    /// Its state in the server list.
     pub state: ServerState,
     /// The reject fraction.
     pub alpha: f64,
-    /// Set-ups sent and unanswered.
+    /// Number of set-ups sent and not yet answered.
     pub unanswered: u32,
-    /// The newest load report, and when it was heard; 0 for never.
+    /// The newest load report and the time of its receipt; 0 for never.
     pub report: (Report, Micros),
-    /// The wait last seen by set-up times, in seconds, and when.
+    /// The wait last observed from set-up times, in seconds, and the time of that observation.
     pub seen: (f64, Micros),
-    /// Since when it counts as cold.
+    /// Start of its warm-up.
     pub cold_since: Option<Micros>,
 }
 
-/// What the controller asks of the front.
+/// Output of a controller, to be carried out by the front.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Start an attempt.
     Send {
         /// The call.
         call: CallId,
-        /// Where to.
+        /// The server to send to.
         server: ServerId,
-        /// Give it up after so long.
+        /// Time after which the attempt is abandoned as timed out.
         timeout: Micros,
-        /// Do not begin it later than this, should it have to wait for a connection: it ends as moot then.
+        /// Longest time that the attempt may wait for a connection before it is sent; after that it ends with
+        /// [`Outcome::Moot`].
         begin_within: Micros,
     },
-    /// Final answer: turned away, with advice to stay away so long (0: none).
+    /// Final answer: refused.
     Refuse {
         /// The call.
         call: CallId,
-        /// Stay-away advice.
+        /// Time after which the caller is advised to retry; 0 for no advice.
         retry_after: Micros,
     },
     /// Final answer: failed.
     Fail(CallId),
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The call.
         call: CallId,
-        /// Which attempt.
+        /// Index of the attempt.
         attempt: u16,
     },
     /// Probe a server.
     Probe(ServerId),
-    /// Send a message to another front.
+    /// Send a gossip message to another front.
     TellPeer {
-        /// Its ordinal.
+        /// Index of that front.
         to: u32,
-        /// What to say.
+        /// The message.
         payload: Vec<u8>,
     },
     /// Subscribe to the server list.
     Watch,
     /// Wake the controller at a time, with a token.
     Timer {
-        /// When.
+        /// The wake-up time.
         at: Micros,
         /// Returned with [`Event::Timer`].
         token: u64,
     },
-    /// A line for the log.
+    /// Write a line to the log.
     Log(String),
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,10 @@
-//! baydrift decides, for one front at a network's edge, which of a few central servers a call is
-//! set up at, and which calls are turned away when the servers run short.
+//! Call routing and overload control for one front node at a network's edge: baydrift decides at which of a
+//! few central signalling servers a call is set up, and which calls are refused when the servers are
+//! overloaded.
 //!
-//! A front keeps one [`Controller`]. It hands over what it sees as [`interface::Event`]s with the
-//! time, and carries out the [`interface::Action`]s it gets back. The module does no input or output,
-//! reads no clock and starts no threads; equal events and seed give equal actions.
+//! A front keeps one [`Controller`], passes it its input as [`interface::Event`]s with the current time, and
+//! carries out the [`interface::Action`]s that it returns. The module performs no input or output, reads no
+//! clock and starts no threads; the same events and seed give the same actions.
 //!
 //! ```
 //! use baydrift::interface::*;
@@ -13,7 +14,14 @@
 //!     fronts: 2,
 //!     ordinal: 0,
 //!     own_number: None,
-//!     classes: vec![Class { worth: 1.0, late_worth: 0.2, aim: 2_000_000, deadline: 9_000_000, repeat: Repeat::Safe, servers: None }],
+//!     classes: vec![Class {
+//!         worth: 1.0,
+//!         late_worth: 0.2,
+//!         aim: 2_000_000,
+//!         deadline: 9_000_000,
+//!         repeat: Repeat::Safe,
+//!         servers: None,
+//!     }],
 //!     tenants: vec![],
 //!     over_share_worth: 1.0,
 //!     max_attempts: 4,
@@ -33,9 +41,9 @@
 //! let mut controller = Controller::new(settings, 7)?;
 //! let mut actions = Vec::new();
 //!
-//! // The list comes first; then calls.
-//! let line = |server, number| Entry { server, number, state: ServerState::Ready, started_at: None };
-//! controller.handle(0, Event::List(ListKind::Full, vec![line(11, 0), line(12, 1)]), &mut actions);
+//! // The server list comes first, then calls.
+//! let entry = |server, number| Entry { server, number, state: ServerState::Ready, started_at: None };
+//! controller.handle(0, Event::List(ListKind::Full, vec![entry(11, 0), entry(12, 1)]), &mut actions);
 //! let call = Call {
 //!     id: 1,
 //!     class: 0,
@@ -50,11 +58,13 @@
 //! actions.clear();
 //! controller.handle(10_000, Event::Call(call), &mut actions);
 //!
-//! // A front carries these out on its own signalling stack and timers.
+//! // The front carries the actions out with its own signalling stack and timers.
 //! for action in &actions {
 //!     match action {
-//!         Action::Send { call, server, timeout, .. } => println!("set call {call} up at {server} within {timeout} us"),
-//!         Action::Refuse { call, .. } | Action::Fail(call) => println!("turn call {call} away"),
+//!         Action::Send { call, server, timeout, .. } => {
+//!             println!("set up call {call} at server {server} within {timeout} us")
+//!         }
+//!         Action::Refuse { call, .. } | Action::Fail(call) => println!("refuse call {call}"),
 //!         Action::Timer { at, token } => println!("wake at {at} with {token}"),
 //!         other => println!("{other:?}"),
 //!     }
@@ -66,10 +76,10 @@
 #![forbid(unsafe_code)]
 
 pub mod config;
+mod gossip;
 pub mod interface;
 mod measure;
 mod policy;
 mod state;
-mod word;
 
 pub use policy::Controller;
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,157 +1,172 @@
-//! Every decision of baydrift. The types it takes and gives are in `src/interface.rs`.
+//! All routing and admission decisions of baydrift. Input and output types are in `src/interface.rs`.
 //!
-//! Steps 1 to 5 named below are those of the design page; `docs/design.md` tells what is kept, what
-//! was added and when each addition acts.
+//! Steps 1 to 5 in the comments below are those of the design page, `docs/design.md`, which lists what
+//! the controller keeps of the published algorithm, what it adds and when each addition takes effect.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
+use crate::gossip::{self, LoadHint};
 use crate::interface::*;
-use crate::measure::{chance, lagged, micros, sane, seconds, Meter};
-use crate::state::{Ending, Pending, Server};
-use crate::word::{self, Word};
+use crate::measure::{low_pass_step, micros, seconds, uniform, valid, RateMeter};
+use crate::state::{AttemptEnd, PendingCall, Server};
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
 
-/// Time between loop ticks: well under the age of reports, which is the loop's real delay.
-const TICK: Micros = 50 * MS;
-/// A tick so late means that this front itself stood still.
-const STALLED: Micros = 150 * MS;
-/// s. Lag of the low-pass filter on reported load (the paper's 0.1 s).
-const LOAD_LAG_S: f64 = 0.1;
-/// Set-point of a told utilisation; the most the design allows, since all below it is idle capacity.
-const TARGET_BUSY: f64 = 0.9;
-/// s. Set-point Tq of the wait at a processor: under the 0.5 s at which set-ups are repeated.
+/// Interval of the control loop; well below the age of load reports, which dominates the loop's delay.
+const TICK_INTERVAL: Micros = 50 * MS;
+/// A tick later than this means that this front's own process was stalled.
+const STALL_THRESHOLD: Micros = 150 * MS;
+/// Time constant of the low-pass filter on reported load; the published algorithm uses the same 0.1 s.
+const REPORT_FILTER_S: f64 = 0.1;
+/// Set-point of a reported utilisation. The design allows no more; everything below it is idle capacity.
+const TARGET_UTILISATION: f64 = 0.9;
+/// Set-point Tq of the wait at a processor; below the 0.5 s after which set-ups are retransmitted.
 const TARGET_WAIT_S: f64 = 0.3;
-/// Kpc and Kic (1/s) on a wait or queue error, which is relative to the set-point: crossover of 0.6 rad/s
-/// at a delay of about 0.8 s.
+/// Gains Kpc and Kic (1/s) on a wait or queue error, which is relative to the set-point. They give a
+/// crossover at 0.6 rad/s with a loop delay of about 0.8 s.
 const WAIT_GAINS: (f64, f64) = (0.18, 0.04);
-/// Kpc and Kic (1/s) on a utilisation error, which is at most 1 - target and says nothing of the excess.
-const BUSY_GAINS: (f64, f64) = (1.0, 0.5);
-/// Kpc and Kic (1/s) on a rate error, a fraction of the rate that is asked for.
+/// Gains Kpc and Kic (1/s) on a utilisation error, which is at most 1 minus the set-point and so does not
+/// show the size of an overload.
+const UTILISATION_GAINS: (f64, f64) = (1.0, 0.5);
+/// Gains Kpc and Kic (1/s) on a rate error, which is a fraction of the requested rate.
 const RATE_GAINS: (f64, f64) = (0.7, 0.2);
-/// A negative error unwinds the integral so much faster than a positive one winds it.
-const UNWIND: f64 = 6.0;
-/// A wait seen by this front itself counts for so long.
-const SEEN_FRESH: Micros = SECOND;
-/// So many unanswered set-ups are no sign of a wait.
-const BACKLOG_NOISE: f64 = 3.0;
-/// s. Wait taken for granted at a processor that answers 'full' without naming one.
-const FULL_WAIT_S: f64 = 2.0;
-/// For so long after its last positive error a server counts as pressed ...
-const PRESSED: Micros = 8 * SECOND;
-/// ... and may be let through so many times what stood there, plus so many set-ups a second, of all fronts
-/// together, to start from.
-const STOOD_LIMIT: (f64, f64) = (1.4, 3.0);
-/// s. Without a positive error that doubles in this time: no cliff at which all fronts send at once.
-const STOOD_DOUBLES_S: f64 = 2.0;
-/// Largest relative wait or queue error that the loop believes: one bad report must not refuse all.
+/// Factor by which a negative error unwinds the integral faster than a positive error winds it up.
+const UNWIND_FACTOR: f64 = 6.0;
+/// How long a wait that this front observed itself is used.
+const OBSERVED_WAIT_LIFETIME: Micros = SECOND;
+/// Number of unanswered set-ups that is normal and not counted as a backlog.
+const BACKLOG_ALLOWANCE: f64 = 3.0;
+/// Least wait assumed at a processor that answers 'full'; it may state a shorter wait, or none.
+const FULL_DEFAULT_WAIT_S: f64 = 2.0;
+/// How long after its last positive error a server counts as overloaded.
+const OVERLOAD_HOLD: Micros = 8 * SECOND;
+/// Rate admitted to an overloaded server, as a multiple of the rate recently established there.
+const ADMITTED_MULTIPLE: f64 = 1.4;
+/// Set-ups a second of all fronts together that are admitted to an overloaded server beyond that multiple,
+/// so that a server at which nothing was established receives some.
+const ADMITTED_BASE_PER_S: f64 = 3.0;
+/// Time in which the admitted rate doubles while there is no positive error. A gradual release keeps the
+/// fronts from all sending at the same moment.
+const ADMITTED_DOUBLING_S: f64 = 2.0;
+/// Upper bound on a relative wait or queue error, so that one wrong report does not reject all calls.
 const ERROR_MAX: f64 = 4.0;
-/// Queue set-point where no rate is told: at least so many set-ups.
-const QUEUE_FLOOR: f64 = 3.0;
-/// With no report for so long, a loop stops integrating and its reject fraction fades ...
-const STALE: Micros = 1_500 * MS;
-/// s. ... with this time constant, so that calls (and with them reports) come through again.
-const FADE_S: f64 = 2.0;
-/// s. Lag of the arrival rate that paces sends; a front sees a few calls a second.
-const ARRIVAL_LAG_S: f64 = 2.0;
-/// Kpq (1/s) and Kiq (1/s^2) of the pacing loop.
+/// Lower bound, in set-ups, on the queue set-point; it matters where the server reports no rate.
+const QUEUE_TARGET_MIN: f64 = 3.0;
+/// Age from which a report is ignored: the loop stops integrating and its reject fraction decays.
+const REPORT_LIFETIME: Micros = 1_500 * MS;
+/// Time constant of the decay of the reject fraction without reports. Calls are admitted again, and their
+/// answers carry new reports.
+const REJECT_DECAY_S: f64 = 2.0;
+/// Time constant of the arrival rate that paces sends; one front sees only a few calls a second.
+const ARRIVAL_FILTER_S: f64 = 2.0;
+/// Gains Kpq (1/s) and Kiq (1/s^2) of the pacing loop.
 const PACE_GAINS: (f64, f64) = (0.5, 0.1);
-/// Set-ups that a pacing bucket can save up.
-const BUCKET: f64 = 2.0;
-/// s. Lag of the rate that a warm server takes from this front, the measure for a cold one.
-const CARRIED_LAG_S: f64 = 10.0;
-/// A cold server gets this share of what would push it over: room for uneven fronts, and its loop holds it.
-const RAMP_SHARE: f64 = 0.7;
-/// s. A cold server's bucket saves up one set-up and as many as fall due in this time ...
-const RAMP_BURST_S: f64 = 0.3;
-/// ... and a set-up that was saved up and found no call is forgotten after this.
-const RAMP_KEEP: Micros = 2 * SECOND;
-/// What a number took from other fronts is a mean over so many words at the least, and the latest so many.
-const TOLD_LEAST: f64 = 3.0;
-const TOLD_WORDS: f64 = 20.0;
-/// Calls that the order of worth is judged on.
+/// Depth of the token bucket that paces set-ups to a warm server.
+const PACE_BUCKET_DEPTH: f64 = 2.0;
+/// Time constant of the rate that a warm server carries from this front; a cold server's rate derives from
+/// it.
+const CARRIED_FILTER_S: f64 = 10.0;
+/// Fraction of the rate that would push a cold server over which the fronts send it. The rest is margin for
+/// uneven traffic of the fronts, and the server's own control loop acts as well.
+const WARM_UP_SHARE: f64 = 0.7;
+/// Depth of a cold server's token bucket beyond one set-up, as the time whose tokens it may hold.
+const WARM_UP_BURST_S: f64 = 0.3;
+/// Lifetime of a saved token of a cold server that no call has used.
+const WARM_UP_TOKEN_LIFETIME: Micros = 2 * SECOND;
+/// Fewest load hints from peers that make their mean of the carried rate usable.
+const PEER_SAMPLES_MIN: f64 = 3.0;
+/// Number of load hints over which that mean runs.
+const PEER_SAMPLES_MAX: f64 = 20.0;
+/// Number of recent calls against which a call's worth is ranked.
 const RECENT_CALLS: usize = 200;
-/// s. Lag of a customer's arrival rate.
-const TENANT_LAG_S: f64 = 5.0;
-/// Mean pause after a failed connect; drawn by chance, so that fronts do not come back in step.
-const DOWN_PAUSE_S: f64 = 1.0;
-/// Answers are given so long before the caller's time is up.
-const MARGIN: Micros = 30 * MS;
-/// A set-up with less time than this left is not sent.
-const LEAST_TIME: Micros = 100 * MS;
-/// While answers get lost, a set-up is given up after this fraction of its class's aim.
-const LOST_AFTER: f64 = 0.5;
-/// Weight of the last time-out in the share of those that were lost answers, and the share that counts.
+/// Time constant of a tenant's arrival rate.
+const TENANT_FILTER_S: f64 = 5.0;
+/// Mean pause after a failed connect; randomised, so that the fronts do not reconnect in step.
+const CONNECT_PAUSE_S: f64 = 1.0;
+/// Final answers are given this long before the caller's timeout.
+const ANSWER_MARGIN: Micros = 30 * MS;
+/// Least remaining time with which a set-up is sent.
+const MIN_ATTEMPT_TIME: Micros = 100 * MS;
+/// Timeout of a set-up while answers are being lost, as a fraction of its class's target time.
+const LOST_TIMEOUT_FRACTION: f64 = 0.5;
+/// Weight of the latest timeout in the share of timeouts that were lost answers.
 const LOST_WEIGHT: f64 = 0.4;
-const LOST_MOSTLY: f64 = 0.5;
-/// Slack on the release guard, for rounding of clocks.
-const GUARD_SLACK: Micros = 2 * MS;
-/// Probes a second that one server gets of all fronts where reports come only by probe, and the shortest
-/// time between two of one front.
-const PROBES: (f64, Micros) = (8.0, SECOND);
-/// Time until a failed subscription is asked for again.
-const WATCH_AGAIN: Micros = SECOND;
-/// A front tells one other, drawn by chance, what it knows of the servers; mean time between messages.
-const TELL_EVERY_S: f64 = 0.125;
-/// A server at rest, with its error under this and alpha at nought, is told of in this share of messages.
-const REST: (f64, f64) = (-0.5, 0.15);
-/// Least time between log lines.
-const LOG_EVERY: Micros = SECOND;
+/// Share of lost answers among the timeouts above which the shorter timeout applies.
+const LOST_SHARE_THRESHOLD: f64 = 0.5;
+/// Added to the retry hold-off to allow for rounding of clocks.
+const HOLDOFF_SLACK: Micros = 2 * MS;
+/// Probes a second that one server receives from all fronts, where reports come only with probe results.
+const PROBES_PER_S: f64 = 8.0;
+/// Least time between two probes of one server by this front.
+const PROBE_INTERVAL_MIN: Micros = SECOND;
+/// Delay before a failed subscription is retried.
+const SUBSCRIBE_RETRY: Micros = SECOND;
+/// Mean time between gossip messages; each goes to one peer drawn at random.
+const GOSSIP_INTERVAL_S: f64 = 0.125;
+/// A server is idle when its reject fraction is zero and its load error is below this.
+const IDLE_ERROR: f64 = -0.5;
+/// Share of gossip messages that also cover idle servers.
+const IDLE_GOSSIP_SHARE: f64 = 0.15;
+/// Least time between two log lines.
+const LOG_INTERVAL: Micros = SECOND;
 
 const TOKEN_TICK: u64 = 0;
-const TOKEN_WATCH: u64 = 1;
-/// Low bits of a call's timer tokens; the id stands above them.
+const TOKEN_SUBSCRIBE: u64 = 1;
+/// Kind of a call's deadline timer, in the low two bits of its token; the call id is in the bits above.
 const TOKEN_DEADLINE: u64 = 2;
+/// Kind of the timer that sends a held call; its token is built like that of the deadline.
 const TOKEN_RESEND: u64 = 3;
 
-/// What drives a server's reject fraction, in order of choice where several values are told.
+/// The reported value that drives a server's reject fraction, in order of preference.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Signal {
-    HoldBack(f64),
+    Reduction(f64),
     Wait(f64),
     Queue(f64),
     Rate(f64),
-    Busy(f64),
+    Utilisation(f64),
 }
 
 impl Signal {
-    /// The nearest to what the loop must hold comes first: the share itself, then the wait, then the queue
-    /// that makes it; a rate or utilisation says only that the processor is busy, not by how much too much.
+    /// Takes the value closest to what the loop controls: the reduction itself, then the wait, then the queue
+    /// that causes the wait. A rate or a utilisation shows a busy processor, but not the size of an overload.
     fn of(report: &Report) -> Option<Self> {
-        sane(report.hold_back)
-            .map(Self::HoldBack)
-            .or(sane(report.wait_s).map(Self::Wait))
-            .or(sane(report.queue).map(Self::Queue))
-            .or(sane(report.rate).map(Self::Rate))
-            .or(sane(report.busy).map(Self::Busy))
+        valid(report.hold_back)
+            .map(Self::Reduction)
+            .or(valid(report.wait_s).map(Self::Wait))
+            .or(valid(report.queue).map(Self::Queue))
+            .or(valid(report.rate).map(Self::Rate))
+            .or(valid(report.busy).map(Self::Utilisation))
     }
 }
 
 impl Server {
-    /// Whether a set-up was seen, here or by another front, to stand without a wait since then.
-    fn stood_since(&self, at: Micros) -> bool {
-        self.answer.0 > at && self.answer.1 < TARGET_WAIT_S
+    /// Whether this front or a peer has since then seen an answer with a wait below the set-point.
+    fn answered_promptly_since(&self, at: Micros) -> bool {
+        self.answered_wait.0 > at && self.answered_wait.1 < TARGET_WAIT_S
     }
 
-    /// A wait shown by an answer or by what is unanswered here. Only such are told on: a time-out may be a
-    /// lost answer, and fronts that pass on time-outs confirm each other.
-    fn see_answer(&mut self, now: Micros, wait_s: f64) {
-        self.answer = (now, wait_s);
-        self.see_wait(now, wait_s);
+    /// Records a wait shown by an answer or by this front's unanswered set-ups. Only such waits are passed on
+    /// to peers: a timeout may be a lost answer, and fronts that gossip about timeouts would confirm each
+    /// other's error.
+    fn observe_answered_wait(&mut self, now: Micros, wait_s: f64) {
+        self.answered_wait = (now, wait_s);
+        self.observe_wait(now, wait_s);
     }
 
-    fn see_lag(&mut self, now: Micros, lag: Micros) {
-        self.least_lag = self.least_lag.min(lag);
-        self.see_answer(now, seconds(lag - self.least_lag));
+    /// Records the wait shown by a set-up time: its excess over the shortest one observed.
+    fn observe_setup_time(&mut self, now: Micros, lag: Micros) {
+        self.min_setup_time = self.min_setup_time.min(lag);
+        self.observe_answered_wait(now, seconds(lag - self.min_setup_time));
     }
 
-    fn note_report(&mut self, now: Micros, report: &Report) {
+    fn record_report(&mut self, now: Micros, report: &Report) {
         if report.free.is_some() {
-            (self.free, self.lines) = (report.free, report.lines);
+            (self.free, self.circuits) = (report.free, report.lines);
         }
         if Signal::of(report).is_some() {
             self.report = *report;
@@ -159,174 +174,188 @@
         }
     }
 
-    fn is_at_rest(&self) -> bool {
-        self.alpha == 0.0 && self.error.is_none_or(|error| error < REST.0)
+    /// Whether the server's load is so low that gossip about it can be rare.
+    fn is_idle(&self) -> bool {
+        self.alpha == 0.0 && self.error.is_none_or(|error| error < IDLE_ERROR)
     }
 
+    /// Whether sends are paced: only where the server reports both its rate and its queue.
     fn is_paced(&self) -> bool {
-        sane(self.report.rate).is_some() && sane(self.report.queue).is_some()
+        valid(self.report.rate).is_some() && valid(self.report.queue).is_some()
     }
 
-    /// What this front tells another of the server, and of what its number took from here.
-    fn word(&self, now: Micros, id: ServerId, took: Option<f64>) -> Word {
+    /// The load hint on this server for a peer, with the rate that its number carried from this front.
+    fn load_hint(&self, now: Micros, id: ServerId, carried_per_s: Option<f64>) -> LoadHint {
         let age = |at: Micros| if at == 0 { Micros::MAX } else { now.saturating_sub(at) };
-        Word {
-            key: word::key(id),
+        LoadHint {
+            server_key: gossip::server_key(id),
             report: self.report,
             age: age(self.reported_at),
-            seen_wait_s: self.answer.1,
-            seen_age: age(self.answer.0),
-            took,
+            observed_wait_s: self.answered_wait.1,
+            observed_age: age(self.answered_wait.0),
+            carried_per_s,
         }
     }
 
-    /// What another front said of the server. Newest wins; it says nothing of its state or warmth.
-    fn note_word(&mut self, now: Micros, word: &Word) {
+    /// Merges a peer's load hint; the newest value wins. State and warm-up are never taken from a peer.
+    fn merge_hint(&mut self, now: Micros, hint: &LoadHint) {
         let newer = |age: Micros, than: Micros| {
-            Some(now.saturating_sub(age)).filter(|at| *at > than.max(self.known_at))
+            Some(now.saturating_sub(age)).filter(|at| *at > than.max(self.discovered_at))
         };
-        let (report_at, seen_at) = (newer(word.age, self.reported_at), newer(word.seen_age, self.answer.0));
+        let (report_at, observed_at) =
+            (newer(hint.age, self.reported_at), newer(hint.observed_age, self.answered_wait.0));
         if let Some(at) = report_at {
-            (self.report, self.reported_at) = (word.report, at);
+            (self.report, self.reported_at) = (hint.report, at);
         }
-        if let Some(at) = seen_at {
-            self.see_answer(at, word.seen_wait_s);
+        if let Some(at) = observed_at {
+            self.observe_answered_wait(at, hint.observed_wait_s);
         }
     }
 
-    /// Lines that one call at each front would take; at most the root of all, by which lines in use vary:
-    /// hundreds of fronts do not send in the same instant.
-    fn lines_of_all(&self, fronts: f64) -> f64 {
-        self.lines.map_or(fronts, |lines| fronts.min(lines.sqrt()))
+    /// Circuits that one call from each front would take, at most the square root of all circuits, which is
+    /// the variation of the number in use: hundreds of fronts do not send at the same instant.
+    fn circuits_of_one_call_per_front(&self, fronts: f64) -> f64 {
+        self.circuits.map_or(fronts, |circuits| fronts.min(circuits.sqrt()))
     }
 
-    /// Steps 1 and 2: reported load to reject fraction.
+    /// Steps 1 and 2: computes the reject fraction from the reported load.
     fn tick(&mut self, now: Micros, dt_s: f64, fronts: f64, carried: f64) {
-        let (asked, stood) = (self.arrivals.read(now, ARRIVAL_LAG_S), self.stood.read(now, ARRIVAL_LAG_S));
-        // Guards against surges that no report shows yet (cut calls coming back, a flood at this front): what
-        // is unanswered here, over what the server took from here, is a wait. Few set-ups prove nothing.
-        let backlog_s = (f64::from(self.unanswered) - BACKLOG_NOISE) / carried.max(0.1);
-        if backlog_s > self.seen_wait_s.max(TARGET_WAIT_S) {
-            self.see_answer(now, backlog_s);
-        }
-        let told = Signal::of(&self.report).filter(|_| now.saturating_sub(self.reported_at) <= STALE);
-        let fresh = self.seen_at > 0 && now.saturating_sub(self.seen_at) <= SEEN_FRESH;
-        let Some(signal) = told.or(fresh.then_some(Signal::Wait(self.seen_wait_s))) else {
-            // Guards against feedback that went missing: at a high reject fraction nothing is sent, so
-            // nothing is answered, so nothing is reported. Neither frozen nor wound further: it fades.
-            self.pi.integral *= (-dt_s / FADE_S).exp();
+        let (requested, established) =
+            (self.arrivals.read(now, ARRIVAL_FILTER_S), self.established.read(now, ARRIVAL_FILTER_S));
+        // Detects surges that no report shows yet, such as dropped calls that redial or a flood at this
+        // front: the unanswered set-ups divided by the rate carried from here give a wait. A few unanswered
+        // set-ups are no evidence.
+        let backlog_s = (f64::from(self.unanswered) - BACKLOG_ALLOWANCE) / carried.max(0.1);
+        if backlog_s > self.observed_wait_s.max(TARGET_WAIT_S) {
+            self.observe_answered_wait(now, backlog_s);
+        }
+        let reported =
+            Signal::of(&self.report).filter(|_| now.saturating_sub(self.reported_at) <= REPORT_LIFETIME);
+        let observed_recently =
+            self.observed_at > 0 && now.saturating_sub(self.observed_at) <= OBSERVED_WAIT_LIFETIME;
+        let Some(signal) = reported.or(observed_recently.then_some(Signal::Wait(self.observed_wait_s)))
+        else {
+            // Without feedback the reject fraction decays, rather than being frozen or wound up further: at a
+            // high reject fraction nothing is sent, so nothing is answered, so nothing is reported.
+            self.pi.integral *= (-dt_s / REJECT_DECAY_S).exp();
             if self.pi.integral < 0.01 {
                 self.pi.integral = 0.0;
             }
             self.alpha = self.pi.integral.min(self.alpha);
-            (self.error, self.told_easy) = (None, false);
-            self.pace_rate = asked;
+            (self.error, self.reported_underload) = (None, false);
+            self.pace_rate = requested;
             return;
         };
         let (error, gains) = match signal {
-            Signal::HoldBack(share) => (share, (1.0, 0.0)),
+            Signal::Reduction(share) => (share, (1.0, 0.0)),
             Signal::Wait(wait) => ((wait / TARGET_WAIT_S - 1.0).min(ERROR_MAX), WAIT_GAINS),
             Signal::Queue(queue) => {
-                let rate = sane(self.report.rate).unwrap_or(carried * fronts);
-                let target = (TARGET_WAIT_S * rate).max(QUEUE_FLOOR);
+                let rate = valid(self.report.rate).unwrap_or(carried * fronts);
+                let target = (TARGET_WAIT_S * rate).max(QUEUE_TARGET_MIN);
                 ((queue / target - 1.0).min(ERROR_MAX), WAIT_GAINS)
             }
-            // Against the rate asked for, not its own highest: that error is never negative, so noise alone
-            // winds it, and it is blind to a processor that was too small from the start.
-            Signal::Rate(rate) => (1.0 - rate / (asked * fronts).max(rate / 2.0).max(0.01), RATE_GAINS),
-            Signal::Busy(busy) => (busy.min(1.0) - TARGET_BUSY, BUSY_GAINS),
+            // Relative to the requested rate. Relative to the highest reported rate the error would never be
+            // negative, so that noise alone would wind up the integral, and a processor that was too small
+            // from the start would go unnoticed.
+            Signal::Rate(rate) => (1.0 - rate / (requested * fronts).max(rate / 2.0).max(0.01), RATE_GAINS),
+            Signal::Utilisation(busy) => (busy.min(1.0) - TARGET_UTILISATION, UTILISATION_GAINS),
         };
-        // Guards against reports that lie, lag or say too little (a rate or utilisation does not tell by how
-        // much a processor is overrun): where the set-up times seen here are worse, they drive the loop.
-        self.told_easy = told.is_some() && error < 0.0;
-        let seen = (self.seen_wait_s / TARGET_WAIT_S - 1.0).min(ERROR_MAX);
-        let worse = match signal {
-            Signal::HoldBack(_) => false,
-            Signal::Rate(_) => fresh,
-            _ => fresh && seen > 0.0 && seen * WAIT_GAINS.0 > error * gains.0,
+        // Set-up times observed here drive the loop where they show more load than the report: reports can be
+        // wrong or late, and a rate or a utilisation does not show the size of an overload.
+        self.reported_underload = reported.is_some() && error < 0.0;
+        let observed = (self.observed_wait_s / TARGET_WAIT_S - 1.0).min(ERROR_MAX);
+        let use_observed = match signal {
+            Signal::Reduction(_) => false,
+            Signal::Rate(_) => observed_recently,
+            _ => observed_recently && observed > 0.0 && observed * WAIT_GAINS.0 > error * gains.0,
         };
-        let (error, gains) = if worse { (seen, WAIT_GAINS) } else { (error, gains) };
-        let before = self.error.unwrap_or(error);
-        let error = before + (error - before) * lagged(dt_s, LOAD_LAG_S);
+        let (error, gains) = if use_observed { (observed, WAIT_GAINS) } else { (error, gains) };
+        let previous = self.error.unwrap_or(error);
+        let error = previous + (error - previous) * low_pass_step(dt_s, REPORT_FILTER_S);
         self.error = Some(error);
         self.alpha = match signal {
-            Signal::HoldBack(_) => error.clamp(0.0, 1.0),
-            _ => self.pi.step(error, dt_s, gains, (0.0, 1.0), UNWIND),
+            Signal::Reduction(_) => error.clamp(0.0, 1.0),
+            _ => self.pi.step(error, dt_s, gains, (0.0, 1.0), UNWIND_FACTOR),
         };
-        // Guards against swings under heavy overload, when redials ask for many times the capacity and a
-        // small fall of alpha overruns the processor again: while pressed, what stood lately bounds what is
-        // let through. Could hurt where capacity comes back at a stroke.
-        if error > 0.0 && !matches!(signal, Signal::HoldBack(_)) {
-            self.pressed_at = Some(now);
-        }
-        let rest = self.pressed_at.map_or(PRESSED, |at| now.saturating_sub(at));
-        if rest < PRESSED && asked > 0.0 {
-            let growth = (seconds(rest) / STOOD_DOUBLES_S).exp2();
-            let bound = stood * STOOD_LIMIT.0 * growth + STOOD_LIMIT.1 / fronts;
-            self.alpha = self.alpha.max(1.0 - bound / asked);
-        }
-        // Step 4: the pace. Queue and rate belong to all fronts; this one corrects its share.
-        if let (Some(rate), Some(queue)) = (sane(self.report.rate), sane(self.report.queue)) {
+        // Prevents oscillation under heavy overload, when redials request many times the capacity and a small
+        // decrease of alpha overloads the processor again: the rate recently established bounds the admitted
+        // rate. Drawback: capacity that returns all at once is used with a delay.
+        if error > 0.0 && !matches!(signal, Signal::Reduction(_)) {
+            self.overloaded_at = Some(now);
+        }
+        let since_overload = self.overloaded_at.map_or(OVERLOAD_HOLD, |at| now.saturating_sub(at));
+        if since_overload < OVERLOAD_HOLD && requested > 0.0 {
+            let growth = (seconds(since_overload) / ADMITTED_DOUBLING_S).exp2();
+            let bound = established * ADMITTED_MULTIPLE * growth + ADMITTED_BASE_PER_S / fronts;
+            self.alpha = self.alpha.max(1.0 - bound / requested);
+        }
+        // Step 4: the pace. The reported queue and rate cover all fronts; this front corrects its share.
+        if let (Some(rate), Some(queue)) = (valid(self.report.rate), valid(self.report.queue)) {
             let error = (TARGET_WAIT_S * rate - queue) / fronts;
-            let paced = asked + self.pace.step(error, dt_s, PACE_GAINS, (-asked, rate), 1.0);
-            self.pace_rate = if self.alpha > 0.0 { paced } else { paced.max(asked) };
+            let paced = requested + self.pacing.step(error, dt_s, PACE_GAINS, (-requested, rate), 1.0);
+            self.pace_rate = if self.alpha > 0.0 { paced } else { paced.max(requested) };
         }
     }
 
-    fn fill(&mut self, now: Micros, rate: f64, most: f64) {
-        let dt_s = seconds(now.saturating_sub(self.bucket_at));
-        if self.bucket < 1.0 {
-            self.full_at = now;
+    /// Refills the token bucket at `rate` up to `depth`.
+    fn refill(&mut self, now: Micros, rate: f64, depth: f64) {
+        let dt_s = seconds(now.saturating_sub(self.refilled_at));
+        if self.tokens < 1.0 {
+            self.below_one_token_at = now;
         }
-        self.bucket = (self.bucket + rate * dt_s).min(most);
-        self.bucket_at = now;
+        self.tokens = (self.tokens + rate * dt_s).min(depth);
+        self.refilled_at = now;
     }
 
-    /// The bucket of a cold server. It starts at a random level and forgets what no call came for. Guards
-    /// against hundreds of fronts that each have saved up one set-up and spend it in the same instant.
-    fn fill_cold(&mut self, now: Micros, rate: f64, chance: f64) {
-        let overslept = now.saturating_sub(self.full_at) > RAMP_KEEP;
-        if self.bucket >= 1.0 && overslept {
-            self.bucket = chance;
+    /// Refills a cold server's bucket. The bucket starts at a random level, and unused tokens expire:
+    /// hundreds of fronts that each had a token saved would otherwise spend it at the same instant.
+    fn refill_cold(&mut self, now: Micros, rate: f64, level: f64) {
+        let expired = now.saturating_sub(self.below_one_token_at) > WARM_UP_TOKEN_LIFETIME;
+        if self.tokens >= 1.0 && expired {
+            self.tokens = level;
         }
-        self.fill(now, rate, 1.0 + rate * RAMP_BURST_S);
+        self.refill(now, rate, 1.0 + rate * WARM_UP_BURST_S);
     }
 }
 
-/// The decisions of one front. See the crate's page for how to embed it.
+/// The routing and admission controller of one front. The crate documentation shows how to embed it.
 #[derive(Debug)]
 pub struct Controller {
     settings: Settings,
     rng: Pcg64Mcg,
     servers: BTreeMap<ServerId, Server>,
-    calls: BTreeMap<CallId, Pending>,
+    calls: BTreeMap<CallId, PendingCall>,
     unanswered: BTreeMap<(CallId, u16), ServerId>,
-    tenants: Vec<Meter>,
-    arrivals: Meter,
-    /// Set-ups a second that stood at warm servers, by number: as of the last one, so a pause keeps it.
-    carried: BTreeMap<u16, Meter>,
-    /// The same at other fronts, as they told it: the mean, and of how many words.
-    told: BTreeMap<u16, (f64, f64)>,
-    /// When the first tick was.
-    born: Option<Micros>,
-    /// Worth of the latest calls.
-    recent: VecDeque<f64>,
-    /// When a number was dialled first, for as long as its caller may still try.
-    dialled: BTreeMap<u64, Micros>,
-    ticked_at: Option<Micros>,
-    /// This turn, and since when what it finds may have waited: earlier after an own stall.
-    turn: (Micros, Micros),
-    /// Share of the latest time-outs that were answers lost.
-    lost: f64,
-    tell_at: Micros,
-    logged_at: Option<Micros>,
+    tenants: Vec<RateMeter>,
+    arrivals: RateMeter,
+    /// Rate of established calls at warm servers, by server number, as of the last call: it does not decay
+    /// while no calls come.
+    carried: BTreeMap<u16, RateMeter>,
+    /// The carried rate that peers report, by server number: its mean, and the number of load hints in it.
+    peer_carried: BTreeMap<u16, (f64, f64)>,
+    /// Time of the first tick.
+    first_tick_at: Option<Micros>,
+    /// Worth of the most recent calls.
+    recent_worths: VecDeque<f64>,
+    /// When each number was first dialled, kept for as long as its caller may still retry.
+    first_dialled: BTreeMap<u64, Micros>,
+    last_tick_at: Option<Micros>,
+    /// Time of the current turn.
+    turn_at: Micros,
+    /// Earliest time at which the input of the current turn may have arrived; before `turn_at` only after a
+    /// stall of this front.
+    received_from: Micros,
+    /// Share of recent timeouts that were lost answers.
+    lost_share: f64,
+    next_gossip_at: Micros,
+    last_log_at: Option<Micros>,
 }
 
 impl Controller {
-    /// A controller that knows no servers yet.
+    /// Creates a controller without servers.
     ///
     /// # Errors
-    /// When the settings hold a figure that nothing sensible can be done with.
+    /// Returns an error when a setting is out of its range.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         Ok(Self {
@@ -334,69 +363,71 @@
             servers: BTreeMap::new(),
             calls: BTreeMap::new(),
             unanswered: BTreeMap::new(),
-            tenants: vec![Meter::default(); settings.tenants.len()],
-            arrivals: Meter::default(),
+            tenants: vec![RateMeter::default(); settings.tenants.len()],
+            arrivals: RateMeter::default(),
             carried: BTreeMap::new(),
-            told: BTreeMap::new(),
-            born: None,
-            recent: VecDeque::new(),
-            dialled: BTreeMap::new(),
-            ticked_at: None,
-            turn: (0, 0),
-            lost: 0.0,
-            tell_at: 0,
-            logged_at: None,
+            peer_carried: BTreeMap::new(),
+            first_tick_at: None,
+            recent_worths: VecDeque::new(),
+            first_dialled: BTreeMap::new(),
+            last_tick_at: None,
+            turn_at: 0,
+            received_from: 0,
+            lost_share: 0.0,
+            next_gossip_at: 0,
+            last_log_at: None,
             settings,
         })
     }
 
-    /// Takes one event at a time that never goes back, and appends what is to be done.
+    /// Handles one event and appends the resulting actions. `now` must never decrease.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
-        if self.settings.subscribe && self.ticked_at.is_none() {
+        if self.settings.subscribe && self.last_tick_at.is_none() {
             actions.push(Action::Watch);
         }
-        if self.turn.0 != now {
-            self.turn = (now, now);
+        if self.turn_at != now {
+            (self.turn_at, self.received_from) = (now, now);
         }
-        if self.ticked_at.is_none_or(|at| now >= at.saturating_add(TICK)) {
-            let late = self.ticked_at.map_or(0, |at| now.saturating_sub(at + TICK));
-            if late > STALLED {
-                self.wake(now, late, actions);
+        if self.last_tick_at.is_none_or(|at| now >= at.saturating_add(TICK_INTERVAL)) {
+            let late = self.last_tick_at.map_or(0, |at| now.saturating_sub(at + TICK_INTERVAL));
+            if late > STALL_THRESHOLD {
+                self.resume_after_stall(now, late, actions);
             } else {
                 self.tick(now, actions);
             }
         }
-        let told_at = self.turn.1;
+        let received_at = self.received_from;
         match event {
-            Event::List(kind, entries) => self.list(now, kind, &entries, actions),
-            Event::Call(call) => self.call(now, call, actions),
+            Event::List(kind, entries) => self.update_servers(now, kind, &entries, actions),
+            Event::Call(call) => self.admit(now, call, actions),
             Event::Stands { call, attempt, server, lag } => {
                 if let Some(pending) = self.calls.remove(&call) {
-                    self.dialled.remove(&pending.call.number);
+                    self.first_dialled.remove(&pending.call.number);
                 }
-                self.answered(call, attempt);
+                self.remove_unanswered(call, attempt);
                 if let Some(server) = self.servers.get_mut(&server) {
-                    if told_at == now {
-                        server.see_lag(now, lag);
+                    if received_at == now {
+                        server.observe_setup_time(now, lag);
                     }
-                    server.stood.count(now, ARRIVAL_LAG_S);
+                    server.established.count(now, ARRIVAL_FILTER_S);
                     if !server.is_cold(now, self.settings.ramp_time) {
-                        self.carried.entry(server.number).or_default().count(now, CARRIED_LAG_S);
+                        self.carried.entry(server.number).or_default().count(now, CARRIED_FILTER_S);
                     }
                 }
             }
             Event::Ended { call, attempt, server, outcome, lag, complete, note, report } => {
-                self.answered(call, attempt);
+                self.remove_unanswered(call, attempt);
                 if let Some(server) = self.servers.get_mut(&server) {
-                    server.note_report(told_at, &report);
+                    server.record_report(received_at, &report);
                 }
-                let end = Ending { outcome, lag, note };
+                let end = AttemptEnd { outcome, lag, note };
                 self.attempt_ended(now, server, &end, actions);
-                let ours = self.calls.get(&call).is_some_and(|p| p.out == Some((attempt, server)));
+                let is_current =
+                    self.calls.get(&call).is_some_and(|p| p.in_flight == Some((attempt, server)));
                 if complete {
                     self.calls.remove(&call);
-                } else if ours {
-                    self.after_failure(now, call, &end, actions);
+                } else if is_current {
+                    self.retry_or_reject(now, call, &end, actions);
                 }
             }
             Event::Abandoned(call) => {
@@ -404,136 +435,141 @@
             }
             Event::Probed { server, report, .. } => {
                 if let Some(server) = self.servers.get_mut(&server) {
-                    server.note_report(told_at, &report);
+                    server.record_report(received_at, &report);
                 }
             }
             Event::Peer { from, payload } if from < self.settings.fronts => {
-                for word in word::read(&payload).unwrap_or_default() {
-                    let mut named = self.servers.iter_mut().filter(|(id, _)| word::key(**id) == word.key);
+                for hint in gossip::decode(&payload).unwrap_or_default() {
+                    let mut named =
+                        self.servers.iter_mut().filter(|(id, _)| gossip::server_key(**id) == hint.server_key);
                     if let Some((_, server)) = named.next() {
-                        server.note_word(told_at, &word);
-                        if let Some(took) = word.took {
-                            let (mean, words) = self.told.entry(server.number).or_default();
-                            *words = (*words + 1.0).min(TOLD_WORDS);
-                            *mean += (took - *mean) / *words;
+                        server.merge_hint(received_at, &hint);
+                        if let Some(carried_per_s) = hint.carried_per_s {
+                            let (mean, samples) = self.peer_carried.entry(server.number).or_default();
+                            *samples = (*samples + 1.0).min(PEER_SAMPLES_MAX);
+                            *mean += (carried_per_s - *mean) / *samples;
                         }
                     }
                 }
             }
             Event::Share { server, per_s } => {
                 if let Some(server) = self.servers.get_mut(&server) {
-                    server.share = sane(Some(per_s));
+                    server.budget_share = valid(Some(per_s));
                 }
             }
             Event::Peer { .. } | Event::Timer(TOKEN_TICK) => {}
-            Event::Timer(TOKEN_WATCH) => actions.push(Action::Watch),
-            Event::Timer(token) => self.timer(now, (token >> 2) as CallId, token & 3, actions),
+            Event::Timer(TOKEN_SUBSCRIBE) => actions.push(Action::Watch),
+            Event::Timer(token) => self.handle_call_timer(now, (token >> 2) as CallId, token & 3, actions),
         }
     }
 
-    /// What is believed of each server, for logs; decides nothing.
+    /// The controller's view of each server, for logs.
     pub fn beliefs(&self) -> Vec<Belief> {
-        let belief = |(server, s): (&ServerId, &Server)| Belief {
+        let view = |(server, s): (&ServerId, &Server)| Belief {
             server: *server,
             number: s.number,
             state: s.state,
             alpha: s.alpha,
             unanswered: s.unanswered,
             report: (s.report, s.reported_at),
-            seen: (s.seen_wait_s, s.seen_at),
+            seen: (s.observed_wait_s, s.observed_at),
             cold_since: s.cold_since,
         };
-        self.servers.iter().map(belief).collect()
+        self.servers.iter().map(view).collect()
     }
 
     fn log(&mut self, now: Micros, text: String, actions: &mut Vec<Action>) {
-        if self.logged_at.is_none_or(|at| now >= at.saturating_add(LOG_EVERY)) {
-            self.logged_at = Some(now);
+        if self.last_log_at.is_none_or(|at| now >= at.saturating_add(LOG_INTERVAL)) {
+            self.last_log_at = Some(now);
             actions.push(Action::Log(text));
         }
     }
 
-    /// This front itself stood still, as the lateness of its own tick tells. Guards against learning from it:
-    /// set-up times are no waits, buckets are not refilled, loops do not integrate, and all that the turn
-    /// finds is heard, drains above all, before anything is sent.
-    fn wake(&mut self, now: Micros, late: Micros, actions: &mut Vec<Action>) {
-        (self.turn.1, self.ticked_at) = (now - late, Some(now));
-        actions.push(Action::Timer { at: now + TICK, token: TOKEN_TICK });
+    /// Resumes after a stall of this front itself, which its own late tick shows. Nothing is learnt from the
+    /// stall: set-up times do not count as waits, buckets are not refilled and loops do not integrate. All
+    /// pending input, drains above all, is handled before anything is sent.
+    fn resume_after_stall(&mut self, now: Micros, late: Micros, actions: &mut Vec<Action>) {
+        (self.received_from, self.last_tick_at) = (now - late, Some(now));
+        actions.push(Action::Timer { at: now + TICK_INTERVAL, token: TOKEN_TICK });
         for server in self.servers.values_mut() {
-            server.bucket_at = now;
+            server.refilled_at = now;
         }
     }
 
-    fn probe_every(&self) -> Micros {
-        PROBES.1.max(micros(f64::from(self.settings.fronts) / PROBES.0))
+    fn probe_interval(&self) -> Micros {
+        PROBE_INTERVAL_MIN.max(micros(f64::from(self.settings.fronts) / PROBES_PER_S))
     }
 
-    fn has_slept(&self) -> bool {
-        self.turn.1 < self.turn.0
+    /// Whether the current turn follows a stall of this front.
+    fn is_resuming(&self) -> bool {
+        self.received_from < self.turn_at
     }
 
     fn tick(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        let dt_s = self.ticked_at.map_or(0.0, |at| seconds(now.saturating_sub(at)));
-        self.ticked_at = Some(now);
-        self.born.get_or_insert(now);
-        actions.push(Action::Timer { at: now + TICK, token: TOKEN_TICK });
-        let ramp = self.settings.ramp_time;
-        let cold = self.servers.iter().filter(|(_, server)| server.is_cold(now, ramp));
-        let rates: Vec<_> = cold.map(|(id, server)| (*id, self.ramp_rate(now, server))).collect();
+        let dt_s = self.last_tick_at.map_or(0.0, |at| seconds(now.saturating_sub(at)));
+        self.last_tick_at = Some(now);
+        self.first_tick_at.get_or_insert(now);
+        actions.push(Action::Timer { at: now + TICK_INTERVAL, token: TOKEN_TICK });
+        let warm_up_time = self.settings.ramp_time;
+        let cold = self.servers.iter().filter(|(_, server)| server.is_cold(now, warm_up_time));
+        let rates: Vec<_> = cold.map(|(id, server)| (*id, self.warm_up_rate(now, server))).collect();
         for (id, rate) in rates {
-            let drawn = chance(&mut self.rng);
+            let drawn = uniform(&mut self.rng);
             if let Some(server) = self.servers.get_mut(&id) {
-                server.fill_cold(now, rate, drawn);
+                server.refill_cold(now, rate, drawn);
             }
         }
         let probing = self.settings.reports == ReportPath::Probes && self.settings.may_probe;
-        let probe_every = self.probe_every();
+        let probe_interval = self.probe_interval();
         for (id, server) in &mut self.servers {
-            let warm = server.state == ServerState::Ready && !server.is_cold(now, ramp);
-            if warm && seconds(now.saturating_sub(server.known_at)) >= CARRIED_LAG_S {
-                // Known for long: one that took nothing from here took nought, which is told as well.
+            let warm = server.state == ServerState::Ready && !server.is_cold(now, warm_up_time);
+            if warm && seconds(now.saturating_sub(server.discovered_at)) >= CARRIED_FILTER_S {
+                // A server known this long that has carried nothing from here counts with a rate of zero,
+                // which goes into the gossip as well.
                 self.carried.entry(server.number).or_default();
             }
             let carried = self.carried.get(&server.number).map_or(0.0, |meter| meter.rate);
             server.tick(now, dt_s, f64::from(self.settings.fronts), carried);
             if probing && server.state == ServerState::Ready && now >= server.probe_at {
-                server.probe_at = now + probe_every;
+                server.probe_at = now + probe_interval;
                 actions.push(Action::Probe(*id));
             }
         }
         let longest = self.settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
-        self.dialled.retain(|_, at| now < at.saturating_add(longest));
-        self.tell(now, actions);
+        self.first_dialled.retain(|_, at| now < at.saturating_add(longest));
+        self.gossip(now, actions);
     }
 
-    /// Guards against reports that starve: they ride on call ends, and with hundreds of fronts one front
-    /// hears of a server every few seconds. Fronts pass on the newest they know.
-    fn tell(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    /// Sends the newest load hints to a random peer. Reports come with call ends, and among hundreds of
+    /// fronts a single front would receive a report on a server only every few seconds.
+    fn gossip(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let others = self.settings.fronts - 1;
-        if !self.settings.may_tell_peers || others == 0 || now < self.tell_at {
+        if !self.settings.may_tell_peers || others == 0 || now < self.next_gossip_at {
             return;
         }
-        let (first, drawn) = (self.tell_at == 0, chance(&mut self.rng));
-        self.tell_at = now + micros(TELL_EVERY_S * if first { drawn } else { 0.5 + drawn });
-        let of_rest = chance(&mut self.rng) < REST.1;
-        let due = |server: &Server| server.state == ServerState::Ready && (of_rest || !server.is_at_rest());
-        // From a place drawn by chance: a message holds a dozen words, and of a longer list those at its
-        // end would never be told of.
-        let from = (chance(&mut self.rng) * self.servers.len() as f64) as usize;
+        let (first, drawn) = (self.next_gossip_at == 0, uniform(&mut self.rng));
+        self.next_gossip_at = now + micros(GOSSIP_INTERVAL_S * if first { drawn } else { 0.5 + drawn });
+        let include_idle = uniform(&mut self.rng) < IDLE_GOSSIP_SHARE;
+        let due = |server: &Server| server.state == ServerState::Ready && (include_idle || !server.is_idle());
+        // Starts at a random server: a message holds about a dozen hints, so that the servers at the end of a
+        // longer list would never be covered.
+        let from = (uniform(&mut self.rng) * self.servers.len() as f64) as usize;
         let all = self.servers.iter().skip(from).chain(self.servers.iter().take(from));
-        let words = all.filter(|(_, server)| due(server));
-        let took = |server: &Server| self.took(now, server.number);
-        let payload = word::write(words.map(|(id, s)| s.word(now, *id, took(s))), MESSAGE_MAX);
+        let included = all.filter(|(_, server)| due(server));
+        let carried_per_s = |server: &Server| self.carried_rate(now, server.number);
+        let payload =
+            gossip::encode(included.map(|(id, s)| s.load_hint(now, *id, carried_per_s(s))), MESSAGE_MAX);
         if let Some(payload) = payload.filter(|_| !first) {
-            let to = (chance(&mut self.rng) * f64::from(others)) as u32;
+            let to = (uniform(&mut self.rng) * f64::from(others)) as u32;
             let to = if to >= self.settings.ordinal { to + 1 } else { to };
             actions.push(Action::TellPeer { to, payload });
         }
     }
 
-    fn list(&mut self, now: Micros, kind: ListKind, entries: &[Entry], actions: &mut Vec<Action>) {
+    /// Applies the server list or changes to it.
+    fn update_servers(&mut self, now: Micros, kind: ListKind, entries: &[Entry], actions: &mut Vec<Action>) {
         if kind == ListKind::Failed {
-            return actions.push(Action::Timer { at: now + WATCH_AGAIN, token: TOKEN_WATCH });
+            return actions.push(Action::Timer { at: now + SUBSCRIBE_RETRY, token: TOKEN_SUBSCRIBE });
         }
         let mut leaving = Vec::new();
         if kind == ListKind::Full {
@@ -549,10 +585,10 @@
                 (server.number, server.state) = (entry.number, entry.state);
                 continue;
             }
-            // A new process: nothing learnt of the old one holds.
-            let drawn = chance(&mut self.rng);
-            let probe_at = now + micros(drawn * seconds(self.probe_every()));
-            let fresh = Server { bucket: drawn, probe_at, ..Server::new(entry, now) };
+            // A new process: nothing learnt about its predecessor applies.
+            let drawn = uniform(&mut self.rng);
+            let probe_at = now + micros(drawn * seconds(self.probe_interval()));
+            let fresh = Server { tokens: drawn, probe_at, ..Server::new(entry, now) };
             self.servers.insert(entry.server, fresh);
             if entry.started_at.is_some_and(|at| now < at + self.settings.ramp_time) {
                 self.log(now, format!("cold start: server number {} ramps", entry.number), actions);
@@ -563,245 +599,272 @@
         }
     }
 
-    fn call(&mut self, now: Micros, call: Call, actions: &mut Vec<Action>) {
+    /// Registers a new call and routes it.
+    fn admit(&mut self, now: Micros, call: Call, actions: &mut Vec<Action>) {
         let id = call.id;
         if self.calls.contains_key(&id) {
             return;
         }
-        self.arrivals.count(now, ARRIVAL_LAG_S);
+        self.arrivals.count(now, ARRIVAL_FILTER_S);
         let Some(class) = self.settings.classes.get(call.class) else {
             return actions.push(Action::Refuse { call: id, retry_after: 0 });
         };
-        let answer_by = now.saturating_add(call.gives_up_in).saturating_sub(MARGIN);
-        // Guards against work for callers whose time has gone: a number dialled again here is most likely the
-        // same caller, whose aim counts from the first try. A cut call's counts anew.
+        let answer_by = now.saturating_add(call.gives_up_in).saturating_sub(ANSWER_MARGIN);
+        // Avoids work for callers past their target time: a number dialled again at this front is most likely
+        // the same caller, whose target time runs from the first try. It starts anew for a dropped call.
         if call.redial == Some(false) || call.was_cut || call.number == 0 {
-            self.dialled.remove(&call.number);
+            self.first_dialled.remove(&call.number);
         }
-        let first_at = *self.dialled.entry(call.number).or_insert(now);
-        let aim_at = first_at + class.aim;
+        let first_at = *self.first_dialled.entry(call.number).or_insert(now);
+        let target_at = first_at + class.aim;
         let mut worth = self.worth_of(now, &call);
-        if aim_at <= now {
+        if target_at <= now {
             worth *= self.settings.classes[call.class].late_worth;
         }
-        let aim_at = aim_at.max(now).min(answer_by);
-        self.recent.push_back(worth);
-        if self.recent.len() > RECENT_CALLS {
-            self.recent.pop_front();
+        let target_at = target_at.max(now).min(answer_by);
+        self.recent_worths.push_back(worth);
+        if self.recent_worths.len() > RECENT_CALLS {
+            self.recent_worths.pop_front();
         }
-        let pending = Pending { call, worth, aim_at, answer_by, not_before: now, ..Pending::default() };
+        let pending =
+            PendingCall { call, worth, target_at, answer_by, not_before: now, ..PendingCall::default() };
         self.calls.insert(id, pending);
         actions.push(Action::Timer { at: answer_by.max(now), token: u64::from(id) << 2 | TOKEN_DEADLINE });
-        self.place(now, id, actions);
+        self.route(now, id, actions);
     }
 
-    /// What a call is worth, as far as settings and this front's own traffic tell.
+    /// A call's worth by the settings and by this front's own traffic of its tenant.
     fn worth_of(&mut self, now: Micros, call: &Call) -> f64 {
         let mut worth = self.settings.classes.get(call.class).map_or(0.0, |class| class.worth);
         if let Some(meter) = self.tenants.get_mut(call.tenant) {
-            meter.count(now, TENANT_LAG_S);
-            let rate = meter.read(now, TENANT_LAG_S) * f64::from(self.settings.fronts);
+            meter.count(now, TENANT_FILTER_S);
+            let rate = meter.read(now, TENANT_FILTER_S) * f64::from(self.settings.fronts);
             let quota = self.settings.tenants.get(call.tenant).map_or(rate, |t| t.quota_per_s);
             if rate > quota {
                 let mean = (quota + self.settings.over_share_worth * (rate - quota)) / rate;
-                // In quarters, so that calls of about the same worth count as equal.
+                // Rounded to quarters, so that calls of about the same worth rank as equal.
                 worth *= (mean * 4.0).round() / 4.0;
             }
         }
         worth
     }
 
-    /// Shares of recent calls that are worth less than this, and as much.
+    /// The shares of recent calls that are worth less than `worth`, and exactly as much.
     fn rank(&self, worth: f64) -> (f64, f64) {
-        let total = self.recent.len().max(1) as f64;
-        let share =
-            |those: &dyn Fn(f64) -> bool| self.recent.iter().filter(|w| those(**w)).count() as f64 / total;
+        let total = self.recent_worths.len().max(1) as f64;
+        let share = |matches: &dyn Fn(f64) -> bool| {
+            self.recent_worths.iter().filter(|w| matches(**w)).count() as f64 / total
+        };
         (share(&|w| w < worth), share(&|w| w == worth).max(1.0 / total))
     }
 
-    /// The reject fraction, spent on calls of low worth first; its mean over recent calls stays alpha.
-    fn refusal(&self, alpha: f64, worth: f64) -> f64 {
+    /// Probability of rejecting a call of this worth. Calls of low worth are rejected first; the mean over
+    /// recent calls stays alpha.
+    fn reject_probability(&self, alpha: f64, worth: f64) -> f64 {
         let (below, equal) = self.rank(worth);
         ((alpha - below) / equal).clamp(0.0, 1.0)
     }
 
-    /// Set-ups a second that a number took from here while warm, once this front has lived long enough to
-    /// know: without the last one's own weight, which at a few set-ups a minute would double the estimate.
-    fn took(&self, now: Micros, number: u16) -> Option<f64> {
-        let lived = now.saturating_sub(self.born.unwrap_or(now));
-        let meter = self.carried.get(&number).filter(|_| seconds(lived) >= CARRIED_LAG_S)?;
-        // The meter began at nought with this front.
-        Some((meter.rate / lagged(seconds(lived), CARRIED_LAG_S) - 1.0 / CARRIED_LAG_S).max(0.0))
+    /// Set-ups a second that a server number carried from this front while warm; `None` until this front has
+    /// run long enough to know. The last set-up's own weight is taken off, since it would double the estimate
+    /// at a few set-ups a minute.
+    fn carried_rate(&self, now: Micros, number: u16) -> Option<f64> {
+        let uptime = now.saturating_sub(self.first_tick_at.unwrap_or(now));
+        let meter = self.carried.get(&number).filter(|_| seconds(uptime) >= CARRIED_FILTER_S)?;
+        // Corrects for the meter's start at zero together with this front.
+        Some(
+            (meter.rate / low_pass_step(seconds(uptime), CARRIED_FILTER_S) - 1.0 / CARRIED_FILTER_S).max(0.0),
+        )
     }
 
-    /// Set-ups a second that this front may send to a cold server: its own share of what the server's number
-    /// took while warm (servers differ a hundredfold, others are no guide), so that the
-    /// fronts together keep to what it can do, whoever has how much of the traffic. A told rate is best.
-    /// Guards against a fleet most of which has just started, which would leave cold servers idle: such a
-    /// front goes by the mean of what others say that they took, those with nothing included.
-    /// Where fronts share a budget, its part of that, which fronts with more to send hold more of.
-    fn ramp_rate(&self, now: Micros, server: &Server) -> f64 {
-        if let Some(share) = server.share {
+    /// Set-ups a second that this front may send to a cold server, so that the fronts together stay within
+    /// its capacity however the traffic is spread over them. In order of preference:
+    ///
+    /// 1. This front's part of a budget that the fronts share; fronts with more traffic hold more of it.
+    /// 2. The rate that the server reports, divided among the fronts.
+    /// 3. The rate that the server's number carried from this front while warm. Servers differ in capacity by
+    ///    a factor of a hundred, so that another server's rate is no measure.
+    /// 4. The mean of the rates that peers report, those that carried nothing included. Without it a fleet of
+    ///    which most fronts have just started would leave cold servers idle.
+    /// 5. This front's own carried rate of its short run so far; where there is none, the lower of the least
+    ///    rate carried at any server and this front's mean arrival rate per server.
+    fn warm_up_rate(&self, now: Micros, server: &Server) -> f64 {
+        if let Some(share) = server.budget_share {
             return share;
         }
         if let Some(rate) =
-            sane(server.report.rate).filter(|_| now.saturating_sub(server.reported_at) <= STALE)
+            valid(server.report.rate).filter(|_| now.saturating_sub(server.reported_at) <= REPORT_LIFETIME)
         {
-            return rate * self.settings.fall_multiple * RAMP_SHARE / f64::from(self.settings.fronts);
-        }
-        let carried = |meter: &Meter| (meter.rate - 1.0 / CARRIED_LAG_S).max(0.0);
-        let met = self.carried.values().filter(|meter| meter.rate > 0.0);
-        let least = met.map(carried).fold(f64::INFINITY, f64::min);
-        let own = self.arrivals.read(now, ARRIVAL_LAG_S) / self.servers.len().max(1) as f64;
-        let young = self.carried.get(&server.number).filter(|meter| meter.rate > 0.0).map(carried);
-        let told = self.told.get(&server.number).filter(|told| told.1 >= TOLD_LEAST).map(|told| told.0);
-        let full = self.took(now, server.number).or(told).or(young).unwrap_or(least.min(own));
+            return rate * self.settings.fall_multiple * WARM_UP_SHARE / f64::from(self.settings.fronts);
+        }
+        let carried = |meter: &RateMeter| (meter.rate - 1.0 / CARRIED_FILTER_S).max(0.0);
+        let measured = self.carried.values().filter(|meter| meter.rate > 0.0);
+        let least = measured.map(carried).fold(f64::INFINITY, f64::min);
+        let mean_arrivals = self.arrivals.read(now, ARRIVAL_FILTER_S) / self.servers.len().max(1) as f64;
+        let early = self.carried.get(&server.number).filter(|meter| meter.rate > 0.0).map(carried);
+        let from_peers = self
+            .peer_carried
+            .get(&server.number)
+            .filter(|samples| samples.1 >= PEER_SAMPLES_MIN)
+            .map(|samples| samples.0);
+        let warm_rate = self
+            .carried_rate(now, server.number)
+            .or(from_peers)
+            .or(early)
+            .unwrap_or(least.min(mean_arrivals));
         let age = seconds(now.saturating_sub(server.cold_since.unwrap_or(now)));
-        let warmth = age / seconds(self.settings.ramp_time.max(1));
-        let warmth = self.settings.cold_from + (1.0 - self.settings.cold_from) * warmth.min(1.0);
-        full * warmth * self.settings.fall_multiple * RAMP_SHARE
+        let capacity_fraction = age / seconds(self.settings.ramp_time.max(1));
+        let capacity_fraction =
+            self.settings.cold_from + (1.0 - self.settings.cold_from) * capacity_fraction.min(1.0);
+        warm_rate * capacity_fraction * self.settings.fall_multiple * WARM_UP_SHARE
     }
 
-    /// Servers that may take the call now.
-    fn allowed(&self, now: Micros, id: CallId) -> Vec<ServerId> {
-        let ramp = self.settings.ramp_time;
+    /// The servers to which the call may be sent now.
+    fn eligible_servers(&self, now: Micros, id: CallId) -> Vec<ServerId> {
+        let warm_up_time = self.settings.ramp_time;
         let Some(pending) = self.calls.get(&id) else { return Vec::new() };
-        // The last lines are kept for calls of more worth than most.
-        let lowly = 1.0 - self.rank(pending.worth).0;
-        let reserve = if lowly < 0.5 { 0.0 } else { lowly };
+        // The last free circuits are reserved for calls that are worth more than most.
+        let share_at_or_above = 1.0 - self.rank(pending.worth).0;
+        let reserve = if share_at_or_above < 0.5 { 0.0 } else { share_at_or_above };
         let fronts = f64::from(self.settings.fronts);
         let call = &pending.call;
-        let skilled = self.settings.classes.get(call.class).and_then(|class| class.servers.as_ref());
+        let allowed_numbers = self.settings.classes.get(call.class).and_then(|class| class.servers.as_ref());
         let fits = |server: &Server| {
             server.state == ServerState::Ready
                 && self.settings.own_number != Some(server.number)
-                && skilled.is_none_or(|numbers| numbers.contains(&server.number))
+                && allowed_numbers.is_none_or(|numbers| numbers.contains(&server.number))
                 && (!call.in_transit || call.first_choice == Some(server.number))
                 && now >= server.down_until
-                && (!server.is_cold(now, ramp) || server.bucket >= 1.0)
-                && server.free.is_none_or(|free| free > reserve * server.lines_of_all(fronts))
+                && (!server.is_cold(now, warm_up_time) || server.tokens >= 1.0)
+                && server
+                    .free
+                    .is_none_or(|free| free > reserve * server.circuits_of_one_call_per_front(fronts))
         };
-        let mut allowed: Vec<_> = self.servers.iter().filter(|(_, s)| fits(s)).map(|(id, _)| *id).collect();
-        if let Some(last) = pending.last.filter(|_| allowed.len() > 1) {
-            allowed.retain(|server| *server != last);
+        let mut eligible: Vec<_> = self.servers.iter().filter(|(_, s)| fits(s)).map(|(id, _)| *id).collect();
+        if let Some(last) = pending.last_server.filter(|_| eligible.len() > 1) {
+            eligible.retain(|server| *server != last);
         }
-        allowed
+        eligible
     }
 
-    fn clear(&self, id: &ServerId) -> bool {
+    fn rejects_nothing(&self, id: &ServerId) -> bool {
         self.servers.get(id).is_some_and(|server| server.alpha == 0.0)
     }
 
-    /// Step 5: which server the call goes to. All that are allowed show free lines.
-    fn choose(&mut self, now: Micros, id: CallId) -> Option<ServerId> {
-        let allowed = self.allowed(now, id);
+    /// Step 5: chooses the call's server. Eligible servers have free circuits as far as they report them.
+    fn choose_server(&mut self, now: Micros, id: CallId) -> Option<ServerId> {
+        let eligible = self.eligible_servers(now, id);
         let first = self.calls.get(&id)?.call.first_choice;
         let lookup = |id: &ServerId| self.servers.get(id).map(|s| s.number);
-        let direct = allowed.iter().find(|id| lookup(id) == first && self.clear(id));
-        direct.copied().or_else(|| self.emptier(&allowed))
+        let preferred = eligible.iter().find(|id| lookup(id) == first && self.rejects_nothing(id));
+        preferred.copied().or_else(|| self.less_loaded_of_two(&eligible))
     }
 
-    /// Of two random servers the one with fewer of our set-ups unanswered. At a few set-ups a minute both
-    /// have none: then the one that refuses less.
-    fn emptier(&mut self, among: &[ServerId]) -> Option<ServerId> {
+    /// Of two random servers, the one with fewer unanswered set-ups of this front. At a few set-ups a minute
+    /// both have none; then the one with the lower reject fraction.
+    fn less_loaded_of_two(&mut self, among: &[ServerId]) -> Option<ServerId> {
         let n = among.len();
-        let one = (chance(&mut self.rng) * n as f64) as usize;
-        let step = 1 + (chance(&mut self.rng) * n.saturating_sub(1) as f64) as usize;
+        let one = (uniform(&mut self.rng) * n as f64) as usize;
+        let step = 1 + (uniform(&mut self.rng) * n.saturating_sub(1) as f64) as usize;
         let two = [*among.get(one)?, among[(one + step) % n]];
         let load = |id: &ServerId| self.servers.get(id).map_or((u32::MAX, 1.0), |s| (s.unanswered, s.alpha));
         Some(if load(&two[1]) < load(&two[0]) { two[1] } else { two[0] })
     }
 
-    /// Counts a call that is meant for the server; its reject fraction.
-    fn ask(&mut self, now: Micros, id: ServerId) -> f64 {
+    /// Counts a call routed to the server and returns the server's reject fraction.
+    fn count_arrival(&mut self, now: Micros, id: ServerId) -> f64 {
         let Some(server) = self.servers.get_mut(&id) else { return 1.0 };
-        server.arrivals.count(now, ARRIVAL_LAG_S);
+        server.arrivals.count(now, ARRIVAL_FILTER_S);
         server.alpha
     }
 
-    /// Finds the call a server and sends it, holds it for its pace, or refuses it.
-    fn place(&mut self, now: Micros, id: CallId, actions: &mut Vec<Action>) {
+    /// Chooses a server for the call, then sends the call, holds it for pacing, or rejects it.
+    fn route(&mut self, now: Micros, id: CallId, actions: &mut Vec<Action>) {
         let Some(pending) = self.calls.get(&id) else { return };
-        let (worth, tries) = (pending.worth, pending.attempts);
-        let late = now + LEAST_TIME > pending.answer_by;
-        if late || tries >= self.settings.max_attempts {
-            return self.turn_away(id, actions);
+        let (worth, attempts) = (pending.worth, pending.attempts);
+        let late = now + MIN_ATTEMPT_TIME > pending.answer_by;
+        if late || attempts >= self.settings.max_attempts {
+            return self.reject(id, actions);
         }
-        if self.has_slept() {
+        if self.is_resuming() {
             return actions.push(Action::Timer { at: now + 1, token: u64::from(id) << 2 | TOKEN_RESEND });
         }
-        let Some(choice) = self.choose(now, id) else {
-            return self.turn_away(id, actions);
+        let Some(choice) = self.choose_server(now, id) else {
+            return self.reject(id, actions);
         };
-        let alpha = self.ask(now, choice);
-        // Step 3. Later attempts draw as well: the processor does not care which attempt loads it.
-        let refusal = self.refusal(alpha, worth);
-        if chance(&mut self.rng) < refusal {
-            return self.turn_away(id, actions);
+        let alpha = self.count_arrival(now, choice);
+        // Step 3. Later attempts are subject to rejection too, since each attempt loads the processor
+        // equally.
+        let reject_probability = self.reject_probability(alpha, worth);
+        if uniform(&mut self.rng) < reject_probability {
+            return self.reject(id, actions);
         }
-        self.pace(now, id, choice, actions);
+        self.send_paced(now, id, choice, actions);
     }
 
-    /// Step 4: a call is sent as its server's pace has room, or refused once past its aim.
-    fn pace(&mut self, now: Micros, id: CallId, choice: ServerId, actions: &mut Vec<Action>) {
-        let ramp = self.settings.ramp_time;
+    /// Step 4: sends the call when its server's token bucket allows, or rejects it once past its target time.
+    fn send_paced(&mut self, now: Micros, id: CallId, choice: ServerId, actions: &mut Vec<Action>) {
+        let warm_up_time = self.settings.ramp_time;
         let (Some(pending), Some(server)) = (self.calls.get_mut(&id), self.servers.get_mut(&choice)) else {
             return;
         };
-        if server.is_paced() && !server.is_cold(now, ramp) {
-            server.fill(now, server.pace_rate, BUCKET);
-            if server.bucket < 1.0 && now >= pending.aim_at {
-                return self.turn_away(id, actions);
-            } else if server.bucket < 1.0 {
-                (pending.held_at, pending.not_before) = (Some(choice), now + TICK);
-                return actions
-                    .push(Action::Timer { at: now + TICK, token: u64::from(id) << 2 | TOKEN_RESEND });
+        if server.is_paced() && !server.is_cold(now, warm_up_time) {
+            server.refill(now, server.pace_rate, PACE_BUCKET_DEPTH);
+            if server.tokens < 1.0 && now >= pending.target_at {
+                return self.reject(id, actions);
+            } else if server.tokens < 1.0 {
+                (pending.held_for, pending.not_before) = (Some(choice), now + TICK_INTERVAL);
+                return actions.push(Action::Timer {
+                    at: now + TICK_INTERVAL,
+                    token: u64::from(id) << 2 | TOKEN_RESEND,
+                });
             }
-            server.bucket -= 1.0;
+            server.tokens -= 1.0;
         }
         self.send(now, id, choice, actions);
     }
 
     fn send(&mut self, now: Micros, id: CallId, choice: ServerId, actions: &mut Vec<Action>) {
-        let ramp = self.settings.ramp_time;
+        let warm_up_time = self.settings.ramp_time;
         let (Some(pending), Some(server)) = (self.calls.get_mut(&id), self.servers.get_mut(&choice)) else {
             return;
         };
         let class = self.settings.classes.get(pending.call.class);
-        // Guards against a repeat that was in time when it was decided on, and waited for a pace or a
-        // connection: its window counts where it begins.
-        let window = match (pending.may_have_run, class.map(|class| class.repeat)) {
+        // A repeat that was within its window when decided may have waited for pacing or for a connection
+        // since. The window must hold when the repeat begins.
+        let window = match (pending.may_have_run_at, class.map(|class| class.repeat)) {
             (Some(at), Some(Repeat::Within(window))) => at.saturating_add(window).saturating_sub(now),
             _ => Micros::MAX,
         };
         if window == 0 {
-            return self.turn_away(id, actions);
+            return self.reject(id, actions);
         }
         let attempt = pending.attempts.min(u32::from(u16::MAX)) as u16;
         pending.attempts += 1;
-        pending.out = Some((attempt, choice));
-        pending.last = Some(choice);
+        pending.in_flight = Some((attempt, choice));
+        pending.last_server = Some(choice);
         pending.sent_at = now;
-        if server.is_cold(now, ramp) {
-            server.bucket -= 1.0;
+        if server.is_cold(now, warm_up_time) {
+            server.tokens -= 1.0;
         }
         server.unanswered += 1;
         self.unanswered.insert((id, attempt), choice);
-        let full = pending.answer_by.saturating_sub(now + MS).max(1);
-        // Guards against answers that get lost, while most time-outs are of that kind: a set-up stands soon
-        // or never, and a class that is safe to repeat has time for another. Could hurt where a processor
-        // slows in between: the work of the first is lost.
-        let class = class.filter(|c| c.repeat == Repeat::Safe && self.lost > LOST_MOSTLY);
-        let soon = class.map_or(full, |class| (class.aim as f64 * LOST_AFTER) as Micros);
-        let again = pending.attempts < self.settings.max_attempts
-            && full > soon + self.settings.release_guard + LEAST_TIME;
-        let timeout = if again { soon } else { full };
-        let begin_within = full.min(window);
+        let full_timeout = pending.answer_by.saturating_sub(now + MS).max(1);
+        // While most timeouts are lost answers, a set-up is established soon or never, and a class that is
+        // safe to repeat has time for another attempt. Drawback: if the processor slows down in between, the
+        // work of the first attempt is lost.
+        let class = class.filter(|c| c.repeat == Repeat::Safe && self.lost_share > LOST_SHARE_THRESHOLD);
+        let short_timeout =
+            class.map_or(full_timeout, |class| (class.aim as f64 * LOST_TIMEOUT_FRACTION) as Micros);
+        let retry_fits = pending.attempts < self.settings.max_attempts
+            && full_timeout > short_timeout + self.settings.release_guard + MIN_ATTEMPT_TIME;
+        let timeout = if retry_fits { short_timeout } else { full_timeout };
+        let begin_within = full_timeout.min(window);
         actions.push(Action::Send { call: id, server: choice, timeout, begin_within });
     }
 
-    /// An attempt is no longer out, or stands.
-    fn answered(&mut self, call: CallId, attempt: u16) {
+    /// Removes an attempt that was established or has ended from the unanswered set-ups.
+    fn remove_unanswered(&mut self, call: CallId, attempt: u16) {
         if let Some(server) = self.unanswered.remove(&(call, attempt)) {
             if let Some(server) = self.servers.get_mut(&server) {
                 server.unanswered = server.unanswered.saturating_sub(1);
@@ -809,100 +872,102 @@
         }
     }
 
-    /// What an attempt's end says of its server.
-    fn attempt_ended(&mut self, now: Micros, id: ServerId, end: &Ending, actions: &mut Vec<Action>) {
-        let Ending { outcome, lag, note } = *end;
-        let (slept, drawn) = (self.has_slept(), chance(&mut self.rng));
+    /// Updates the server's state from the end of an attempt.
+    fn attempt_ended(&mut self, now: Micros, id: ServerId, end: &AttemptEnd, actions: &mut Vec<Action>) {
+        let AttemptEnd { outcome, lag, note } = *end;
+        let (resuming, drawn) = (self.is_resuming(), uniform(&mut self.rng));
         let Some(server) = self.servers.get_mut(&id) else { return };
         if note == Note::NoLine {
             server.free = Some(0.0);
         }
         if let Note::ProcessorFull(wait) = note {
-            server.see_answer(now, seconds(wait).max(FULL_WAIT_S));
+            server.observe_answered_wait(now, seconds(wait).max(FULL_DEFAULT_WAIT_S));
         }
         match outcome {
             Outcome::ConnectFailed => {
-                // Nothing runs there: whatever answers next has just started, told or not. A pause,
-                // since each try costs its call the dial time.
+                // No process runs there: whatever answers next has just started, whether the list says so or
+                // not. The pause is there because each try costs its call the time to connect.
                 let text = format!("not reached: server number {} counts as cold", server.number);
                 server.cold_since = Some(now);
-                server.bucket = drawn;
-                server.down_until = now + micros(DOWN_PAUSE_S * (0.5 + drawn));
+                server.tokens = drawn;
+                server.down_until = now + micros(CONNECT_PAUSE_S * (0.5 + drawn));
                 self.log(now, text, actions);
             }
-            // Answers get lost too: where a set-up sent no earlier stood at once, it is no sign of load.
-            Outcome::Timeout if !slept => {
-                let lost = server.told_easy || server.stood_since(now.saturating_sub(lag));
-                self.lost += (f64::from(u8::from(lost)) - self.lost) * LOST_WEIGHT;
+            // A timeout counts as a lost answer, not as a sign of load, if the server reports a load below
+            // the set-point or if a set-up has been answered without a wait since this one was sent.
+            Outcome::Timeout if !resuming => {
+                let lost =
+                    server.reported_underload || server.answered_promptly_since(now.saturating_sub(lag));
+                self.lost_share += (f64::from(u8::from(lost)) - self.lost_share) * LOST_WEIGHT;
                 if !lost {
-                    server.see_wait(now, seconds(lag));
+                    server.observe_wait(now, seconds(lag));
                 }
             }
             _ => {}
         }
     }
 
-    /// What becomes of a call whose attempt failed.
-    fn after_failure(&mut self, now: Micros, id: CallId, end: &Ending, actions: &mut Vec<Action>) {
-        let Ending { outcome, note, .. } = *end;
-        let guard = self.settings.release_guard;
+    /// Retries or rejects a call whose attempt failed.
+    fn retry_or_reject(&mut self, now: Micros, id: CallId, end: &AttemptEnd, actions: &mut Vec<Action>) {
+        let AttemptEnd { outcome, note, .. } = *end;
+        let holdoff = self.settings.release_guard;
         let Some(pending) = self.calls.get_mut(&id) else { return };
-        pending.out = None;
+        pending.in_flight = None;
         let never_ran = matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot);
-        if !never_ran && pending.may_have_run.is_none() {
-            pending.may_have_run = Some(pending.sent_at);
+        if !never_ran && pending.may_have_run_at.is_none() {
+            pending.may_have_run_at = Some(pending.sent_at);
         }
         let repeat = self.settings.classes.get(pending.call.class).map_or(Repeat::Never, |c| c.repeat);
-        let again = match (pending.may_have_run, repeat) {
+        let may_repeat = match (pending.may_have_run_at, repeat) {
             (None, _) | (_, Repeat::Safe) => true,
-            (Some(at), Repeat::Within(window)) => now + guard < at.saturating_add(window),
+            (Some(at), Repeat::Within(window)) => now + holdoff < at.saturating_add(window),
             (Some(_), Repeat::Never) => false,
         };
-        if !again || note == Note::NumberBusy || now + LEAST_TIME > pending.answer_by {
-            return self.turn_away(id, actions);
+        if !may_repeat || note == Note::NumberBusy || now + MIN_ATTEMPT_TIME > pending.answer_by {
+            return self.reject(id, actions);
         }
         if never_ran || outcome == Outcome::Error {
-            return self.place(now, id, actions);
+            return self.route(now, id, actions);
         }
-        pending.not_before = now + guard + GUARD_SLACK;
+        pending.not_before = now + holdoff + HOLDOFF_SLACK;
         actions.push(Action::Timer { at: pending.not_before, token: u64::from(id) << 2 | TOKEN_RESEND });
     }
 
-    /// The final answer: refused while no attempt may have run or repeats are safe, else failed.
-    fn turn_away(&mut self, id: CallId, actions: &mut Vec<Action>) {
+    /// Gives the final answer: failed if an attempt may have run and the class must not repeat, else refused.
+    fn reject(&mut self, id: CallId, actions: &mut Vec<Action>) {
         let Some(pending) = self.calls.remove(&id) else { return };
         let repeat = self.settings.classes.get(pending.call.class).map_or(Repeat::Never, |c| c.repeat);
-        if pending.may_have_run.is_some() && repeat == Repeat::Never {
+        if pending.may_have_run_at.is_some() && repeat == Repeat::Never {
             actions.push(Action::Fail(id));
         } else {
-            // Spread over the time that callers heed, so that a wave of redials does not come back as one.
-            let retry_after = micros(chance(&mut self.rng) * seconds(self.settings.max_retry_after));
+            // Spread over the longest time that callers honour, so that redials do not return in one wave.
+            let retry_after = micros(uniform(&mut self.rng) * seconds(self.settings.max_retry_after));
             actions.push(Action::Refuse { call: id, retry_after });
         }
     }
 
-    fn timer(&mut self, now: Micros, id: CallId, kind: u64, actions: &mut Vec<Action>) {
+    fn handle_call_timer(&mut self, now: Micros, id: CallId, kind: u64, actions: &mut Vec<Action>) {
         let Some(pending) = self.calls.get_mut(&id) else { return };
         match kind {
             TOKEN_DEADLINE if now + MS >= pending.answer_by => {
-                // The last resort of every held call, whatever it waits for.
-                if let Some((attempt, _)) = pending.out {
+                // Final deadline of every held call, whatever it waits for.
+                if let Some((attempt, _)) = pending.in_flight {
                     if self.settings.may_cancel {
                         actions.push(Action::Cancel { call: id, attempt });
                     }
                     self.calls.remove(&id);
                     actions.push(Action::Fail(id));
                 } else {
-                    self.turn_away(id, actions);
+                    self.reject(id, actions);
                 }
             }
-            TOKEN_RESEND if now >= pending.not_before && pending.out.is_none() => {
-                let held_at = pending.held_at.take();
+            TOKEN_RESEND if now >= pending.not_before && pending.in_flight.is_none() => {
+                let held_for = pending.held_for.take();
                 let ready =
                     |id: &ServerId| self.servers.get(id).is_some_and(|s| s.state == ServerState::Ready);
-                match held_at.filter(ready) {
-                    Some(server) if !self.has_slept() => self.pace(now, id, server, actions),
-                    _ => self.place(now, id, actions),
+                match held_for.filter(ready) {
+                    Some(server) if !self.is_resuming() => self.send_paced(now, id, server, actions),
+                    _ => self.route(now, id, actions),
                 }
             }
             _ => {}
--- a/tests/binary.rs
+++ b/tests/binary.rs
@@ -1,4 +1,4 @@
-//! The built adapter on frames made by hand.
+//! Tests of the adapter binary on hand-built frames.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -46,7 +46,7 @@
     out
 }
 
-fn members(front: u16, mode: u8, set: u32) -> Vec<u8> {
+fn list_update(front: u16, mode: u8, set: u32) -> Vec<u8> {
     let mut out = 1010u16.to_le_bytes().to_vec();
     out.extend(front.to_le_bytes());
     out.push(mode);
@@ -70,7 +70,7 @@
     out
 }
 
-fn down(front: u16) -> Vec<u8> {
+fn stop(front: u16) -> Vec<u8> {
     [1090u16.to_le_bytes(), front.to_le_bytes()].concat()
 }
 
@@ -81,12 +81,12 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // It may stop reading at the first fault; that is not the test's fault.
+    // The adapter may stop reading at the first malformed input, so a failed write is not an error.
     let _ = child.stdin.take().expect("a pipe").write_all(input);
     child.wait_with_output().expect("the adapter ends")
 }
 
-/// Replies as (record codes, bytes).
+/// Splits the output into replies: the number of records and their bytes.
 fn replies(output: &[u8]) -> Vec<(u32, Vec<u8>)> {
     let mut at = 0;
     let mut all = Vec::new();
@@ -99,7 +99,7 @@
     all
 }
 
-fn dispatches(body: &[u8]) -> Vec<[u8; 6]> {
+fn sent_servers(body: &[u8]) -> Vec<[u8; 6]> {
     let mut at = 0;
     let mut found = Vec::new();
     while at < body.len() {
@@ -121,47 +121,47 @@
 }
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply_and_closed_input_ends_well() {
+fn empty_batch_and_end_of_input() {
     let output = run(&frame(1.0, &[]));
     assert_eq!(output.stdout, [0; 8]);
     assert!(output.status.success() && output.stderr.is_empty());
 }
 
 #[test]
-fn a_call_is_dispatched_to_the_server_as_it_was_named() {
-    let setup = [spawn(3, CONFIG), list(0, &[2, 2]), members(3, 4, 0), inbound(3, 77)];
+fn call_is_sent_to_listed_server() {
+    let setup = [spawn(3, CONFIG), list(0, &[2, 2]), list_update(3, 4, 0), inbound(3, 77)];
     let output = run(&frame(9.0, &setup));
     assert!(output.status.success());
     let replies = replies(&output.stdout);
     assert_eq!(replies.len(), 1);
-    assert_eq!(dispatches(&replies[0].1), [SERVER]);
+    assert_eq!(sent_servers(&replies[0].1), [SERVER]);
 }
 
 #[test]
-fn stop_and_start_in_one_batch_and_reused_list_numbers() {
-    // The second list takes over number 0; the fresh instance knows only that one, where all drain.
+fn instance_restart_and_list_redefinition_in_one_batch() {
+    // The second list redefines number 0; the new instance knows only that list, in which all servers drain.
     let batch = [
         spawn(3, CONFIG),
         list(0, &[2]),
-        members(3, 4, 0),
-        down(3),
+        list_update(3, 4, 0),
+        stop(3),
         inbound(3, 1),
         spawn(3, CONFIG),
         list(0, &[1]),
-        members(3, 4, 0),
+        list_update(3, 4, 0),
         inbound(3, 2),
-        members(3, 2, 15),
+        list_update(3, 2, 15),
         inbound(5, 3),
     ];
     let output = run(&[frame(9.0, &batch), frame(9.5, &[])].concat());
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     let replies = replies(&output.stdout);
-    assert_eq!((replies.len(), dispatches(&replies[0].1).len()), (2, 0));
+    assert_eq!((replies.len(), sent_servers(&replies[0].1).len()), (2, 0));
 }
 
 #[test]
-fn instances_share_nothing() {
-    let one = |front| [spawn(front, CONFIG), list(0, &[2, 2]), members(front, 4, 0), inbound(front, 5)];
+fn instances_are_independent() {
+    let one = |front| [spawn(front, CONFIG), list(0, &[2, 2]), list_update(front, 4, 0), inbound(front, 5)];
     let both = run(&frame(9.0, &[one(1), one(2)].concat()));
     let alone = run(&frame(9.0, &one(2)));
     let both = replies(&both.stdout).remove(0).1;
@@ -170,16 +170,16 @@
 }
 
 #[test]
-fn a_long_batch_is_answered_whole() {
-    let mut batch = vec![spawn(3, CONFIG), list(0, &[2, 2]), members(3, 4, 0)];
+fn long_batch_is_answered_completely() {
+    let mut batch = vec![spawn(3, CONFIG), list(0, &[2, 2]), list_update(3, 4, 0)];
     batch.extend((0..20_000).map(|id| inbound(3, id)));
     let output = run(&frame(9.0, &batch));
     let (count, body) = replies(&output.stdout).remove(0);
-    assert_eq!(dispatches(&body).len(), 20_000);
-    assert!(count >= 40_000, "a timer each as well");
+    assert_eq!(sent_servers(&body).len(), 20_000);
+    assert!(count >= 40_000, "each call sets a timer as well");
 }
 
-fn fails(input: &[u8], with: &str) {
+fn assert_fails(input: &[u8], with: &str) {
     let output = run(input);
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(!output.status.success(), "must not end well: {text}");
@@ -188,14 +188,14 @@
 }
 
 #[test]
-fn bad_input_ends_with_one_plain_line() {
+fn malformed_input_ends_with_one_line_error() {
     let good = frame(1.0, &[spawn(3, CONFIG)]);
-    fails(&good[..9], "inside the header");
-    fails(&good[..40], "input ends after");
-    fails(&frame(1.0, &[4242u16.to_le_bytes().to_vec()]), "unknown record code 4242");
-    fails(&frame(1.0, &[spawn(3, "{\"balancers\": 2}")]), "unusable settings");
-    fails(&frame(1.0, &[spawn(3, &CONFIG.replace("\"balancers\": 2", "\"balancers\": 0"))]), "fronts");
-    fails(&frame(1.0, &[inbound(3, 1)[..20].to_vec()]), "ends inside");
-    fails(&frame(f64::NAN, &[]), "clock");
-    fails(&frame(1.0, &[spawn(3, CONFIG), members(3, 4, 7)]), "list 7");
+    assert_fails(&good[..9], "inside the header");
+    assert_fails(&good[..40], "input ends after");
+    assert_fails(&frame(1.0, &[4242u16.to_le_bytes().to_vec()]), "unknown record code 4242");
+    assert_fails(&frame(1.0, &[spawn(3, "{\"balancers\": 2}")]), "unusable settings");
+    assert_fails(&frame(1.0, &[spawn(3, &CONFIG.replace("\"balancers\": 2", "\"balancers\": 0"))]), "fronts");
+    assert_fails(&frame(1.0, &[inbound(3, 1)[..20].to_vec()]), "ends inside");
+    assert_fails(&frame(f64::NAN, &[]), "clock");
+    assert_fails(&frame(1.0, &[spawn(3, CONFIG), list_update(3, 4, 7)]), "list 7");
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A hand-driven front: small settings, events by name, actions collected.
+//! A front driven by hand: small settings, a method for each event, and helpers that inspect the actions.
 #![allow(dead_code)]
 
 use baydrift::interface::*;
@@ -39,26 +39,26 @@
     }
 }
 
-pub fn line(server: ServerId, number: u16) -> Entry {
+pub fn entry(server: ServerId, number: u16) -> Entry {
     Entry { server, number, state: ServerState::Ready, started_at: None }
 }
 
 pub struct Front {
     pub controller: Controller,
     pub now: Micros,
-    pub next: CallId,
-    /// Timers asked for and not yet due, but for the loop's own.
+    pub next_id: CallId,
+    /// Pending timers, except that of the control loop.
     timers: Vec<(Micros, u64)>,
 }
 
 impl Front {
-    pub fn with(settings: Settings, servers: &[Entry]) -> Self {
-        Self::seeded(settings, servers, 42)
+    pub fn new(settings: Settings, servers: &[Entry]) -> Self {
+        Self::with_seed(settings, servers, 42)
     }
 
-    pub fn seeded(settings: Settings, servers: &[Entry], seed: u64) -> Self {
+    pub fn with_seed(settings: Settings, servers: &[Entry], seed: u64) -> Self {
         let controller = Controller::new(settings, seed).expect("usable settings");
-        let mut front = Self { controller, now: S, next: 1, timers: Vec::new() };
+        let mut front = Self { controller, now: S, next_id: 1, timers: Vec::new() };
         front.event(Event::List(ListKind::Full, servers.to_vec()));
         front
     }
@@ -70,19 +70,19 @@
         actions
     }
 
-    /// Lets time pass in loop ticks; returns everything done meanwhile.
-    pub fn pass(&mut self, span: Micros) -> Vec<Action> {
+    /// Advances the time by `span` in steps of one tick and returns all actions.
+    pub fn advance(&mut self, span: Micros) -> Vec<Action> {
         let end = self.now + span;
         let mut actions = Vec::new();
         while self.now < end {
             self.now = (self.now + 50 * MS).min(end);
-            actions.extend(self.due());
+            actions.extend(self.fire_due_timers());
         }
         actions
     }
 
-    /// The loop's own timer and those that are due by now.
-    pub fn due(&mut self) -> Vec<Action> {
+    /// Fires the control loop's timer and all timers that are due.
+    pub fn fire_due_timers(&mut self) -> Vec<Action> {
         let mut actions = self.event(Event::Timer(0));
         let all = std::mem::take(&mut self.timers);
         let (due, later): (Vec<_>, Vec<_>) = all.into_iter().partition(|(at, _)| *at <= self.now);
@@ -94,8 +94,8 @@
     }
 
     pub fn call_with(&mut self, change: impl FnOnce(&mut Call)) -> (CallId, Vec<Action>) {
-        let id = self.next;
-        self.next += 1;
+        let id = self.next_id;
+        self.next_id += 1;
         let mut call = Call {
             id,
             class: 0,
@@ -115,7 +115,7 @@
         self.call_with(|_| {})
     }
 
-    pub fn stands(&mut self, call: CallId, server: ServerId, lag: Micros) -> Vec<Action> {
+    pub fn established(&mut self, call: CallId, server: ServerId, lag: Micros) -> Vec<Action> {
         self.event(Event::Stands { call, attempt: 0, server, lag })
     }
 
@@ -132,26 +132,27 @@
         self.event(Event::Ended { call, attempt, server, outcome, lag, complete: false, note, report })
     }
 
-    /// An attempt was not answered in time, and its caller leaves.
+    /// Ends an attempt by timeout; its caller disconnects.
     pub fn timed_out(&mut self, call: CallId, server: ServerId, lag: Micros) {
         let (outcome, note, report) = (Outcome::Timeout, Note::None, Report::default());
         self.event(Event::Ended { call, attempt: 0, server, outcome, lag, complete: true, note, report });
     }
 
-    /// A call that this front held ended elsewhere in time; it brings a report.
+    /// Delivers a load report with the end of an unrelated call.
     pub fn report(&mut self, server: ServerId, report: Report) {
         let (call, outcome, lag, note) = (u32::MAX, Outcome::Ok, S, Note::None);
         self.event(Event::Ended { call, attempt: 0, server, outcome, lag, complete: true, note, report });
     }
 
-    /// Share of `n` calls, one each 20 ms, that are refused at once; those sent stand at once.
+    /// Share of `n` calls, one each millisecond, that are refused at once. Those sent are established after
+    /// 20 ms by their set-up time.
     pub fn refused_share(&mut self, n: usize, class: usize) -> f64 {
         let mut refused = 0;
         for _ in 0..n {
             let (id, actions) = self.call_with(|call| call.class = class);
             match sent(&actions) {
                 Some((server, _)) => {
-                    self.stands(id, server, 20 * MS);
+                    self.established(id, server, 20 * MS);
                 }
                 None => refused += usize::from(is_refused(&actions)),
             }
--- a/tests/design.rs
+++ b/tests/design.rs
@@ -1,20 +1,20 @@
-//! Steps 1 to 5 of the design page, each by what a front can see.
+//! Steps 1 to 5 of the design page, tested through the actions that a front receives.
 
 mod common;
 use baydrift::interface::*;
 use common::*;
 
 fn with_report(report: Report, seconds: u64) -> Front {
-    let mut front = Front::with(settings(), &[line(10, 0)]);
-    // Calls at a steady pace, so that queue and rate targets have a rate to go by.
+    let mut front = Front::new(settings(), &[entry(10, 0)]);
+    // Calls arrive at a steady rate, which the queue and rate set-points need.
     for _ in 0..seconds * 5 {
         front.report(10, report);
         for _ in 0..2 {
             let (id, actions) = front.call();
             if sent(&actions).is_some() {
-                front.stands(id, 10, 20 * MS);
+                front.established(id, 10, 20 * MS);
             }
-            front.pass(100 * MS);
+            front.advance(100 * MS);
         }
     }
     front.report(10, report);
@@ -22,21 +22,21 @@
 }
 
 #[test]
-fn steps_1_to_3_each_report_kind_drives_the_reject_fraction_up_and_rest_does_not() {
+fn steps_1_to_3_reject_calls_on_high_reported_load() {
     let none = Report::default();
-    let pressed = [
+    let overloaded = [
         Report { busy: Some(1.0), ..none },
         Report { wait_s: Some(1.5), ..none },
         Report { queue: Some(60.0), ..none },
         Report { hold_back: Some(0.6), ..none },
     ];
-    let rest = [
+    let underloaded = [
         Report { busy: Some(0.5), ..none },
         Report { wait_s: Some(0.05), ..none },
         Report { queue: Some(0.0), ..none },
         Report { hold_back: Some(0.0), ..none },
     ];
-    for (high, low) in pressed.into_iter().zip(rest) {
+    for (high, low) in overloaded.into_iter().zip(underloaded) {
         let share = with_report(high, 8).refused_share(300, 0);
         assert!(share > 0.2, "{high:?}: {share}");
         let share = with_report(low, 8).refused_share(300, 0);
@@ -45,69 +45,69 @@
 }
 
 #[test]
-fn a_told_share_is_the_reject_fraction() {
+fn reported_reduction_is_the_reject_fraction() {
     let share = with_report(Report { hold_back: Some(0.4), ..Report::default() }, 4).refused_share(1000, 0);
     assert!((share - 0.4).abs() < 0.05, "{share}");
 }
 
 #[test]
-fn the_told_share_comes_first_where_several_values_are_told() {
+fn reported_reduction_takes_precedence() {
     let report = Report { hold_back: Some(0.0), queue: Some(99.0), busy: Some(1.0), ..Report::default() };
     assert_eq!(with_report(report, 4).refused_share(200, 0), 0.0);
 }
 
 #[test]
-fn a_told_rate_under_what_is_asked_refuses_where_set_up_times_are_not_seen() {
-    // Guards against a server too small from the start: 10 calls a second to one that can take 0.5.
-    let mut front = Front::with(settings(), &[line(10, 0)]);
+fn reported_rate_below_requested_rate_rejects_calls() {
+    // A server that was too small from the start: 10 calls a second to one that accepts 0.5.
+    let mut front = Front::new(settings(), &[entry(10, 0)]);
     let mut refused = 0;
     for _ in 0..80 {
         front.report(10, Report { rate: Some(0.5), ..Report::default() });
         let (id, actions) = front.call();
         refused += u32::from(is_refused(&actions));
         front.event(Event::Abandoned(id));
-        front.pass(100 * MS);
+        front.advance(100 * MS);
     }
     assert!(refused > 35, "{refused} of 80");
 }
 
 #[test]
-fn a_steady_noisy_rate_refuses_nothing() {
-    // Guards against noise winding the integral: 1 - rate/highest is never negative.
-    let mut front = Front::with(settings(), &[line(10, 0)]);
+fn noisy_steady_rate_rejects_nothing() {
+    // An error of 1 - rate/highest is never negative, so that noise alone would wind up the integral.
+    let mut front = Front::new(settings(), &[entry(10, 0)]);
     for i in 0..200u32 {
         let rate = 40.0 + f64::from(i * 7 % 11) - 5.0;
         front.report(10, Report { rate: Some(rate), ..Report::default() });
         let (id, actions) = front.call();
         assert!(sent(&actions).is_some());
-        front.stands(id, 10, 20 * MS);
-        front.pass(200 * MS);
+        front.established(id, 10, 20 * MS);
+        front.advance(200 * MS);
     }
 }
 
 #[test]
-fn step_4_sends_are_paced_where_queue_and_rate_are_told_and_only_there() {
+fn step_4_paces_sends_if_queue_and_rate_are_reported() {
     let both = Report { queue: Some(8.0), rate: Some(20.0), ..Report::default() };
-    let mut front = Front::with(settings(), &[line(10, 0)]);
+    let mut front = Front::new(settings(), &[entry(10, 0)]);
     front.report(10, both);
-    front.pass(100 * MS);
+    front.advance(100 * MS);
     let outcomes: Vec<_> = (0..10).map(|_| front.call().1).collect();
     let at_once = outcomes.iter().filter(|a| sent(a).is_some()).count();
     let held = outcomes.iter().filter(|a| sent(a).is_none() && !is_refused(a)).count();
     assert!(at_once <= 2 && held >= 5, "{at_once} sent, {held} held");
-    // A queue that has gone lets them go.
+    // They are sent once the queue is empty.
     front.report(10, Report { queue: Some(0.0), ..both });
-    let later = front.pass(2 * S);
+    let later = front.advance(2 * S);
     assert!(later.iter().filter(|a| matches!(a, Action::Send { .. })).count() >= 3);
-    // Queue alone: at once.
-    let mut front = Front::with(settings(), &[line(10, 0)]);
+    // With only the queue reported, calls are sent at once.
+    let mut front = Front::new(settings(), &[entry(10, 0)]);
     front.report(10, Report { queue: Some(1.0), ..Report::default() });
     assert!((0..10).all(|_| sent(&front.call().1).is_some()));
 }
 
 #[test]
-fn step_4_held_calls_past_their_aim_are_refused() {
-    let mut front = Front::with(settings(), &[line(10, 0)]);
+fn step_4_rejects_held_calls_past_target_time() {
+    let mut front = Front::new(settings(), &[entry(10, 0)]);
     let mut waiting = Vec::new();
     let mut refused = 0;
     for _ in 0..60 {
@@ -117,7 +117,7 @@
             waiting.push(id);
         }
         refused += front
-            .pass(100 * MS)
+            .advance(100 * MS)
             .iter()
             .filter(|a| matches!(a, Action::Refuse { call, .. } if waiting.contains(call)))
             .count();
@@ -126,14 +126,14 @@
 }
 
 #[test]
-fn step_5_first_choice_while_clear_else_the_one_with_fewer_unanswered() {
-    let servers = [line(10, 0), line(11, 1), line(12, 2)];
-    let mut front = Front::with(settings(), &servers);
+fn step_5_prefers_first_choice_then_fewer_unanswered() {
+    let servers = [entry(10, 0), entry(11, 1), entry(12, 2)];
+    let mut front = Front::new(settings(), &servers);
     assert!(
         (0..10).all(|_| sent(&front.call().1).map(|s| s.0) == Some(10)),
-        "first choice whatever is unanswered"
+        "the first choice takes all, whatever is unanswered"
     );
-    // Its lines are gone: of two others, the emptier.
+    // Without free circuits at the first choice, the less loaded of the two others is taken.
     front.event(Event::Probed {
         server: 10,
         outcome: Outcome::Ok,
@@ -149,9 +149,9 @@
 }
 
 #[test]
-fn servers_that_report_only_by_probe_are_probed_slowly_and_only_if_allowed() {
+fn probes_servers_slowly_and_only_if_allowed() {
     let probes = |settings: Settings| {
-        let actions = Front::with(settings, &[line(10, 0), line(11, 1)]).pass(10 * S);
+        let actions = Front::new(settings, &[entry(10, 0), entry(11, 1)]).advance(10 * S);
         actions.iter().filter(|a| matches!(a, Action::Probe(_))).count()
     };
     let by_probe = Settings { reports: ReportPath::Probes, may_probe: true, ..settings() };
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -1,4 +1,5 @@
-//! Odd event orders: whatever comes, no panic, one answer a call, one attempt out, equal actions.
+//! Property tests with arbitrary event orders: no panic, one answer and one attempt in flight per call, and
+//! deterministic actions.
 
 mod common;
 use std::collections::BTreeMap;
@@ -56,8 +57,9 @@
             was_cut: false,
         })
     });
-    let stands = (0..60u32, 0..3u16, 0..5u64, any::<u64>());
-    let stands = stands.prop_map(|(call, attempt, server, lag)| Event::Stands { call, attempt, server, lag });
+    let established = (0..60u32, 0..3u16, 0..5u64, any::<u64>());
+    let established =
+        established.prop_map(|(call, attempt, server, lag)| Event::Stands { call, attempt, server, lag });
     let ended = (0..60u32, 0..3u16, 0..5u64, outcome.clone(), any::<u64>(), any::<bool>(), note, report());
     let ended = ended.prop_map(|(call, attempt, server, outcome, lag, complete, note, report)| {
         Event::Ended { call, attempt, server, outcome, lag, complete, note, report }
@@ -68,7 +70,7 @@
     prop_oneof![
         2 => (kind, prop::collection::vec(entry, 0..4)).prop_map(|(kind, list)| Event::List(kind, list)),
         8 => call,
-        4 => stands,
+        4 => established,
         6 => ended,
         2 => probed,
         1 => (0..60u32).prop_map(Event::Abandoned),
@@ -90,7 +92,7 @@
 }
 
 #[test]
-fn odd_event_orders_break_no_rule() {
+fn arbitrary_event_orders_keep_rules() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, rng);
@@ -98,18 +100,18 @@
     let outcome = runner.run(&events, |events| {
         let replies = run(&events);
         prop_assert_eq!(&replies, &run(&events), "the same events give the same actions");
-        // Calls as the front sees them: open ones, with the attempt that is out and the next number.
+        // The open calls, each with its attempt in flight and the index of the next attempt.
         let mut open: BTreeMap<CallId, (Option<u16>, u16)> = BTreeMap::new();
-        let mut draining: BTreeMap<ServerId, bool> = BTreeMap::new();
+        let mut ready: BTreeMap<ServerId, bool> = BTreeMap::new();
         for ((_, event), actions) in events.iter().zip(&replies) {
             match event {
                 Event::List(ListKind::Failed, _) => {}
                 Event::List(kind, list) => {
                     if *kind == ListKind::Full {
-                        draining.clear();
+                        ready.clear();
                     }
                     for entry in list {
-                        draining.insert(entry.server, entry.state == ServerState::Ready);
+                        ready.insert(entry.server, entry.state == ServerState::Ready);
                     }
                 }
                 Event::Call(call) => {
@@ -133,12 +135,8 @@
                         let state = open.get_mut(call);
                         prop_assert!(state.is_some(), "sent for a call that is over");
                         let Some(state) = state else { continue };
-                        prop_assert!(state.0.is_none(), "two attempts out");
-                        prop_assert_eq!(
-                            draining.get(server),
-                            Some(&true),
-                            "sent to a server that is not ready"
-                        );
+                        prop_assert!(state.0.is_none(), "two attempts in flight");
+                        prop_assert_eq!(ready.get(server), Some(&true), "sent to a server that is not ready");
                         *state = (Some(state.1), state.1 + 1);
                         prop_assert!(u32::from(state.1) <= settings().max_attempts);
                     }
@@ -155,7 +153,7 @@
 }
 
 #[test]
-fn unusable_settings_are_typed_errors() {
+fn invalid_settings_are_rejected() {
     let bad = Settings { fronts: 0, ..settings() };
     assert_eq!(Controller::new(bad, 1).err(), Some(SettingsError::Zero("fronts")));
     let bad = Settings { cold_from: f64::NAN, ..settings() };
@@ -164,16 +162,16 @@
 
 #[test]
 fn memory_stays_bounded_over_a_long_stream() {
-    let mut front = Front::with(settings(), &[line(10, 0), line(11, 1)]);
+    let mut front = Front::new(settings(), &[entry(10, 0), entry(11, 1)]);
     let mut size = 0;
     for i in 0..20_000u64 {
         let (id, actions) = front.call_with(|call| call.number = i);
         if let Some((server, _)) = sent(&actions) {
-            front.stands(id, server, 20 * MS);
+            front.established(id, server, 20 * MS);
         }
         if i % 100 == 0 {
-            let fresh = Entry { started_at: Some(front.now), ..line(1000 + i, 2) };
-            let old = Entry { state: ServerState::Gone, ..line(1000 + i.saturating_sub(100), 2) };
+            let fresh = Entry { started_at: Some(front.now), ..entry(1000 + i, 2) };
+            let old = Entry { state: ServerState::Gone, ..entry(1000 + i.saturating_sub(100), 2) };
             front.event(Event::List(ListKind::Delta, vec![fresh, old]));
         }
         front.now += 10 * MS;
