--- a/crates/call/src/engine.rs
+++ b/crates/call/src/engine.rs
@@ -400,8 +400,8 @@
                 lag: 0,
                 report: Report::default(),
             }),
-            Action::TellPeer { to, payload } => out.push(Output::Tell { to, payload }),
-            Action::Watch => out.push(Output::Watch),
+            Action::SendPeerMessage { to, payload } => out.push(Output::Tell { to, payload }),
+            Action::Subscribe => out.push(Output::Watch),
             Action::Timer { at, token } => self.timers.set(at, Timer::Module(token)),
             Action::Log(text) => out.push(Output::Log(text)),
         }
@@ -757,7 +757,7 @@
         attempt.stage = Stage::Standing;
         let Attempt { call, index, server, sent_at, .. } = *attempt;
         let lag = self.now.saturating_sub(sent_at);
-        self.events.push_back(Event::Stands { call, attempt: index, server, lag });
+        self.events.push_back(Event::Established { call, attempt: index, server, lag });
         self.news(server, report);
         if let Some(held) = self.calls.get_mut(&call) {
             held.phase = Phase::Standing(id);
--- a/crates/call/src/engine/fleet.rs
+++ b/crates/call/src/engine/fleet.rs
@@ -33,7 +33,7 @@
         let may_live = |ordinal| lives.is_none_or(|lives| lives.may_live(ordinal));
         let Beat { words, shares } = shared.beat(self.now, &self.pool.temperatures(self.now), may_live);
         out.extend(words.iter().map(|(to, word)| tell(BUDGETS, *to, word)));
-        self.events.extend(shares.into_iter().map(|(server, per_s)| Event::Share { server, per_s }));
+        self.events.extend(shares.into_iter().map(|(server, per_s)| Event::BudgetShare { server, per_s }));
         self.timers.set(self.now.saturating_add(BEAT), Timer::Budgets);
     }
 
@@ -81,7 +81,7 @@
             (Some((&BUDGETS, word)), Some(shared)) => {
                 out.extend(shared.hear(self.now, from, word).map(|answer| tell(BUDGETS, from, &answer)));
             }
-            _ => self.events.push_back(Event::Peer { from, payload }),
+            _ => self.events.push_back(Event::PeerMessage { from, payload }),
         }
     }
 }
--- a/crates/day/src/baseline.rs
+++ b/crates/day/src/baseline.rs
@@ -74,7 +74,7 @@
                 self.servers.extend(entries.iter().map(|entry| (entry.server, entry.state)));
             }
             Event::Call(call) => self.taken(now, &call, actions),
-            Event::Stands { call, .. } | Event::Abandoned(call) => drop(self.calls.remove(&call)),
+            Event::Established { call, .. } | Event::Abandoned(call) => drop(self.calls.remove(&call)),
             Event::Ended { call, attempt, outcome, complete, note, .. } => {
                 let Some(pending) = self.calls.get_mut(&call).filter(|p| p.out == Some(attempt)) else {
                     return;
@@ -106,7 +106,7 @@
                     self.place(now, id, actions);
                 }
             }
-            Event::Probed { .. } | Event::Peer { .. } | Event::Share { .. } => {}
+            Event::Probed { .. } | Event::PeerMessage { .. } | Event::BudgetShare { .. } => {}
         }
     }
 }
--- a/crates/emulator/src/ramps.rs
+++ b/crates/emulator/src/ramps.rs
@@ -198,7 +198,7 @@
             match action {
                 Action::Send { call, server, .. } => self.sends(front, call, server),
                 Action::Timer { at, token } => self.queue.at(at, Happens::Timer(front, process, token)),
-                Action::TellPeer { to, payload } => {
+                Action::SendPeerMessage { to, payload } => {
                     let after = self.rng.random_range(0..WORD);
                     self.queue.at(now + after, Happens::Word(to, front, payload));
                 }
@@ -264,7 +264,7 @@
             }
             Happens::Stands(front, process, call, attempt, server) => {
                 if self.fronts[front as usize].process == process {
-                    self.tell(front, Event::Stands { call, attempt, server, lag: ANSWERED });
+                    self.tell(front, Event::Established { call, attempt, server, lag: ANSWERED });
                     let report = Report { wait_s: Some(0.01), ..Report::default() };
                     let outcome = Outcome::Ok;
                     self.tell(front, Event::Probed { server, outcome, lag: 0, report });
@@ -272,7 +272,7 @@
             }
             Happens::Word(to, from, payload) => {
                 if to < self.spec.fronts {
-                    self.tell(to, Event::Peer { from, payload });
+                    self.tell(to, Event::PeerMessage { from, payload });
                 }
             }
             Happens::Learns(front) => {
--- a/src/bin/baydrift-wirehost/host.rs
+++ b/src/bin/baydrift-wirehost/host.rs
@@ -127,7 +127,7 @@
                 Event::List(kind, entries)
             }
             1020 => read_call(fields, marks_redials)?,
-            1030 => Event::Stands {
+            1030 => Event::Established {
                 call: fields.u32("rid")?,
                 attempt: fields.u16("go")?,
                 server: fields.server("server")?,
@@ -164,7 +164,7 @@
             _ => {
                 let from = fields.u32("by")?;
                 let size = usize::from(fields.u16("payload size")?);
-                Event::Peer { from, payload: fields.take(size, "payload")?.to_vec() }
+                Event::PeerMessage { from, payload: fields.take(size, "payload")?.to_vec() }
             }
         };
         let Some(instance) = self.instances.get_mut(&front) else {
@@ -276,13 +276,13 @@
             put_head(out, 1080, front);
             put_server(out, *server);
         }
-        Action::TellPeer { to, payload } => {
+        Action::SendPeerMessage { to, payload } => {
             put_head(out, 1070, front);
             out.extend_from_slice(&to.to_le_bytes());
             out.extend_from_slice(&(payload.len() as u16).to_le_bytes());
             out.extend_from_slice(payload);
         }
-        Action::Watch => {
+        Action::Subscribe => {
             put_head(out, 1100, front);
             out.push(1);
         }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -275,7 +275,7 @@
     /// A new call.
     Call(Call),
     /// A call was established.
-    Stands {
+    Established {
         /// The call.
         call: CallId,
         /// Index of the attempt, from 0.
@@ -318,14 +318,14 @@
         report: Report,
     },
     /// A gossip message from another front.
-    Peer {
+    PeerMessage {
         /// Index of that front.
         from: u32,
         /// The message.
         payload: Vec<u8>,
     },
     /// This front's remaining part of a cold server's budget, where fronts share one. Valid until the next.
-    Share {
+    BudgetShare {
         /// The server.
         server: ServerId,
         /// Set-ups a second.
@@ -390,14 +390,14 @@
     /// Probe a server.
     Probe(ServerId),
     /// Send a gossip message to another front.
-    TellPeer {
+    SendPeerMessage {
         /// Index of that front.
         to: u32,
         /// The message.
         payload: Vec<u8>,
     },
     /// Subscribe to the server list.
-    Watch,
+    Subscribe,
     /// Wake the controller at a time, with a token.
     Timer {
         /// The wake-up time.
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -383,7 +383,7 @@
     /// Handles one event and appends the resulting actions. `now` must never decrease.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         if self.settings.subscribe && self.last_tick_at.is_none() {
-            actions.push(Action::Watch);
+            actions.push(Action::Subscribe);
         }
         if self.turn_at != now {
             (self.turn_at, self.received_from) = (now, now);
@@ -400,7 +400,7 @@
         match event {
             Event::List(kind, entries) => self.update_servers(now, kind, &entries, actions),
             Event::Call(call) => self.admit(now, call, actions),
-            Event::Stands { call, attempt, server, lag } => {
+            Event::Established { call, attempt, server, lag } => {
                 if let Some(pending) = self.calls.remove(&call) {
                     self.first_dialled.remove(&pending.call.number);
                 }
@@ -438,7 +438,7 @@
                     server.record_report(received_at, &report);
                 }
             }
-            Event::Peer { from, payload } if from < self.settings.fronts => {
+            Event::PeerMessage { from, payload } if from < self.settings.fronts => {
                 for hint in gossip::decode(&payload).unwrap_or_default() {
                     let mut named =
                         self.servers.iter_mut().filter(|(id, _)| gossip::server_key(**id) == hint.server_key);
@@ -452,13 +452,13 @@
                     }
                 }
             }
-            Event::Share { server, per_s } => {
+            Event::BudgetShare { server, per_s } => {
                 if let Some(server) = self.servers.get_mut(&server) {
                     server.budget_share = valid(Some(per_s));
                 }
             }
-            Event::Peer { .. } | Event::Timer(TOKEN_TICK) => {}
-            Event::Timer(TOKEN_SUBSCRIBE) => actions.push(Action::Watch),
+            Event::PeerMessage { .. } | Event::Timer(TOKEN_TICK) => {}
+            Event::Timer(TOKEN_SUBSCRIBE) => actions.push(Action::Subscribe),
             Event::Timer(token) => self.handle_call_timer(now, (token >> 2) as CallId, token & 3, actions),
         }
     }
@@ -562,7 +562,7 @@
         if let Some(payload) = payload.filter(|_| !first) {
             let to = (uniform(&mut self.rng) * f64::from(others)) as u32;
             let to = if to >= self.settings.ordinal { to + 1 } else { to };
-            actions.push(Action::TellPeer { to, payload });
+            actions.push(Action::SendPeerMessage { to, payload });
         }
     }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -116,7 +116,7 @@
     }
 
     pub fn established(&mut self, call: CallId, server: ServerId, lag: Micros) -> Vec<Action> {
-        self.event(Event::Stands { call, attempt: 0, server, lag })
+        self.event(Event::Established { call, attempt: 0, server, lag })
     }
 
     pub fn ended(
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -16,7 +16,7 @@
 /// The gossip messages among the actions, with their recipients.
 fn messages(actions: &[Action]) -> Vec<(u32, Vec<u8>)> {
     let message = |a: &Action| match a {
-        Action::TellPeer { to, payload } => Some((*to, payload.clone())),
+        Action::SendPeerMessage { to, payload } => Some((*to, payload.clone())),
         _ => None,
     };
     actions.iter().filter_map(message).collect()
@@ -107,7 +107,7 @@
             }
         }
         for (from, to, payload) in in_transit {
-            fronts[to as usize].event(Event::Peer { from, payload });
+            fronts[to as usize].event(Event::PeerMessage { from, payload });
         }
     }
     (worst_window(&mut at), at.len())
@@ -219,7 +219,7 @@
         }
         for (from, to, payload) in in_transit.into_iter().filter(|_| with_messages) {
             assert!(to != from && to < n, "never to itself, never past the last");
-            fronts[to as usize].event(Event::Peer { from, payload });
+            fronts[to as usize].event(Event::PeerMessage { from, payload });
         }
     }
     let share = |s: usize| f64::from(refused[s].0) / f64::from(refused[s].1.max(1));
@@ -272,7 +272,7 @@
 /// Refused share after the same message has arrived repeatedly for three seconds.
 fn refused_after(front: &mut Front, from: u32, payload: &[u8]) -> f64 {
     for _ in 0..60 {
-        front.event(Event::Peer { from, payload: payload.to_vec() });
+        front.event(Event::PeerMessage { from, payload: payload.to_vec() });
         front.advance(50 * MS);
     }
     front.refused_share(60, 0)
@@ -310,7 +310,7 @@
     (old[6], old[7]) = (100, 255);
     front.advance(2 * S);
     front.report(10, Report { wait_s: Some(0.0), ..Report::default() });
-    front.event(Event::Peer { from: 1, payload: old.clone() });
+    front.event(Event::PeerMessage { from: 1, payload: old.clone() });
     assert_eq!(front.refused_share(60, 0), 0.0);
     // A hint one second old about a process that this front has known for only half a second.
     let (mut front, _) = high_load();
@@ -320,11 +320,11 @@
     front.now += 20 * S;
     front.event(Event::List(ListKind::Delta, vec![Entry { started_at: Some(2), ..entry(10, 0) }]));
     front.advance(500 * MS);
-    front.event(Event::Peer { from: 1, payload: old.clone() });
+    front.event(Event::PeerMessage { from: 1, payload: old.clone() });
     front.advance(100 * MS);
     assert_eq!(front.refused_share(60, 0), 0.0);
     front.advance(2 * S);
-    front.event(Event::Peer { from: 1, payload: old });
+    front.event(Event::PeerMessage { from: 1, payload: old });
     front.advance(100 * MS);
     assert!(front.refused_share(60, 0) > 0.3, "the same hint counts for a process known for longer");
 }
@@ -334,7 +334,7 @@
     let (mut front, good) = high_load();
     let drains = Entry { state: ServerState::Draining, ..entry(10, 0) };
     front.event(Event::List(ListKind::Delta, vec![drains]));
-    front.event(Event::Peer { from: 1, payload: good });
+    front.event(Event::PeerMessage { from: 1, payload: good });
     assert_eq!(sent(&front.call().1), None);
 }
 
@@ -438,10 +438,10 @@
             let mut front = Front::with_seed(fleet_settings(250, 0), &[entry(10, 0), entry(11, 1)], 3);
             let mut all = Vec::new();
             for payload in &payloads {
-                all.extend(front.event(Event::Peer { from, payload: payload.clone() }));
+                all.extend(front.event(Event::PeerMessage { from, payload: payload.clone() }));
                 let mut versioned = payload.clone();
                 versioned.insert(0, 1);
-                all.extend(front.event(Event::Peer { from, payload: versioned }));
+                all.extend(front.event(Event::PeerMessage { from, payload: versioned }));
                 all.extend(front.advance(50 * MS));
                 all.extend(front.call().1);
             }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -58,8 +58,12 @@
         })
     });
     let established = (0..60u32, 0..3u16, 0..5u64, any::<u64>());
-    let established =
-        established.prop_map(|(call, attempt, server, lag)| Event::Stands { call, attempt, server, lag });
+    let established = established.prop_map(|(call, attempt, server, lag)| Event::Established {
+        call,
+        attempt,
+        server,
+        lag,
+    });
     let ended = (0..60u32, 0..3u16, 0..5u64, outcome.clone(), any::<u64>(), any::<bool>(), note, report());
     let ended = ended.prop_map(|(call, attempt, server, outcome, lag, complete, note, report)| {
         Event::Ended { call, attempt, server, outcome, lag, complete, note, report }
@@ -75,7 +79,7 @@
         2 => probed,
         1 => (0..60u32).prop_map(Event::Abandoned),
         4 => (0..300u64).prop_map(Event::Timer),
-        1 => (0..9u32, prop::collection::vec(any::<u8>(), 0..20)).prop_map(|(from, payload)| Event::Peer { from, payload }),
+        1 => (0..9u32, prop::collection::vec(any::<u8>(), 0..20)).prop_map(|(from, payload)| Event::PeerMessage { from, payload }),
     ]
 }
 
@@ -117,7 +121,7 @@
                 Event::Call(call) => {
                     open.entry(call.id).or_insert((None, 0));
                 }
-                Event::Stands { call, .. } | Event::Abandoned(call) => {
+                Event::Established { call, .. } | Event::Abandoned(call) => {
                     open.remove(call);
                 }
                 Event::Ended { call, attempt, complete, .. } => {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -166,7 +166,7 @@
 
 #[test]
 fn failed_subscription_is_retried() {
-    let subscriptions = |actions: &[Action]| actions.iter().filter(|a| **a == Action::Watch).count();
+    let subscriptions = |actions: &[Action]| actions.iter().filter(|a| **a == Action::Subscribe).count();
     let mut front = Front::new(settings(), &[entry(10, 0)]);
     assert_eq!(subscriptions(&front.advance(5 * S)), 0, "no subscription where changes are pushed");
     let mut front = Front::new(Settings { subscribe: true, ..settings() }, &[]);
