--- a/crates/audit/src/rules.rs
+++ b/crates/audit/src/rules.rs
@@ -18,14 +18,14 @@
     /// Rule 3, microseconds.
     pub grace: u64,
     /// Rule 5, microseconds.
-    pub release_guard: u64,
+    pub retry_holdoff: u64,
     /// Attempts that a call may have.
     pub max_attempts: usize,
 }
 
 impl Default for Terms {
     fn default() -> Self {
-        Self { grace: 1_000_000, release_guard: 300_000, max_attempts: 5 }
+        Self { grace: 1_000_000, retry_holdoff: 300_000, max_attempts: 5 }
     }
 }
 
@@ -272,7 +272,7 @@
                 );
             }
         }
-        let Terms { release_guard, max_attempts, .. } = self.terms;
+        let Terms { retry_holdoff, max_attempts, .. } = self.terms;
         if let Some(open) = self.calls.get(name).and_then(|call| call.out.clone()) {
             self.breach(2, at, format!("{name}: {attempt} is set up while {open} is out"));
         }
@@ -290,7 +290,7 @@
         if let Some(gap) = unsure.map(|unsure| at.saturating_sub(unsure)) {
             let shortest = self.verdict.shortest_guard;
             self.verdict.shortest_guard = Some(shortest.map_or(gap, |shortest| shortest.min(gap)));
-            if gap + SLACK < release_guard {
+            if gap + SLACK < retry_holdoff {
                 self.breach(5, at, format!("{name} is set up again {gap} us after its last attempt ended"));
             }
         }
--- a/crates/call/src/engine.rs
+++ b/crates/call/src/engine.rs
@@ -202,7 +202,7 @@
         Ok(Self {
             guard: Guard::new(&settings, limits.grace, limits.cold_rate),
             once: settings.classes.iter().map(|class| class.repeat == Repeat::Never).collect(),
-            pool: Pool::new(settings.ramp_time, limits.servers),
+            pool: Pool::new(settings.warm_up_time, limits.servers),
             policy,
             now: 0,
             started: None,
@@ -538,7 +538,7 @@
         let unsure_for = self.sure_at().saturating_sub(self.now);
         // Guards against one that was made long before, to a process that was killed, and lay here while this one stood
         // still: how long its caller still waits nobody here knows, and word that it left may come behind.
-        let patience = offer.gives_up_in.saturating_add(self.waited);
+        let patience = offer.caller_timeout.saturating_add(self.waited);
         let young = self.now < self.started.unwrap_or(self.now).saturating_add(patience);
         let lay = self.waited > 0 && young && offer.said != Said::Once;
         if offer.said == Said::Perhaps && unsure_for > 0 || lay {
@@ -567,13 +567,14 @@
     /// From then on no process before this one can have a call out: the guard after its start, since an end that nobody
     /// here saw is as sure as a reset is.
     fn sure_at(&self) -> Micros {
-        self.started.unwrap_or(self.now).saturating_add(self.guard.release_guard())
+        self.started.unwrap_or(self.now).saturating_add(self.guard.retry_holdoff())
     }
 
     /// A new call, within all bounds.
     fn take(&mut self, offer: Offer<P>) {
         let id = self.new_call_id();
-        let answer_by = self.now.saturating_add(offer.gives_up_in).saturating_sub(LAST_ANSWER).max(self.now);
+        let answer_by =
+            self.now.saturating_add(offer.caller_timeout).saturating_sub(LAST_ANSWER).max(self.now);
         self.timers.set(answer_by, Timer::Deadline(id));
         *self.in_set_up.entry(offer.request.link).or_default() += 1;
         let held = Held {
@@ -587,11 +588,11 @@
             class: offer.class,
             tenant: offer.tenant,
             number: offer.number,
-            gives_up_in: offer.gives_up_in,
+            caller_timeout: offer.caller_timeout,
             first_choice: offer.first_choice,
             redial: offer.redial,
             in_transit: false,
-            was_cut: offer.was_cut,
+            was_dropped: offer.was_dropped,
         };
         // Guards against a process that was killed with this call out, and came back at once: the one before may
         // have set it up until it ended.
@@ -614,8 +615,8 @@
         }
         let untold = self.calls.get_mut(&id).and_then(|held| held.untold.take());
         let Some((since, call)) = untold else { return };
-        let gives_up_in = call.gives_up_in.saturating_sub(self.now.saturating_sub(since));
-        self.events.push_back(Event::Call(Call { gives_up_in, ..call }));
+        let caller_timeout = call.caller_timeout.saturating_sub(self.now.saturating_sub(since));
+        self.events.push_back(Event::Call(Call { caller_timeout, ..call }));
     }
 
     /// The module is done with a call, if it ever heard of it.
--- a/crates/call/src/guard.rs
+++ b/crates/call/src/guard.rs
@@ -66,7 +66,7 @@
 /// Checks set-ups; remembers what cold servers were sent.
 #[derive(Debug)]
 pub struct Guard {
-    release_guard: Micros,
+    retry_holdoff: Micros,
     max_attempts: u32,
     grace: Micros,
     /// Set-ups a second that this front may send a cold server, where a figure is configured.
@@ -82,7 +82,7 @@
     /// A guard by the module's own settings; `grace` is rule 3's, `cold_rate` rule 4's over all fronts.
     pub fn new(settings: &Settings, grace: Micros, cold_rate: Option<f64>) -> Self {
         Self {
-            release_guard: settings.release_guard,
+            retry_holdoff: settings.retry_holdoff,
             max_attempts: settings.max_attempts,
             grace,
             cold_rate: cold_rate.map(|rate| rate / f64::from(settings.fronts.max(1))),
@@ -110,7 +110,7 @@
             Some(Breach::TooMany)
         } else if left_at.is_some_and(|at| now > at.saturating_add(self.grace)) {
             Some(Breach::Drained)
-        } else if before.unsure_at.is_some_and(|at| now < at.saturating_add(self.release_guard)) {
+        } else if before.unsure_at.is_some_and(|at| now < at.saturating_add(self.retry_holdoff)) {
             Some(Breach::TooSoon)
         } else if cold && !self.take_cold(now, server) {
             Some(Breach::Cold)
@@ -127,8 +127,8 @@
     }
 
     /// Rule 5's time.
-    pub fn release_guard(&self) -> Micros {
-        self.release_guard
+    pub fn retry_holdoff(&self) -> Micros {
+        self.retry_holdoff
     }
 
     /// Counts a breach that is met elsewhere.
--- a/crates/call/src/types.rs
+++ b/crates/call/src/types.rs
@@ -46,11 +46,11 @@
     /// Number of the server of first choice.
     pub first_choice: Option<u16>,
     /// The caller gives up after so long.
-    pub gives_up_in: Micros,
+    pub caller_timeout: Micros,
     /// Whether it is dialled again, where callers mark that.
     pub redial: Option<bool>,
     /// It stood, was cut and comes again.
-    pub was_cut: bool,
+    pub was_dropped: bool,
     /// It may have been said before, perhaps to a process that ran here before this one.
     pub said: Said,
     /// What the driver wants back with each set-up; dropped with the final answer.
--- a/crates/call/tests/shared.rs
+++ b/crates/call/tests/shared.rs
@@ -131,7 +131,7 @@
 #[test]
 fn a_server_that_starts_twice_within_a_ramp_is_cold_from_its_second_start() {
     let mut w = World::new(Limits::default());
-    let ramp = settings().ramp_time;
+    let ramp = settings().warm_up_time;
     let start = |w: &mut World| {
         w.link(0, LinkState::Down);
         w.link(0, LinkState::Up(Process::New));
--- a/crates/config/src/front.rs
+++ b/crates/config/src/front.rs
@@ -304,15 +304,15 @@
         max_attempts: 5,
         may_cancel: true,
         may_probe: false,
-        may_tell_peers: true,
+        may_gossip: true,
         max_retry_after: 0,
         reports: ReportPath::Answers,
         subscribe: false,
         // Diameter over TCP: the transport repeats nothing that the application sees.
-        resend_after: 0,
-        release_guard: 300 * MS,
+        retransmit_after: 0,
+        retry_holdoff: 300 * MS,
         cold_from: 0.33,
-        ramp_time: 13 * S,
+        warm_up_time: 13 * S,
         fall_multiple: 2.0,
         fall_time: 1_500 * MS,
     };
@@ -322,8 +322,8 @@
         settings.max_attempts = value as u32;
     }
     let times = [
-        ("release-guard", 300 * MS..=60 * S, &mut settings.release_guard),
-        ("ramp", 0..=HOUR, &mut settings.ramp_time),
+        ("release-guard", 300 * MS..=60 * S, &mut settings.retry_holdoff),
+        ("ramp", 0..=HOUR, &mut settings.warm_up_time),
         ("fall-time", MS..=HOUR, &mut settings.fall_time),
         ("max-retry-after", 0..=HOUR, &mut settings.max_retry_after),
         ("grace", 0..=S, &mut grace),
--- a/crates/day/src/baseline.rs
+++ b/crates/day/src/baseline.rs
@@ -57,7 +57,7 @@
     }
 
     fn taken(&mut self, now: Micros, call: &Call, actions: &mut Vec<Action>) {
-        let answer_by = now + call.gives_up_in.saturating_sub(MARGIN);
+        let answer_by = now + call.caller_timeout.saturating_sub(MARGIN);
         self.calls.insert(call.id, Pending { answer_by, attempts: 0, not_before: now, out: None });
         actions.push(Action::Timer { at: answer_by, token: u64::from(call.id) });
         self.place(now, call.id, actions);
@@ -86,7 +86,7 @@
                         actions.push(Action::Refuse { call, retry_after: 0 });
                     }
                 } else if matches!(outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) {
-                    let at = now + self.settings.release_guard + 2_000;
+                    let at = now + self.settings.retry_holdoff + 2_000;
                     pending.not_before = at;
                     actions.push(Action::Timer { at, token: u64::from(call) });
                 } else {
--- a/crates/desk/src/commands.rs
+++ b/crates/desk/src/commands.rs
@@ -408,9 +408,9 @@
             tenant: facts.tenant,
             number: facts.number,
             first_choice: facts.first_choice,
-            gives_up_in: patience.saturating_sub(reserve),
+            caller_timeout: patience.saturating_sub(reserve),
             redial: None,
-            was_cut: false,
+            was_dropped: false,
             // Over datagrams a transaction is said again, and looks as it did the first time.
             said: if client.exchange.is_reliable() { Said::Once } else { Said::Perhaps },
             payload: Payload { request: Arc::new(message), name: get("bdc/ref").map(Arc::from), span },
--- a/crates/desk/src/desk.rs
+++ b/crates/desk/src/desk.rs
@@ -672,9 +672,9 @@
             tenant: what.publisher,
             number: number_of(number),
             first_choice: None,
-            gives_up_in: class.1.saturating_sub(self.waited()),
+            caller_timeout: class.1.saturating_sub(self.waited()),
             redial: None,
-            was_cut: false,
+            was_dropped: false,
             said: Said::Once,
             payload: Payload { request: Arc::new(message), name: reference.clone(), span },
         }
@@ -863,9 +863,9 @@
                 tenant: facts.tenant,
                 number: facts.number,
                 first_choice: facts.first_choice,
-                gives_up_in: facts.gives_up.saturating_sub(waited),
+                caller_timeout: facts.gives_up.saturating_sub(waited),
                 redial: None,
-                was_cut: false,
+                was_dropped: false,
                 said: if message.header.flags.retransmitted { Said::Again } else { Said::Once },
                 payload: Payload { request: message.clone(), name: None, span },
             }))
--- a/crates/diameter/src/load.rs
+++ b/crates/diameter/src/load.rs
@@ -44,7 +44,7 @@
     for avp in &message.avps {
         match (avp.vendor, avp.code) {
             (0, dict::LOAD) => report.busy = read_load(avp).or(report.busy),
-            (0, dict::OC_OLR) => report.hold_back = read_olr(avp).or(report.hold_back),
+            (0, dict::OC_OLR) => report.reduction = read_olr(avp).or(report.reduction),
             (VENDOR, SERVER_REPORT) => read_server(avp, &mut report),
             _ => {}
         }
@@ -79,8 +79,8 @@
             QUEUE => report.queue = Some(value),
             RATE => report.rate = Some(value / 1e3),
             FREE_LINES => report.free = Some(value),
-            LINES => report.lines = Some(value),
-            IN_WORK => report.in_work = Some(value),
+            LINES => report.circuits = Some(value),
+            IN_WORK => report.in_flight = Some(value),
             _ => {}
         }
     }
@@ -99,7 +99,7 @@
             ],
         ));
     }
-    if let Some(share) = report.hold_back {
+    if let Some(share) = report.reduction {
         message.push(Avp::group(
             dict::OC_OLR,
             &[
@@ -116,8 +116,8 @@
         (QUEUE, report.queue, 1.0),
         (RATE, report.rate, 1e3),
         (FREE_LINES, report.free, 1.0),
-        (LINES, report.lines, 1.0),
-        (IN_WORK, report.in_work, 1.0),
+        (LINES, report.circuits, 1.0),
+        (IN_WORK, report.in_flight, 1.0),
     ];
     let told: Vec<_> = values
         .iter()
--- a/crates/diameter/tests/codec.rs
+++ b/crates/diameter/tests/codec.rs
@@ -197,13 +197,13 @@
 fn load_runs_the_right_way_and_comes_back_whole() {
     let report = baydrift::interface::Report {
         free: Some(12.0),
-        lines: Some(40.0),
-        in_work: Some(3.0),
+        circuits: Some(40.0),
+        in_flight: Some(3.0),
         queue: Some(7.0),
         busy: Some(0.75),
         wait_s: Some(0.125),
         rate: Some(31.5),
-        hold_back: Some(0.2),
+        reduction: Some(0.2),
     };
     let mut message = credit::answer(&ccr(), result::SUCCESS, "s1.core.test", "core.test");
     load::write(&report, "s1.core.test", 1, &mut message);
--- a/crates/emulator/src/ramps.rs
+++ b/crates/emulator/src/ramps.rs
@@ -127,14 +127,14 @@
         max_attempts: 5,
         may_cancel: true,
         may_probe: false,
-        may_tell_peers: true,
+        may_gossip: true,
         max_retry_after: 0,
         reports: ReportPath::Answers,
         subscribe: false,
-        resend_after: 500_000,
-        release_guard: 300_000,
+        retransmit_after: 500_000,
+        retry_holdoff: 300_000,
         cold_from: spec.cold_from,
-        ramp_time: spec.ramp,
+        warm_up_time: spec.ramp,
         fall_multiple: spec.multiple,
         fall_time: spec.window,
     }
@@ -251,7 +251,7 @@
                 self.next_call = self.next_call.wrapping_add(1).max(1);
                 let call = Call {
                     id: self.next_call,
-                    gives_up_in: 3 * S,
+                    caller_timeout: 3 * S,
                     first_choice: Some(first),
                     ..Call::default()
                 };
--- a/crates/node/src/state/callers.rs
+++ b/crates/node/src/state/callers.rs
@@ -169,9 +169,9 @@
             tenant,
             number: setup.number.1,
             first_choice: setup.dest,
-            gives_up_in: setup.wait,
+            caller_timeout: setup.wait,
             redial: self.wording.marks_redials.then_some(setup.redial),
-            was_cut: setup.was_cut,
+            was_dropped: setup.was_dropped,
             // Each set-up has an id of its own, also a caller's second one.
             said: Said::Once,
             payload,
--- a/crates/platform/src/setup.rs
+++ b/crates/platform/src/setup.rs
@@ -22,7 +22,7 @@
     /// Circuits that the call takes.
     pub width: f64,
     /// It stood, was cut and comes again.
-    pub was_cut: bool,
+    pub was_dropped: bool,
     /// Dialled again, where callers mark that.
     pub redial: bool,
     /// It stands at this signalling server already.
@@ -54,7 +54,7 @@
             wait: 0,
             dest: None,
             width: 1.0,
-            was_cut: false,
+            was_dropped: false,
             redial: false,
             at: None,
             description: message.one(Code::DESCRIPTION)?.cloned().unwrap_or_default(),
@@ -87,7 +87,7 @@
             "via" => {
                 figure(code, value, -1.0, f64::from(u16::MAX))?;
             }
-            "again" => self.was_cut = figure(code, value, 0.0, 1.0)? > 0.0,
+            "again" => self.was_dropped = figure(code, value, 0.0, 1.0)? > 0.0,
             "retry" => self.redial = figure(code, value, 0.0, 1.0)? > 0.0,
             "at" => self.at = Some(value.trim().to_owned()).filter(|at| !at.is_empty()),
             _ => {}
--- a/crates/trunk/src/route.rs
+++ b/crates/trunk/src/route.rs
@@ -78,7 +78,7 @@
     let sum = |of: fn(&Usage) -> usize| groups.iter().map(|(_, usage)| of(usage)).sum::<usize>() as f64;
     Report {
         free: Some(sum(|u| u.free)),
-        lines: Some(sum(|u| u.free + u.outgoing + u.incoming + u.clearing)),
+        circuits: Some(sum(|u| u.free + u.outgoing + u.incoming + u.clearing)),
         ..Report::default()
     }
 }
@@ -129,6 +129,6 @@
     #[test]
     fn blocked_circuits_are_no_lines() {
         let told = report(&[(GroupId(0), usage(2)), (GroupId(1), usage(5))]);
-        assert_eq!((told.free, told.lines), (Some(7.0), Some(19.0)));
+        assert_eq!((told.free, told.circuits), (Some(7.0), Some(19.0)));
     }
 }
--- a/src/bin/baydrift-wirehost/host.rs
+++ b/src/bin/baydrift-wirehost/host.rs
@@ -215,7 +215,7 @@
     let class = usize::from(fields.u16("type")?);
     let tenant = usize::from(fields.u16("party")?);
     let number = fields.u64("entity")?;
-    let gives_up_in = config::micros(fields.f64("grace-s")?);
+    let caller_timeout = config::micros(fields.f64("grace-s")?);
     fields.f64("weight-hint-s")?;
     let first_choice = server_number(fields.f32("terminates-at")?);
     fields.f32("units")?;
@@ -226,11 +226,11 @@
         class,
         tenant,
         number,
-        gives_up_in,
+        caller_timeout,
         first_choice,
         redial: marks_redials.then_some(bits & 2 != 0),
         in_transit: bits & 8 != 0,
-        was_cut: bits & 16 != 0,
+        was_dropped: bits & 16 != 0,
     }))
 }
 
--- a/src/config.rs
+++ b/src/config.rs
@@ -10,9 +10,9 @@
     /// Free circuits towards the server.
     Free,
     /// All circuits towards the server.
-    Lines,
+    Circuits,
     /// Set-ups in progress.
-    InWork,
+    InFlight,
     /// Set-ups waiting.
     Queue,
     /// Utilisation of the processor.
@@ -22,7 +22,7 @@
     /// Set-ups a second that the server can accept.
     Rate,
     /// Fraction by which each sender should reduce its set-ups.
-    HoldBack,
+    Reduction,
     /// A field that this module does not use.
     Unknown,
 }
@@ -32,13 +32,13 @@
     fn named(name: &str) -> Self {
         match name {
             "idle" => Self::Free,
-            "circuits" => Self::Lines,
-            "rif" => Self::InWork,
+            "circuits" => Self::Circuits,
+            "rif" => Self::InFlight,
             "q" => Self::Queue,
             "busy" => Self::Busy,
             "lat_ms" => Self::WaitMs,
             "max_rate" => Self::Rate,
-            "reduce" => Self::HoldBack,
+            "reduce" => Self::Reduction,
             _ => Self::Unknown,
         }
     }
@@ -49,13 +49,13 @@
         let value = Some(value).filter(|v| v.is_finite() && *v >= 0.0);
         match self {
             Self::Free => report.free = value,
-            Self::Lines => report.lines = value,
-            Self::InWork => report.in_work = value,
+            Self::Circuits => report.circuits = value,
+            Self::InFlight => report.in_flight = value,
             Self::Queue => report.queue = value,
             Self::Busy => report.busy = value,
             Self::WaitMs => report.wait_s = value.map(|v| v / 1000.0),
             Self::Rate => report.rate = value,
-            Self::HoldBack => report.hold_back = value,
+            Self::Reduction => report.reduction = value,
             Self::Unknown => {}
         }
     }
@@ -255,7 +255,7 @@
         max_attempts: raw.policy_limits.max_attempts,
         may_cancel: raw.policy_limits.cancelling,
         may_probe: raw.policy_limits.probes,
-        may_tell_peers: raw.policy_limits.peers,
+        may_gossip: raw.policy_limits.peers,
         max_retry_after: match raw.policy_limits.retry_after {
             true => micros(raw.policy_limits.max_retry_after_s),
             false => 0,
@@ -266,10 +266,10 @@
             _ => ReportPath::None,
         },
         subscribe: raw.discovery == "subscribe",
-        resend_after: micros(raw.family_info.t1_s),
-        release_guard: micros(raw.family_info.guard_s),
+        retransmit_after: micros(raw.family_info.t1_s),
+        retry_holdoff: micros(raw.family_info.guard_s),
         cold_from: raw.rules.cold_from,
-        ramp_time: micros(raw.rules.ramp_time_s),
+        warm_up_time: micros(raw.rules.ramp_time_s),
         fall_multiple: raw.rules.fall_multiple,
         fall_time: micros(raw.rules.fall_s),
     };
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -44,7 +44,7 @@
         }
         let age = |age: Micros| (age / AGE_UNIT).min(NO_AGE.into()) as u8;
         let r = &hint.report;
-        let values = [r.hold_back, r.wait_s, r.queue, r.rate, r.busy, hint.carried_per_s].map(valid);
+        let values = [r.reduction, r.wait_s, r.queue, r.rate, r.busy, hint.carried_per_s].map(valid);
         let present = values.iter().enumerate().map(|(i, v)| u8::from(v.is_some()) << i).sum();
         out.extend(hint.server_key.to_le_bytes());
         out.extend([present, age(hint.age), age(hint.observed_age)]);
@@ -77,7 +77,7 @@
         let decoded_age = |age: u8| if age == NO_AGE { Micros::MAX } else { Micros::from(age) * AGE_UNIT };
         hints.push(LoadHint {
             server_key: u32::from_le_bytes([k0, k1, k2, k3]),
-            report: Report { hold_back: reduction, wait_s, queue, rate, busy, ..Report::default() },
+            report: Report { reduction, wait_s, queue, rate, busy, ..Report::default() },
             age: if present & 31 == 0 { Micros::MAX } else { decoded_age(age) },
             observed_age: decoded_age(observed_age),
             observed_wait_s: value()?,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -82,7 +82,7 @@
     /// Whether servers may be probed.
     pub may_probe: bool,
     /// Whether fronts may exchange gossip messages.
-    pub may_tell_peers: bool,
+    pub may_gossip: bool,
     /// Longest retry-after time given to callers, in microseconds; 0 if none may be given.
     pub max_retry_after: Micros,
     /// How load reports reach this front.
@@ -90,14 +90,14 @@
     /// Whether the server list is delivered only on subscription.
     pub subscribe: bool,
     /// Time after which the transport retransmits an unanswered set-up; 0 for never.
-    pub resend_after: Micros,
+    pub retransmit_after: Micros,
     /// Time that must pass after a timeout, reset or cancel before the call is sent again, so that the
     /// earlier attempt is released first.
-    pub release_guard: Micros,
+    pub retry_holdoff: Micros,
     /// Least fraction of its capacity with which a cold server starts.
     pub cold_from: f64,
     /// Longest time until a cold server has warmed up.
-    pub ramp_time: Micros,
+    pub warm_up_time: Micros,
     /// Multiple of its current capacity above which a cold server fails, if the load lasts for `fall_time`.
     pub fall_multiple: f64,
     /// How long a load above `fall_multiple` must last for a cold server to fail.
@@ -195,9 +195,9 @@
     /// Free circuits towards the server.
     pub free: Option<f64>,
     /// All circuits towards the server.
-    pub lines: Option<f64>,
+    pub circuits: Option<f64>,
     /// Set-ups in progress.
-    pub in_work: Option<f64>,
+    pub in_flight: Option<f64>,
     /// Set-ups waiting at the processor.
     pub queue: Option<f64>,
     /// Utilisation of the processor, 0 to 1.
@@ -207,7 +207,7 @@
     /// New set-ups a second that the server can accept from all senders together.
     pub rate: Option<f64>,
     /// Fraction by which each sender is asked to reduce its new set-ups, 0 to 1.
-    pub hold_back: Option<f64>,
+    pub reduction: Option<f64>,
 }
 
 /// How an attempt or a probe ended.
@@ -256,7 +256,7 @@
     /// The dialled number; 0 for none.
     pub number: u64,
     /// Time until the caller abandons this call.
-    pub gives_up_in: Micros,
+    pub caller_timeout: Micros,
     /// Number of the preferred server, or of the destination.
     pub first_choice: Option<u16>,
     /// Whether the call is a redial; `None` where callers do not mark redials.
@@ -264,7 +264,7 @@
     /// Whether the call is in transit, so that only its destination may take it.
     pub in_transit: bool,
     /// Whether the call was established, then dropped, and is now being set up again.
-    pub was_cut: bool,
+    pub was_dropped: bool,
 }
 
 /// Input of a controller.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -27,14 +27,14 @@
 //!     max_attempts: 4,
 //!     may_cancel: true,
 //!     may_probe: false,
-//!     may_tell_peers: false,
+//!     may_gossip: false,
 //!     max_retry_after: 0,
 //!     reports: ReportPath::Answers,
 //!     subscribe: false,
-//!     resend_after: 500_000,
-//!     release_guard: 300_000,
+//!     retransmit_after: 500_000,
+//!     retry_holdoff: 300_000,
 //!     cold_from: 0.3,
-//!     ramp_time: 12_000_000,
+//!     warm_up_time: 12_000_000,
 //!     fall_multiple: 2.0,
 //!     fall_time: 1_500_000,
 //! };
@@ -49,11 +49,11 @@
 //!     class: 0,
 //!     tenant: 0,
 //!     number: 555_0100,
-//!     gives_up_in: 3_000_000,
+//!     caller_timeout: 3_000_000,
 //!     first_choice: Some(1),
 //!     redial: None,
 //!     in_transit: false,
-//!     was_cut: false,
+//!     was_dropped: false,
 //! };
 //! actions.clear();
 //! controller.handle(10_000, Event::Call(call), &mut actions);
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -135,7 +135,7 @@
     /// Takes the value closest to what the loop controls: the reduction itself, then the wait, then the queue
     /// that causes the wait. A rate or a utilisation shows a busy processor, but not the size of an overload.
     fn of(report: &Report) -> Option<Self> {
-        valid(report.hold_back)
+        valid(report.reduction)
             .map(Self::Reduction)
             .or(valid(report.wait_s).map(Self::Wait))
             .or(valid(report.queue).map(Self::Queue))
@@ -166,7 +166,7 @@
 
     fn record_report(&mut self, now: Micros, report: &Report) {
         if report.free.is_some() {
-            (self.free, self.circuits) = (report.free, report.lines);
+            (self.free, self.circuits) = (report.free, report.circuits);
         }
         if Signal::of(report).is_some() {
             self.report = *report;
@@ -410,7 +410,7 @@
                         server.observe_setup_time(now, lag);
                     }
                     server.established.count(now, ARRIVAL_FILTER_S);
-                    if !server.is_cold(now, self.settings.ramp_time) {
+                    if !server.is_cold(now, self.settings.warm_up_time) {
                         self.carried.entry(server.number).or_default().count(now, CARRIED_FILTER_S);
                     }
                 }
@@ -510,7 +510,7 @@
         self.last_tick_at = Some(now);
         self.first_tick_at.get_or_insert(now);
         actions.push(Action::Timer { at: now + TICK_INTERVAL, token: TOKEN_TICK });
-        let warm_up_time = self.settings.ramp_time;
+        let warm_up_time = self.settings.warm_up_time;
         let cold = self.servers.iter().filter(|(_, server)| server.is_cold(now, warm_up_time));
         let rates: Vec<_> = cold.map(|(id, server)| (*id, self.warm_up_rate(now, server))).collect();
         for (id, rate) in rates {
@@ -544,7 +544,7 @@
     /// fronts a single front would receive a report on a server only every few seconds.
     fn gossip(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let others = self.settings.fronts - 1;
-        if !self.settings.may_tell_peers || others == 0 || now < self.next_gossip_at {
+        if !self.settings.may_gossip || others == 0 || now < self.next_gossip_at {
             return;
         }
         let (first, drawn) = (self.next_gossip_at == 0, uniform(&mut self.rng));
@@ -590,7 +590,7 @@
             let probe_at = now + micros(drawn * seconds(self.probe_interval()));
             let fresh = Server { tokens: drawn, probe_at, ..Server::new(entry, now) };
             self.servers.insert(entry.server, fresh);
-            if entry.started_at.is_some_and(|at| now < at + self.settings.ramp_time) {
+            if entry.started_at.is_some_and(|at| now < at + self.settings.warm_up_time) {
                 self.log(now, format!("cold start: server number {} ramps", entry.number), actions);
             }
         }
@@ -609,10 +609,10 @@
         let Some(class) = self.settings.classes.get(call.class) else {
             return actions.push(Action::Refuse { call: id, retry_after: 0 });
         };
-        let answer_by = now.saturating_add(call.gives_up_in).saturating_sub(ANSWER_MARGIN);
+        let answer_by = now.saturating_add(call.caller_timeout).saturating_sub(ANSWER_MARGIN);
         // Avoids work for callers past their target time: a number dialled again at this front is most likely
         // the same caller, whose target time runs from the first try. It starts anew for a dropped call.
-        if call.redial == Some(false) || call.was_cut || call.number == 0 {
+        if call.redial == Some(false) || call.was_dropped || call.number == 0 {
             self.first_dialled.remove(&call.number);
         }
         let first_at = *self.first_dialled.entry(call.number).or_insert(now);
@@ -713,7 +713,7 @@
             .or(early)
             .unwrap_or(least.min(mean_arrivals));
         let age = seconds(now.saturating_sub(server.cold_since.unwrap_or(now)));
-        let capacity_fraction = age / seconds(self.settings.ramp_time.max(1));
+        let capacity_fraction = age / seconds(self.settings.warm_up_time.max(1));
         let capacity_fraction =
             self.settings.cold_from + (1.0 - self.settings.cold_from) * capacity_fraction.min(1.0);
         warm_rate * capacity_fraction * self.settings.fall_multiple * WARM_UP_SHARE
@@ -721,7 +721,7 @@
 
     /// The servers to which the call may be sent now.
     fn eligible_servers(&self, now: Micros, id: CallId) -> Vec<ServerId> {
-        let warm_up_time = self.settings.ramp_time;
+        let warm_up_time = self.settings.warm_up_time;
         let Some(pending) = self.calls.get(&id) else { return Vec::new() };
         // The last free circuits are reserved for calls that are worth more than most.
         let share_at_or_above = 1.0 - self.rank(pending.worth).0;
@@ -804,7 +804,7 @@
 
     /// Step 4: sends the call when its server's token bucket allows, or rejects it once past its target time.
     fn send_paced(&mut self, now: Micros, id: CallId, choice: ServerId, actions: &mut Vec<Action>) {
-        let warm_up_time = self.settings.ramp_time;
+        let warm_up_time = self.settings.warm_up_time;
         let (Some(pending), Some(server)) = (self.calls.get_mut(&id), self.servers.get_mut(&choice)) else {
             return;
         };
@@ -825,7 +825,7 @@
     }
 
     fn send(&mut self, now: Micros, id: CallId, choice: ServerId, actions: &mut Vec<Action>) {
-        let warm_up_time = self.settings.ramp_time;
+        let warm_up_time = self.settings.warm_up_time;
         let (Some(pending), Some(server)) = (self.calls.get_mut(&id), self.servers.get_mut(&choice)) else {
             return;
         };
@@ -857,7 +857,7 @@
         let short_timeout =
             class.map_or(full_timeout, |class| (class.aim as f64 * LOST_TIMEOUT_FRACTION) as Micros);
         let retry_fits = pending.attempts < self.settings.max_attempts
-            && full_timeout > short_timeout + self.settings.release_guard + MIN_ATTEMPT_TIME;
+            && full_timeout > short_timeout + self.settings.retry_holdoff + MIN_ATTEMPT_TIME;
         let timeout = if retry_fits { short_timeout } else { full_timeout };
         let begin_within = full_timeout.min(window);
         actions.push(Action::Send { call: id, server: choice, timeout, begin_within });
@@ -910,7 +910,7 @@
     /// Retries or rejects a call whose attempt failed.
     fn retry_or_reject(&mut self, now: Micros, id: CallId, end: &AttemptEnd, actions: &mut Vec<Action>) {
         let AttemptEnd { outcome, note, .. } = *end;
-        let holdoff = self.settings.release_guard;
+        let holdoff = self.settings.retry_holdoff;
         let Some(pending) = self.calls.get_mut(&id) else { return };
         pending.in_flight = None;
         let never_ran = matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -26,14 +26,14 @@
         max_attempts: 4,
         may_cancel: true,
         may_probe: false,
-        may_tell_peers: false,
+        may_gossip: false,
         max_retry_after: 0,
         reports: ReportPath::Answers,
         subscribe: false,
-        resend_after: 500 * MS,
-        release_guard: 300 * MS,
+        retransmit_after: 500 * MS,
+        retry_holdoff: 300 * MS,
         cold_from: 0.4,
-        ramp_time: 12 * S,
+        warm_up_time: 12 * S,
         fall_multiple: 2.0,
         fall_time: 1_500 * MS,
     }
@@ -101,11 +101,11 @@
             class: 0,
             tenant: 0,
             number: 0,
-            gives_up_in: 3 * S,
+            caller_timeout: 3 * S,
             first_choice: Some(0),
             redial: None,
             in_transit: false,
-            was_cut: false,
+            was_dropped: false,
         };
         change(&mut call);
         (id, self.event(Event::Call(call)))
--- a/tests/design.rs
+++ b/tests/design.rs
@@ -28,13 +28,13 @@
         Report { busy: Some(1.0), ..none },
         Report { wait_s: Some(1.5), ..none },
         Report { queue: Some(60.0), ..none },
-        Report { hold_back: Some(0.6), ..none },
+        Report { reduction: Some(0.6), ..none },
     ];
     let underloaded = [
         Report { busy: Some(0.5), ..none },
         Report { wait_s: Some(0.05), ..none },
         Report { queue: Some(0.0), ..none },
-        Report { hold_back: Some(0.0), ..none },
+        Report { reduction: Some(0.0), ..none },
     ];
     for (high, low) in overloaded.into_iter().zip(underloaded) {
         let share = with_report(high, 8).refused_share(300, 0);
@@ -46,13 +46,13 @@
 
 #[test]
 fn reported_reduction_is_the_reject_fraction() {
-    let share = with_report(Report { hold_back: Some(0.4), ..Report::default() }, 4).refused_share(1000, 0);
+    let share = with_report(Report { reduction: Some(0.4), ..Report::default() }, 4).refused_share(1000, 0);
     assert!((share - 0.4).abs() < 0.05, "{share}");
 }
 
 #[test]
 fn reported_reduction_takes_precedence() {
-    let report = Report { hold_back: Some(0.0), queue: Some(99.0), busy: Some(1.0), ..Report::default() };
+    let report = Report { reduction: Some(0.0), queue: Some(99.0), busy: Some(1.0), ..Report::default() };
     assert_eq!(with_report(report, 4).refused_share(200, 0), 0.0);
 }
 
@@ -138,7 +138,7 @@
         server: 10,
         outcome: Outcome::Ok,
         lag: 0,
-        report: Report { free: Some(0.0), lines: Some(50.0), ..Report::default() },
+        report: Report { free: Some(0.0), circuits: Some(50.0), ..Report::default() },
     });
     let mut count = [0, 0];
     for _ in 0..20 {
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -11,10 +11,10 @@
     let (id, _) = front.call();
     assert!(is_refused(&front.ended(id, 0, 10, Outcome::Full, Note::NoLine)));
     assert!((0..50).all(|_| sent(&front.call().1).is_none()));
-    front.report(10, Report { free: Some(5.0), lines: Some(60.0), ..Report::default() });
+    front.report(10, Report { free: Some(5.0), circuits: Some(60.0), ..Report::default() });
     assert!((0..10).all(|_| sent(&front.call().1).is_some()));
     // One circuit for each front is reserved for calls of more worth.
-    front.report(10, Report { free: Some(2.0), lines: Some(60.0), ..Report::default() });
+    front.report(10, Report { free: Some(2.0), circuits: Some(60.0), ..Report::default() });
     assert_eq!(sent(&front.call().1), None);
 }
 
@@ -115,7 +115,7 @@
     let (mut refused, mut n) = ([0u32; 2], [0u32; 2]);
     for i in 0..3000usize {
         if i % 20 == 0 {
-            front.report(10, Report { hold_back: Some(0.4), ..Report::default() });
+            front.report(10, Report { reduction: Some(0.4), ..Report::default() });
             front.advance(50 * MS);
         }
         let class = usize::from(i % 10 == 0);
@@ -199,7 +199,7 @@
     let (mut late, mut fresh) = (0, 0);
     for i in 0..1500u64 {
         if i % 10 == 0 {
-            front.report(10, Report { hold_back: Some(0.4), ..Report::default() });
+            front.report(10, Report { reduction: Some(0.4), ..Report::default() });
         }
         // Every number is dialled again after 4 s, twice the target time.
         let again = i % 2 == 1 && i > 200;
@@ -221,7 +221,7 @@
     let (mut high, mut low) = ((0, 0), (0, 0));
     for i in 0..1000u64 {
         // One circuit for each front is free, which is reported again before each call.
-        front.report(10, Report { free: Some(2.0), lines: Some(60.0), ..Report::default() });
+        front.report(10, Report { free: Some(2.0), circuits: Some(60.0), ..Report::default() });
         let class = usize::from(i % 10 == 0);
         let (id, actions) = front.call_with(|call| call.class = class);
         let count = if class == 1 { &mut high } else { &mut low };
@@ -236,7 +236,7 @@
     assert_eq!(high.0, high.1, "the few of high worth get them");
     assert_eq!(low.1, 0, "of {} others", low.0);
     // With circuits for all calls, worth makes no difference.
-    front.report(10, Report { free: Some(30.0), lines: Some(60.0), ..Report::default() });
+    front.report(10, Report { free: Some(30.0), circuits: Some(60.0), ..Report::default() });
     assert!(sent(&front.call().1).is_some());
 }
 
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 
 fn fleet_settings(fronts: u32, ordinal: u32) -> Settings {
-    Settings { fronts, ordinal, may_tell_peers: true, ..settings() }
+    Settings { fronts, ordinal, may_gossip: true, ..settings() }
 }
 
 fn fleet(fronts: u32, servers: &[Entry]) -> Vec<Front> {
@@ -343,7 +343,7 @@
     let by_probe = |fronts, ordinal| Settings {
         reports: ReportPath::Probes,
         may_probe: true,
-        may_tell_peers: false,
+        may_gossip: false,
         ..fleet_settings(fronts, ordinal)
     };
     let mut per_step = vec![0; 1200];
@@ -422,9 +422,9 @@
     // Litoral big-2: servers at a tenth of their load received nothing, since 250 of 972 circuits were
     // reserved.
     let mut front = Front::with_seed(fleet_settings(250, 0), &[entry(10, 0)], 7);
-    front.report(10, Report { free: Some(100.0), lines: Some(972.0), ..Report::default() });
+    front.report(10, Report { free: Some(100.0), circuits: Some(972.0), ..Report::default() });
     assert!((0..20).all(|_| sent(&front.call().1).is_some()));
-    front.report(10, Report { free: Some(20.0), lines: Some(972.0), ..Report::default() });
+    front.report(10, Report { free: Some(20.0), circuits: Some(972.0), ..Report::default() });
     assert_eq!(sent(&front.call().1), None, "the last ones stay reserved for calls of more worth");
 }
 
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -44,17 +44,17 @@
         entry.prop_map(|(server, number, state, started_at)| Entry { server, number, state, started_at });
     let kind = prop_oneof![Just(ListKind::Delta), Just(ListKind::Full), Just(ListKind::Failed)];
     let call = (0..60u32, 0..3usize, 0..5u64, 0..4_000_000u64, prop::option::of(0..4u16), any::<bool>());
-    let call = call.prop_map(|(id, class, number, gives_up_in, first_choice, in_transit)| {
+    let call = call.prop_map(|(id, class, number, caller_timeout, first_choice, in_transit)| {
         Event::Call(Call {
             id,
             class,
             tenant: 0,
             number,
-            gives_up_in,
+            caller_timeout,
             first_choice,
             redial: None,
             in_transit,
-            was_cut: false,
+            was_dropped: false,
         })
     });
     let established = (0..60u32, 0..3u16, 0..5u64, any::<u64>());
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -7,7 +7,7 @@
 #[test]
 fn held_call_is_answered_once_before_its_deadline() {
     // A call held for the retry hold-off must be answered by its deadline timer, exactly once.
-    let mut front = Front::new(Settings { release_guard: 5 * S, ..settings() }, &[entry(10, 0)]);
+    let mut front = Front::new(Settings { retry_holdoff: 5 * S, ..settings() }, &[entry(10, 0)]);
     let (id, actions) = front.call();
     let deadline = timers(&actions).into_iter().find(|(_, token)| *token != 0).expect("a deadline timer");
     assert!(deadline.0 < front.now + 3 * S, "before the caller gives up");
@@ -23,7 +23,7 @@
 #[test]
 fn attempt_timeout_ends_before_caller_timeout() {
     let mut front = Front::new(settings(), &[entry(10, 0)]);
-    let (_, actions) = front.call_with(|call| call.gives_up_in = 700 * MS);
+    let (_, actions) = front.call_with(|call| call.caller_timeout = 700 * MS);
     let (_, timeout) = sent(&actions).expect("sent");
     assert!(timeout > 0 && timeout < 700 * MS);
 }
