--- a/crates/call/src/engine.rs
+++ b/crates/call/src/engine.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 
 use baydrift::interface::{
-    Action, Belief, Call, CallId, Entry, Event, ListKind, Micros, Note, Outcome, Repeat, Report, ServerId,
-    ServerState, Settings, SettingsError,
+    Action, Call, CallId, Entry, Event, ListKind, Micros, Note, Outcome, Repeat, Report, ServerId,
+    ServerState, ServerView, Settings, SettingsError,
 };
 use baydrift::Controller;
 use baydrift_fleet::Lives;
@@ -37,7 +37,7 @@
     fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>);
 
     /// What it believes of each server, for logs.
-    fn beliefs(&self) -> Vec<Belief> {
+    fn server_views(&self) -> Vec<ServerView> {
         Vec::new()
     }
 }
@@ -47,8 +47,8 @@
         Self::handle(self, now, event, actions);
     }
 
-    fn beliefs(&self) -> Vec<Belief> {
-        Self::beliefs(self)
+    fn server_views(&self) -> Vec<ServerView> {
+        Self::server_views(self)
     }
 }
 
@@ -332,8 +332,8 @@
     }
 
     /// What the module believes of each server, for logs.
-    pub fn beliefs(&self) -> Vec<Belief> {
-        self.policy.beliefs()
+    pub fn server_views(&self) -> Vec<ServerView> {
+        self.policy.server_views()
     }
 
     /// Whether a server's processor ramps, as far as this front knows.
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use baydrift::config::Wording;
+use baydrift::config::SiteConfig;
 use baydrift::interface::{Micros, Settings};
 use baydrift_platform::{Fault, Fleet};
 use serde::Deserialize;
@@ -62,7 +62,7 @@
     /// The module's settings.
     pub settings: Settings,
     /// Names and figures beside them.
-    pub wording: Wording,
+    pub site: SiteConfig,
 }
 
 #[derive(Deserialize)]
@@ -97,10 +97,10 @@
 impl Config {
     /// How long a connection to a signalling server may take to come up.
     pub fn dial_timeout(&self) -> Micros {
-        if self.wording.dial_timeout == 0 {
+        if self.site.dial_timeout == 0 {
             DIAL_TIMEOUT
         } else {
-            self.wording.dial_timeout
+            self.site.dial_timeout
         }
     }
 
@@ -135,7 +135,7 @@
             let what = format!("{} are too few: {SOCKETS_LEAST} at least", raw.limits.sockets);
             return Err(ConfigError::Key { key: "limits.sockets", what });
         }
-        let (settings, wording) = baydrift::config::read(raw.settings.get().as_bytes())?;
+        let (settings, site) = baydrift::config::read(raw.settings.get().as_bytes())?;
         settings.check()?;
         Ok(Self {
             name: raw.name,
@@ -147,7 +147,7 @@
             names: address("names", &raw.names)?,
             known: Fleet::from_known(raw.known)?,
             settings,
-            wording,
+            site,
         })
     }
 }
--- a/crates/node/src/state/belief.rs
+++ b/crates/node/src/state/belief.rs
@@ -59,7 +59,7 @@
         let seen = std::mem::replace(&mut self.belief, Seen { at: self.now, ..Seen::default() });
         let now = self.now;
         let age_ms = |at: Micros| if at == 0 { -1 } else { (now.saturating_sub(at) / 1_000) as i64 };
-        for belief in self.engine.beliefs() {
+        for belief in self.engine.server_views() {
             let server = belief.server;
             let ended: Vec<_> = seen.ended.iter().filter(|((id, _), _)| *id == server).collect();
             let ended: Vec<_> = ended.iter().map(|((_, how), count)| format!("{how} {count}")).collect();
--- a/crates/node/src/state/callers.rs
+++ b/crates/node/src/state/callers.rs
@@ -111,11 +111,11 @@
         if call == Id::default() {
             return Err(wrong(0, "no id"));
         }
-        let class = self.wording.classes.iter().position(|name| *name == setup.class);
+        let class = self.site.classes.iter().position(|name| *name == setup.class);
         let class = class.ok_or(wrong(Code::CLASS, "unknown class"))?;
         let tenant = match &setup.tenant {
-            Some(name) => self.wording.tenants.iter().position(|own| own == name),
-            None => self.wording.tenants.is_empty().then_some(0),
+            Some(name) => self.site.tenants.iter().position(|own| own == name),
+            None => self.site.tenants.is_empty().then_some(0),
         };
         let tenant = tenant.ok_or(wrong(Code::TENANT, "unknown tenant"))?;
         let session = self.session(call);
@@ -133,7 +133,8 @@
             }
             return Ok(());
         }
-        if setup.width < 1.0 || self.wording.widths.get(class).is_some_and(|most| setup.width > *most) {
+        if setup.width < 1.0 || self.site.circuits_by_class.get(class).is_some_and(|most| setup.width > *most)
+        {
             return Err(wrong(Code::FIGURES, "width out of range"));
         }
         match self.engine.knows(&session) {
@@ -170,7 +171,7 @@
             number: setup.number.1,
             first_choice: setup.dest,
             caller_timeout: setup.wait,
-            redial: self.wording.marks_redials.then_some(setup.redial),
+            redial: self.site.marks_redials.then_some(setup.redial),
             was_dropped: setup.was_dropped,
             // Each set-up has an id of its own, also a caller's second one.
             said: Said::Once,
--- a/crates/node/src/state/mod.rs
+++ b/crates/node/src/state/mod.rs
@@ -181,7 +181,7 @@
 pub struct Node {
     engine: Engine<Payload>,
     now: Micros,
-    wording: baydrift::config::Wording,
+    site: baydrift::config::SiteConfig,
     longest_wait: Micros,
     owner: Arc<str>,
     fleet: Fleet,
@@ -211,14 +211,14 @@
     /// # Errors
     /// When the settings hold a figure that nothing sensible can be done with.
     pub fn new(config: &Config) -> Result<Self, EngineError> {
-        let max_open = if config.wording.max_open == 0 { CALLS_MAX } else { config.wording.max_open };
+        let max_open = if config.site.max_open == 0 { CALLS_MAX } else { config.site.max_open };
         let limits = Limits {
             calls: max_open.min(CALLS_MAX) as usize,
             in_set_up_per_link: PER_LINK_MAX,
             memory: MEMORY.0,
             memory_keep: MEMORY.1,
             servers: baydrift_platform::list::SERVERS_MAX,
-            grace: config.wording.grace,
+            grace: config.site.grace,
             ..Limits::default()
         };
         let bounds = servers::Bounds::of(config);
@@ -226,7 +226,7 @@
             engine: Engine::new(config.settings.clone(), limits, config.seed)?,
             now: 0,
             longest_wait: config.settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0),
-            wording: config.wording.clone(),
+            site: config.site.clone(),
             owner: Arc::from("callers"),
             fleet: config.known.clone(),
             calls: BTreeMap::new(),
--- a/crates/node/src/state/servers.rs
+++ b/crates/node/src/state/servers.rs
@@ -506,7 +506,7 @@
 
     fn report_of(&self, message: &Message) -> Result<Report, Fault> {
         let text = message.text(Code::REPORT)?;
-        Ok(text.map(|text| report::read(text, &self.wording.fields)).unwrap_or_default())
+        Ok(text.map(|text| report::read(text, &self.site.fields)).unwrap_or_default())
     }
 
     /// FIRST: a call stands. Only on the connection of its set-up; a second copy, or an answer to what nobody
--- a/src/bin/baydrift-wirehost/host.rs
+++ b/src/bin/baydrift-wirehost/host.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-use baydrift::config::{self, Field, Wording};
+use baydrift::config::{self, Field, SiteConfig};
 use baydrift::interface::{Action, Call, Entry, Event, ListKind, Note, Outcome, Report, ServerState};
 use baydrift::Controller;
 
@@ -12,7 +12,7 @@
 /// One front's controller and its site parameters.
 struct Instance {
     controller: Controller,
-    wording: Wording,
+    site: SiteConfig,
 }
 
 /// All instances of the process, and the server lists to which records refer.
@@ -106,8 +106,8 @@
             }
             _ => {}
         }
-        let fields_in_order = self.instances.get(&front).map_or(&[][..], |i| &i.wording.fields);
-        let marks_redials = self.instances.get(&front).is_some_and(|i| i.wording.marks_redials);
+        let fields_in_order = self.instances.get(&front).map_or(&[][..], |i| &i.site.fields);
+        let marks_redials = self.instances.get(&front).is_some_and(|i| i.site.marks_redials);
         let event = match code {
             1010 => {
                 let mode = fields.u8("mode")?;
@@ -188,9 +188,9 @@
         let seed = fields.u64("rng-seed")?;
         let size = fields.u32("config size")? as usize;
         let text = fields.take(size, "config")?;
-        let (settings, wording) = config::read(text).map_err(|e| fields.error(e.to_string()))?;
+        let (settings, site) = config::read(text).map_err(|e| fields.error(e.to_string()))?;
         let controller = Controller::new(settings, seed).map_err(|e| fields.error(e.to_string()))?;
-        self.instances.insert(front, Instance { controller, wording });
+        self.instances.insert(front, Instance { controller, site });
         Ok(())
     }
 }
--- a/src/config.rs
+++ b/src/config.rs
@@ -168,13 +168,13 @@
 }
 
 impl Raw {
-    fn wording(&self) -> Wording {
-        Wording {
+    fn site(&self) -> SiteConfig {
+        SiteConfig {
             fields: self.stats.fields.iter().map(|name| (name.clone(), Field::named(name))).collect(),
             marks_redials: self.clients.marks_retry,
             classes: self.classes.iter().map(|class| class.name.clone()).collect(),
             tenants: self.tenants.iter().map(|tenant| tenant.name.clone()).collect(),
-            widths: self.family_info.circuits_by_class.clone(),
+            circuits_by_class: self.family_info.circuits_by_class.clone(),
             grace: micros(self.rules.stop_sending_within_s),
             dial_timeout: micros(self.policy_limits.dial_timeout_s),
             max_open: self.policy_limits.max_open,
@@ -184,7 +184,7 @@
 
 /// Site parameters that are not part of [`Settings`]: the format of its records and limits of the front.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Wording {
+pub struct SiteConfig {
     /// The values of a load report in the order of its records, with their names.
     pub fields: Vec<(String, Field)>,
     /// Whether callers mark redials.
@@ -194,7 +194,7 @@
     /// Names of the tenants, in the order of [`Settings::tenants`].
     pub tenants: Vec<String>,
     /// Number of circuits that a call takes, by class.
-    pub widths: Vec<f64>,
+    pub circuits_by_class: Vec<f64>,
     /// Longest time after the notice of a drain until new set-ups to that server stop.
     pub grace: Micros,
     /// Time within which a connection must be established; 0 if not configured.
@@ -224,9 +224,9 @@
 ///
 /// # Errors
 /// Names the key, line and column if the text is not valid JSON or lacks a required key.
-pub fn read(text: &[u8]) -> Result<(Settings, Wording), ConfigError> {
+pub fn read(text: &[u8]) -> Result<(Settings, SiteConfig), ConfigError> {
     let raw: Raw = serde_json::from_slice(text).map_err(ConfigError)?;
-    let wording = raw.wording();
+    let site = raw.site();
     let pools = raw.family_info.topology == "skills";
     let classes = raw.classes.iter().enumerate().map(|(i, class)| Class {
         worth: class.worth,
@@ -273,5 +273,5 @@
         fall_multiple: raw.rules.fall_multiple,
         fall_time: micros(raw.rules.fall_s),
     };
-    Ok((settings, wording))
+    Ok((settings, site))
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -337,7 +337,7 @@
 
 /// A controller's view of one server, for logs.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Belief {
+pub struct ServerView {
     /// The server.
     pub server: ServerId,
     /// Its number.
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -464,8 +464,8 @@
     }
 
     /// The controller's view of each server, for logs.
-    pub fn beliefs(&self) -> Vec<Belief> {
-        let view = |(server, s): (&ServerId, &Server)| Belief {
+    pub fn server_views(&self) -> Vec<ServerView> {
+        let view = |(server, s): (&ServerId, &Server)| ServerView {
             server: *server,
             number: s.number,
             state: s.state,
