--- a/src/policy.rs
+++ b/src/policy.rs
@@ -36,7 +36,7 @@
 const RATE_GAINS: (f64, f64) = (0.7, 0.2);
 /// Factor by which a negative error unwinds the integral faster than a positive error winds it up.
 const UNWIND_FACTOR: f64 = 6.0;
-/// How long a wait that this front observed itself is used.
+/// How long a wait stays in use that this front observed itself.
 const OBSERVED_WAIT_LIFETIME: Micros = SECOND;
 /// Number of unanswered set-ups that is normal and not counted as a backlog.
 const BACKLOG_ALLOWANCE: f64 = 3.0;
@@ -70,8 +70,8 @@
 /// Time constant of the rate that a warm server carries from this front; a cold server's rate derives from
 /// it.
 const CARRIED_FILTER_S: f64 = 10.0;
-/// Fraction of the rate that would push a cold server over which the fronts send it. The rest is margin for
-/// uneven traffic of the fronts, and the server's own control loop acts as well.
+/// Rate sent to a cold server, as a fraction of the rate at which it would fail. The margin allows for uneven
+/// traffic of the fronts, in addition to the server's own control loop.
 const WARM_UP_SHARE: f64 = 0.7;
 /// Depth of a cold server's token bucket beyond one set-up, as the time whose tokens it may hold.
 const WARM_UP_BURST_S: f64 = 0.3;
@@ -79,7 +79,7 @@
 const WARM_UP_TOKEN_LIFETIME: Micros = 2 * SECOND;
 /// Fewest load hints from peers that make their mean of the carried rate usable.
 const PEER_SAMPLES_MIN: f64 = 3.0;
-/// Number of load hints over which that mean runs.
+/// Number of the latest load hints that this mean covers.
 const PEER_SAMPLES_MAX: f64 = 20.0;
 /// Number of recent calls against which a call's worth is ranked.
 const RECENT_CALLS: usize = 200;
@@ -107,7 +107,7 @@
 const SUBSCRIBE_RETRY: Micros = SECOND;
 /// Mean time between gossip messages; each goes to one peer drawn at random.
 const GOSSIP_INTERVAL_S: f64 = 0.125;
-/// A server is idle when its reject fraction is zero and its load error is below this.
+/// A server counts as idle if its reject fraction is zero and its load error is below this or unknown.
 const IDLE_ERROR: f64 = -0.5;
 /// Share of gossip messages that also cover idle servers.
 const IDLE_GOSSIP_SHARE: f64 = 0.15;
