--- a/crates/call/src/engine.rs
+++ b/crates/call/src/engine.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 
 use baydrift::interface::{
-    Action, Belief, Call, CallId, Entry, Event, ListKind, Micros, Note, Outcome, Repeat, Report, ServerId,
-    ServerState, Settings, SettingsError,
+    Action, Call, CallId, Entry, Event, ListKind, Micros, Note, Outcome, Repeat, Report, ServerId,
+    ServerState, ServerView, Settings, SettingsError,
 };
 use baydrift::Controller;
 use baydrift_fleet::Membership;
@@ -39,7 +39,7 @@
     fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>);
 
     /// The policy's estimate of each server, for logs.
-    fn beliefs(&self) -> Vec<Belief> {
+    fn server_views(&self) -> Vec<ServerView> {
         Vec::new()
     }
 }
@@ -49,8 +49,8 @@
         Self::handle(self, now, event, actions);
     }
 
-    fn beliefs(&self) -> Vec<Belief> {
-        Self::beliefs(self)
+    fn server_views(&self) -> Vec<ServerView> {
+        Self::server_views(self)
     }
 }
 
@@ -205,7 +205,7 @@
         Ok(Self {
             guard: Guard::new(&settings, limits.drain_grace, limits.cold_rate),
             never_repeat: settings.classes.iter().map(|class| class.repeat == Repeat::Never).collect(),
-            pool: Pool::new(settings.ramp_time, limits.servers),
+            pool: Pool::new(settings.warm_up_time, limits.servers),
             policy,
             now: 0,
             started: None,
@@ -340,8 +340,8 @@
     }
 
     /// The policy's estimate of each server, for logs.
-    pub fn beliefs(&self) -> Vec<Belief> {
-        self.policy.beliefs()
+    pub fn server_views(&self) -> Vec<ServerView> {
+        self.policy.server_views()
     }
 
     /// Whether a server is still warming up, as far as this front knows.
@@ -408,8 +408,8 @@
                 lag: 0,
                 report: Report::default(),
             }),
-            Action::TellPeer { to, payload } => out.push(Output::SendToPeer { to, payload }),
-            Action::Watch => out.push(Output::Subscribe),
+            Action::SendPeerMessage { to, payload } => out.push(Output::SendToPeer { to, payload }),
+            Action::Subscribe => out.push(Output::Subscribe),
             Action::Timer { at, token } => self.timers.set(at, Timer::Policy(token)),
             Action::Log(text) => out.push(Output::Log(text)),
         }
@@ -552,7 +552,7 @@
         // Guards against an offer sent long ago to a killed process and queued here while this process
         // stalled: the caller's remaining wait is unknown, and its cancellation may be queued behind the
         // offer.
-        let longest_wait = offer.gives_up_in.saturating_add(self.input_delay);
+        let longest_wait = offer.caller_timeout.saturating_add(self.input_delay);
         let just_started = self.now < self.started.unwrap_or(self.now).saturating_add(longest_wait);
         let may_be_stale =
             self.input_delay > 0 && just_started && offer.retransmission != Retransmission::First;
@@ -590,7 +590,7 @@
     fn accept(&mut self, offer: Offer<P>) {
         let id = self.new_call_id();
         let answer_by =
-            self.now.saturating_add(offer.gives_up_in).saturating_sub(ANSWER_MARGIN).max(self.now);
+            self.now.saturating_add(offer.caller_timeout).saturating_sub(ANSWER_MARGIN).max(self.now);
         self.timers.set(answer_by, Timer::Deadline(id));
         *self.in_set_up.entry(offer.request.link).or_default() += 1;
         let active = ActiveCall {
@@ -604,11 +604,11 @@
             class: offer.class,
             tenant: offer.tenant,
             number: offer.number,
-            gives_up_in: offer.gives_up_in,
+            caller_timeout: offer.caller_timeout,
             first_choice: offer.first_choice,
             redial: offer.redial,
             in_transit: false,
-            was_cut: offer.was_cut,
+            was_dropped: offer.was_dropped,
         };
         // Guards against a second set-up of a call that a previous process had in flight when it was killed
         // and restarted at once.
@@ -632,8 +632,8 @@
         }
         let deferred = self.calls.get_mut(&id).and_then(|active| active.deferred.take());
         let Some((since, call)) = deferred else { return };
-        let gives_up_in = call.gives_up_in.saturating_sub(self.now.saturating_sub(since));
-        self.events.push_back(Event::Call(Call { gives_up_in, ..call }));
+        let caller_timeout = call.caller_timeout.saturating_sub(self.now.saturating_sub(since));
+        self.events.push_back(Event::Call(Call { caller_timeout, ..call }));
     }
 
     /// Reports to the policy that a call is abandoned, unless the call is still deferred.
@@ -777,7 +777,7 @@
         attempt.stage = Stage::Established;
         let Attempt { call, index, server, sent_at, .. } = *attempt;
         let lag = self.now.saturating_sub(sent_at);
-        self.events.push_back(Event::Stands { call, attempt: index, server, lag });
+        self.events.push_back(Event::Established { call, attempt: index, server, lag });
         self.report_load(server, report);
         if let Some(active) = self.calls.get_mut(&call) {
             active.phase = Phase::Established(id);
--- a/crates/call/src/engine/fleet.rs
+++ b/crates/call/src/engine/fleet.rs
@@ -35,7 +35,7 @@
         let BudgetUpdate { messages, shares } =
             budgets.update(self.now, &self.pool.warm_up_states(self.now), may_live);
         out.extend(messages.iter().map(|(to, body)| message(BUDGET_MESSAGE, *to, body)));
-        self.events.extend(shares.into_iter().map(|(server, per_s)| Event::Share { server, per_s }));
+        self.events.extend(shares.into_iter().map(|(server, per_s)| Event::BudgetShare { server, per_s }));
         self.timers.set(self.now.saturating_add(UPDATE_INTERVAL), Timer::Budgets);
     }
 
@@ -88,7 +88,7 @@
                 let reply = budgets.handle(self.now, from, body);
                 out.extend(reply.map(|reply| message(BUDGET_MESSAGE, from, &reply)));
             }
-            _ => self.events.push_back(Event::Peer { from, payload }),
+            _ => self.events.push_back(Event::PeerMessage { from, payload }),
         }
     }
 }
--- a/crates/call/src/guard.rs
+++ b/crates/call/src/guard.rs
@@ -84,7 +84,7 @@
     /// of rule 4 over all fronts, in set-ups per second.
     pub fn new(settings: &Settings, drain_grace: Micros, cold_rate: Option<f64>) -> Self {
         Self {
-            retry_hold_off: settings.release_guard,
+            retry_hold_off: settings.retry_holdoff,
             max_attempts: settings.max_attempts,
             drain_grace,
             cold_rate: cold_rate.map(|rate| rate / f64::from(settings.fronts.max(1))),
--- a/crates/call/src/lib.rs
+++ b/crates/call/src/lib.rs
@@ -14,7 +14,7 @@
 //! | --- | --- | --- |
 //! | new call offered | `Call` | |
 //! | repeated request | none: answered from the cache, or together with the first request | |
-//! | set-up confirmed | `Stands` | separate event: `Probed` with lag 0 |
+//! | set-up confirmed | `Established` | separate event: `Probed` with lag 0 |
 //! | set-up answered otherwise | `Ended`, by result | included |
 //! | no answer before the timeout | `Ended(Timeout)`, then a release | |
 //! | server's link suspect, attempt in flight | `Ended(Timeout)`, then a release | |
--- a/crates/call/src/types.rs
+++ b/crates/call/src/types.rs
@@ -46,11 +46,11 @@
     /// Number of the preferred server.
     pub first_choice: Option<u16>,
     /// Time until the caller cancels an unanswered call.
-    pub gives_up_in: Micros,
+    pub caller_timeout: Micros,
     /// Whether the number is being redialled, if the protocol reports it.
     pub redial: Option<bool>,
     /// Whether the call was established before and is offered again because it was cut.
-    pub was_cut: bool,
+    pub was_dropped: bool,
     /// Whether the offer may be a retransmission, possibly of one sent to a previous process of this front.
     pub retransmission: Retransmission,
     /// Data that the driver gets back with each set-up; dropped once the call has its final answer.
--- a/crates/call/tests/budgets.rs
+++ b/crates/call/tests/budgets.rs
@@ -134,7 +134,7 @@
 #[test]
 fn server_restarted_during_warm_up_is_cold_from_second_start() {
     let mut harness = Harness::new(Limits::default());
-    let ramp = settings().ramp_time;
+    let ramp = settings().warm_up_time;
     let start = |harness: &mut Harness| {
         harness.link(0, LinkState::Down);
         harness.link(0, LinkState::Up(Process::New));
--- a/crates/day/src/baseline.rs
+++ b/crates/day/src/baseline.rs
@@ -57,7 +57,7 @@
     }
 
     fn taken(&mut self, now: Micros, call: &Call, actions: &mut Vec<Action>) {
-        let answer_by = now + call.gives_up_in.saturating_sub(MARGIN);
+        let answer_by = now + call.caller_timeout.saturating_sub(MARGIN);
         self.calls.insert(call.id, Pending { answer_by, attempts: 0, not_before: now, out: None });
         actions.push(Action::Timer { at: answer_by, token: u64::from(call.id) });
         self.place(now, call.id, actions);
@@ -74,7 +74,7 @@
                 self.servers.extend(entries.iter().map(|entry| (entry.server, entry.state)));
             }
             Event::Call(call) => self.taken(now, &call, actions),
-            Event::Stands { call, .. } | Event::Abandoned(call) => drop(self.calls.remove(&call)),
+            Event::Established { call, .. } | Event::Abandoned(call) => drop(self.calls.remove(&call)),
             Event::Ended { call, attempt, outcome, complete, note, .. } => {
                 let Some(pending) = self.calls.get_mut(&call).filter(|p| p.out == Some(attempt)) else {
                     return;
@@ -86,7 +86,7 @@
                         actions.push(Action::Refuse { call, retry_after: 0 });
                     }
                 } else if matches!(outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) {
-                    let at = now + self.settings.release_guard + 2_000;
+                    let at = now + self.settings.retry_holdoff + 2_000;
                     pending.not_before = at;
                     actions.push(Action::Timer { at, token: u64::from(call) });
                 } else {
@@ -106,7 +106,7 @@
                     self.place(now, id, actions);
                 }
             }
-            Event::Probed { .. } | Event::Peer { .. } | Event::Share { .. } => {}
+            Event::Probed { .. } | Event::PeerMessage { .. } | Event::BudgetShare { .. } => {}
         }
     }
 }
--- a/crates/emulator/src/ramps.rs
+++ b/crates/emulator/src/ramps.rs
@@ -127,14 +127,14 @@
         max_attempts: 5,
         may_cancel: true,
         may_probe: false,
-        may_tell_peers: true,
+        may_gossip: true,
         max_retry_after: 0,
         reports: ReportPath::Answers,
         subscribe: false,
-        resend_after: 500_000,
-        release_guard: 300_000,
+        retransmit_after: 500_000,
+        retry_holdoff: 300_000,
         cold_from: spec.cold_from,
-        ramp_time: spec.ramp,
+        warm_up_time: spec.ramp,
         fall_multiple: spec.multiple,
         fall_time: spec.window,
     }
@@ -198,7 +198,7 @@
             match action {
                 Action::Send { call, server, .. } => self.sends(front, call, server),
                 Action::Timer { at, token } => self.queue.at(at, Happens::Timer(front, process, token)),
-                Action::TellPeer { to, payload } => {
+                Action::SendPeerMessage { to, payload } => {
                     let after = self.rng.random_range(0..WORD);
                     self.queue.at(now + after, Happens::Word(to, front, payload));
                 }
@@ -251,7 +251,7 @@
                 self.next_call = self.next_call.wrapping_add(1).max(1);
                 let call = Call {
                     id: self.next_call,
-                    gives_up_in: 3 * S,
+                    caller_timeout: 3 * S,
                     first_choice: Some(first),
                     ..Call::default()
                 };
@@ -264,7 +264,7 @@
             }
             Happens::Stands(front, process, call, attempt, server) => {
                 if self.fronts[front as usize].process == process {
-                    self.tell(front, Event::Stands { call, attempt, server, lag: ANSWERED });
+                    self.tell(front, Event::Established { call, attempt, server, lag: ANSWERED });
                     let report = Report { wait_s: Some(0.01), ..Report::default() };
                     let outcome = Outcome::Ok;
                     self.tell(front, Event::Probed { server, outcome, lag: 0, report });
@@ -272,7 +272,7 @@
             }
             Happens::Word(to, from, payload) => {
                 if to < self.spec.fronts {
-                    self.tell(to, Event::Peer { from, payload });
+                    self.tell(to, Event::PeerMessage { from, payload });
                 }
             }
             Happens::Learns(front) => {
--- a/crates/trunk/src/route.rs
+++ b/crates/trunk/src/route.rs
@@ -79,7 +79,7 @@
     let sum = |of: fn(&Usage) -> usize| groups.iter().map(|(_, usage)| of(usage)).sum::<usize>() as f64;
     Report {
         free: Some(sum(|u| u.free)),
-        lines: Some(sum(|u| u.free + u.outgoing + u.incoming + u.clearing)),
+        circuits: Some(sum(|u| u.free + u.outgoing + u.incoming + u.clearing)),
         ..Report::default()
     }
 }
@@ -130,6 +130,6 @@
     #[test]
     fn load_report_excludes_blocked_circuits() {
         let report = far_end_report(&[(GroupId(0), usage(2)), (GroupId(1), usage(5))]);
-        assert_eq!((report.free, report.lines), (Some(7.0), Some(19.0)));
+        assert_eq!((report.free, report.circuits), (Some(7.0), Some(19.0)));
     }
 }
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,60 +1,61 @@
-//! The settings text: JSON into the library's settings. Unknown keys are passed over. The one reader for the
-//! bench's adapter and the front node.
+//! Reads the JSON settings of a site; unknown keys are ignored. Both the bench's adapter and the front node
+//! use this reader.
 
 use crate::interface::{Class, Micros, Repeat, Report, ReportPath, Settings, Tenant};
 use serde::Deserialize;
 
-/// A value of a load report, by its place in the report.
+/// A value of a load report. Records hold these by position, in the order that the settings give.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Field {
-    /// Free lines towards the server.
+    /// Free circuits towards the server.
     Free,
-    /// Lines in all.
-    Lines,
-    /// Set-ups in work.
-    InWork,
+    /// All circuits towards the server.
+    Circuits,
+    /// Set-ups in progress.
+    InFlight,
     /// Set-ups waiting.
     Queue,
-    /// How busy the processor is.
+    /// Utilisation of the processor.
     Busy,
     /// Wait at the processor, in milliseconds.
     WaitMs,
-    /// Set-ups a second that it can take.
+    /// Set-ups a second that the server can accept.
     Rate,
-    /// Share to hold back.
-    HoldBack,
-    /// Not known here.
+    /// Fraction by which each sender should reduce its set-ups.
+    Reduction,
+    /// A field that this module does not use.
     Unknown,
 }
 
 impl Field {
-    /// The field of this name in the settings.
+    /// Looks up a field by its name in the settings.
     fn named(name: &str) -> Self {
         match name {
             "idle" => Self::Free,
-            "circuits" => Self::Lines,
-            "rif" => Self::InWork,
+            "circuits" => Self::Circuits,
+            "rif" => Self::InFlight,
             "q" => Self::Queue,
             "busy" => Self::Busy,
             "lat_ms" => Self::WaitMs,
             "max_rate" => Self::Rate,
-            "reduce" => Self::HoldBack,
+            "reduce" => Self::Reduction,
             _ => Self::Unknown,
         }
     }
 
-    /// Sets the field in a report. Not told is -1; other negative or non-finite values say nothing either.
+    /// Sets the field in a report. A value of -1 means that it was not reported; other negative and
+    /// non-finite values are treated the same.
     pub fn put(self, value: f64, report: &mut Report) {
         let value = Some(value).filter(|v| v.is_finite() && *v >= 0.0);
         match self {
             Self::Free => report.free = value,
-            Self::Lines => report.lines = value,
-            Self::InWork => report.in_work = value,
+            Self::Circuits => report.circuits = value,
+            Self::InFlight => report.in_flight = value,
             Self::Queue => report.queue = value,
             Self::Busy => report.busy = value,
             Self::WaitMs => report.wait_s = value.map(|v| v / 1000.0),
             Self::Rate => report.rate = value,
-            Self::HoldBack => report.hold_back = value,
+            Self::Reduction => report.reduction = value,
             Self::Unknown => {}
         }
     }
@@ -167,13 +168,13 @@
 }
 
 impl Raw {
-    fn wording(&self) -> Wording {
-        Wording {
+    fn site(&self) -> SiteConfig {
+        SiteConfig {
             fields: self.stats.fields.iter().map(|name| (name.clone(), Field::named(name))).collect(),
             marks_redials: self.clients.marks_retry,
             classes: self.classes.iter().map(|class| class.name.clone()).collect(),
             tenants: self.tenants.iter().map(|tenant| tenant.name.clone()).collect(),
-            widths: self.family_info.circuits_by_class.clone(),
+            circuits_by_class: self.family_info.circuits_by_class.clone(),
             grace: micros(self.rules.stop_sending_within_s),
             dial_timeout: micros(self.policy_limits.dial_timeout_s),
             max_open: self.policy_limits.max_open,
@@ -181,28 +182,28 @@
     }
 }
 
-/// How this site words its records, and what a front needs beside the module's settings.
+/// Site parameters that are not part of [`Settings`]: the format of its records and limits of the front.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Wording {
-    /// Load report values by place, with their names.
+pub struct SiteConfig {
+    /// The values of a load report in the order of its records, with their names.
     pub fields: Vec<(String, Field)>,
-    /// Callers mark that they dial again.
+    /// Whether callers mark redials.
     pub marks_redials: bool,
-    /// The classes' names, in the order of the settings.
+    /// Names of the classes, in the order of [`Settings::classes`].
     pub classes: Vec<String>,
-    /// The customers' names, in the order of the settings.
+    /// Names of the tenants, in the order of [`Settings::tenants`].
     pub tenants: Vec<String>,
-    /// Circuits that a call of each class takes.
-    pub widths: Vec<f64>,
-    /// Nothing new to a server later than this after a drain was told.
+    /// Number of circuits that a call takes, by class.
+    pub circuits_by_class: Vec<f64>,
+    /// Longest time after the notice of a drain until new set-ups to that server stop.
     pub grace: Micros,
-    /// A connection that is not up by then has failed; 0 where none is told.
+    /// Time within which a connection must be established; 0 if not configured.
     pub dial_timeout: Micros,
-    /// Calls in set-up at once; 0 where no bound is told.
+    /// Largest number of calls in set-up at once; 0 if not configured.
     pub max_open: u32,
 }
 
-/// Why a settings text cannot be used.
+/// The settings are not valid JSON or lack a required key.
 #[derive(Debug)]
 pub struct ConfigError(serde_json::Error);
 
@@ -214,18 +215,18 @@
 
 impl std::error::Error for ConfigError {}
 
-/// Seconds to whole microseconds; what is negative or not finite becomes 0.
+/// Converts seconds to whole microseconds, rounded; negative values and NaN become 0.
 pub fn micros(seconds: f64) -> u64 {
     (seconds * 1e6).round() as u64
 }
 
-/// Reads the settings and the site's wording.
+/// Reads the settings and the site parameters.
 ///
 /// # Errors
-/// Names the key, line and column at which the text is no JSON or lacks what must be there.
-pub fn read(text: &[u8]) -> Result<(Settings, Wording), ConfigError> {
+/// Names the key, line and column if the text is not valid JSON or lacks a required key.
+pub fn read(text: &[u8]) -> Result<(Settings, SiteConfig), ConfigError> {
     let raw: Raw = serde_json::from_slice(text).map_err(ConfigError)?;
-    let wording = raw.wording();
+    let site = raw.site();
     let pools = raw.family_info.topology == "skills";
     let classes = raw.classes.iter().enumerate().map(|(i, class)| Class {
         worth: class.worth,
@@ -254,7 +255,7 @@
         max_attempts: raw.policy_limits.max_attempts,
         may_cancel: raw.policy_limits.cancelling,
         may_probe: raw.policy_limits.probes,
-        may_tell_peers: raw.policy_limits.peers,
+        may_gossip: raw.policy_limits.peers,
         max_retry_after: match raw.policy_limits.retry_after {
             true => micros(raw.policy_limits.max_retry_after_s),
             false => 0,
@@ -265,12 +266,12 @@
             _ => ReportPath::None,
         },
         subscribe: raw.discovery == "subscribe",
-        resend_after: micros(raw.family_info.t1_s),
-        release_guard: micros(raw.family_info.guard_s),
+        retransmit_after: micros(raw.family_info.t1_s),
+        retry_holdoff: micros(raw.family_info.guard_s),
         cold_from: raw.rules.cold_from,
-        ramp_time: micros(raw.rules.ramp_time_s),
+        warm_up_time: micros(raw.rules.ramp_time_s),
         fall_multiple: raw.rules.fall_multiple,
         fall_time: micros(raw.rules.fall_s),
     };
-    Ok((settings, wording))
+    Ok((settings, site))
 }
