--- a/crates/cli/benches/cost.rs
+++ b/crates/cli/benches/cost.rs
@@ -418,20 +418,20 @@
 /// ns a call through the desk: a request and a release of a client, an answer to each of a server.
 fn desk() -> f64 {
     use baydrift_call::LinkId;
-    use baydrift_desk::{Boot, Desk, DeskInput, DeskOutput, Opened};
+    use baydrift_desk::{AdmittedClient, ProcessIdentity, SessionInput, SessionLayer, SessionOutput};
     use baydrift_diameter::Remote;
     let text = "front \"f\" realm=\"r\" { listen \"127.0.0.1:0\"; serves \"test\"; }\nclass \"g\" { context \"grid@test\"; \
                 gives-up \"3s\"; }\nclient \"c.test\" realm=\"test\"\nserver \"s\" realm=\"r\" number=0 addr=\"127.0.0.1:1\"\n";
     let config = baydrift_config::parse("bench", text).expect("good");
     let mut times = Vec::new();
     for _ in 0..ROUNDS {
-        let mut desk = Desk::new(&config, Boot::numbered(1), 1).expect("good settings");
+        let mut desk = SessionLayer::new(&config, ProcessIdentity::numbered(1), 1).expect("good settings");
         let mut out = Vec::new();
         let remote = Remote { host: "c.test".into(), realm: "test".into(), state_id: None };
-        desk.hear(0, DeskInput::ServerUp { server: 0, state_id: Some(1) }, &mut out);
-        desk.hear(
+        desk.handle(0, SessionInput::ServerUp { server: 0, state_id: Some(1) }, &mut out);
+        desk.handle(
             0,
-            DeskInput::ClientUp { link: LinkId(1), opened: Opened { remote, relay: false } },
+            SessionInput::ClientUp { link: LinkId(1), client: AdmittedClient { remote, relay: false } },
             &mut out,
         );
         let calls = 20_000u64;
@@ -446,17 +446,23 @@
             for message in pair {
                 now += 700;
                 out.clear();
-                desk.hear(now, DeskInput::ClientRequest { link: LinkId(1), message }, &mut out);
+                desk.handle(now, SessionInput::ClientRequest { link: LinkId(1), message }, &mut out);
                 let sent = out.iter().find_map(|o| match o {
-                    DeskOutput::ToServer { attempt, kind, message, .. } => Some((*attempt, *kind, message)),
+                    SessionOutput::ToServer { attempt, kind, message, .. } => {
+                        Some((*attempt, *kind, message))
+                    }
                     _ => None,
                 });
                 if let Some((attempt, kind, message)) = sent {
                     // The server's own work is in here too: two answers made.
                     let message = credit::answer(message, result::SUCCESS, "s", "r");
-                    desk.hear(now, DeskInput::ServerAnswer { server: 0, attempt, kind, message }, &mut out);
+                    desk.handle(
+                        now,
+                        SessionInput::ServerAnswer { server: 0, attempt, kind, message },
+                        &mut out,
+                    );
                 }
-                desk.hear(now, DeskInput::Tick, &mut out);
+                desk.handle(now, SessionInput::Tick, &mut out);
             }
         }
         times.push(begun.elapsed().as_nanos() as f64 / calls as f64);
@@ -472,41 +478,47 @@
 /// ns a call through the desk by H.248 text: an Add and a Subtract, an answer to each of a server.
 fn text_desk() -> f64 {
     use baydrift_call::LinkId;
-    use baydrift_desk::{Boot, Desk, DeskInput, DeskOutput};
+    use baydrift_desk::{ProcessIdentity, SessionInput, SessionLayer, SessionOutput};
     let text = "front \"f\" realm=\"r\" { listen \"127.0.0.1:0\"; serves \"test\"; }\nclass \"g\" { context \"grid@test\"; \
                 gives-up \"3s\"; }\ntext udp=\"127.0.0.1:0\"\ntext-client \"<c.test>\" realm=\"test\"\nserver \"s\" realm=\"r\" \
                 number=0 addr=\"127.0.0.1:1\"\n";
     let config = baydrift_config::parse("bench", text).expect("good");
     let mut times = Vec::new();
     for _ in 0..ROUNDS {
-        let mut desk = Desk::new(&config, Boot::numbered(1), 1).expect("good settings");
+        let mut desk = SessionLayer::new(&config, ProcessIdentity::numbered(1), 1).expect("good settings");
         let mut out = Vec::new();
         let say =
-            |text: String| DeskInput::Text { link: LinkId(1), reliable: true, bytes: text.into_bytes() };
-        desk.hear(0, DeskInput::ServerUp { server: 0, state_id: Some(1) }, &mut out);
-        desk.hear(0, say("!/1 <c.test> T=9000000{C=-{SC=ROOT{SV{MT=RS}}}}".into()), &mut out);
+            |text: String| SessionInput::Text { link: LinkId(1), reliable: true, bytes: text.into_bytes() };
+        desk.handle(0, SessionInput::ServerUp { server: 0, state_id: Some(1) }, &mut out);
+        desk.handle(0, say("!/1 <c.test> T=9000000{C=-{SC=ROOT{SV{MT=RS}}}}".into()), &mut out);
         let (calls, mut now, mut done) = (20_000u32, 10_000u64, 0u32);
         let begun = Instant::now();
         for n in 1..=calls {
             // As clients do: what was answered is acknowledged, so that it makes room.
             if n % 100 == 0 {
-                desk.hear(now, say("!/1 <c.test> K{1-4294967295}".into()), &mut out);
+                desk.handle(now, say("!/1 <c.test> K{1-4294967295}".into()), &mut out);
             }
             let texts = [text_add(n), format!("!/1 <c.test> T={}{{C={n}{{S=trunk/{n}}}}}", 1_000_000 + n)];
             for text in texts {
                 now += 700;
                 out.clear();
-                desk.hear(now, say(text), &mut out);
+                desk.handle(now, say(text), &mut out);
                 let sent = out.iter().find_map(|o| match o {
-                    DeskOutput::ToServer { attempt, kind, message, .. } => Some((*attempt, *kind, message)),
+                    SessionOutput::ToServer { attempt, kind, message, .. } => {
+                        Some((*attempt, *kind, message))
+                    }
                     _ => None,
                 });
                 if let Some((attempt, kind, message)) = sent {
                     done += 1;
                     let message = credit::answer(message, result::SUCCESS, "s", "r");
-                    desk.hear(now, DeskInput::ServerAnswer { server: 0, attempt, kind, message }, &mut out);
+                    desk.handle(
+                        now,
+                        SessionInput::ServerAnswer { server: 0, attempt, kind, message },
+                        &mut out,
+                    );
                 }
-                desk.hear(now, DeskInput::Tick, &mut out);
+                desk.handle(now, SessionInput::Tick, &mut out);
             }
         }
         times.push(begun.elapsed().as_nanos() as f64 / f64::from(calls));
--- a/crates/desk/src/doors.rs
+++ b/crates/desk/src/admission.rs
@@ -12,7 +12,7 @@
 
 /// A connection that may go on.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Opened {
+pub struct AdmittedClient {
     /// Who it is.
     pub remote: Remote,
     /// Whether it forwards requests of other hosts.
@@ -21,7 +21,7 @@
 
 /// Counts connections: all, half-open, and each client's own.
 #[derive(Debug)]
-pub struct Doors {
+pub struct Admission {
     clients: BTreeMap<String, Client>,
     open: BTreeMap<LinkId, Option<String>>,
     half_open: usize,
@@ -29,7 +29,7 @@
     most_half_open: usize,
 }
 
-impl Doors {
+impl Admission {
     /// By a configuration.
     pub fn new(config: &Config) -> Self {
         Self {
@@ -56,7 +56,7 @@
     /// # Errors
     /// 3010 for a host that is not configured, or of another realm; 5012 where a client has as many
     /// connections as it may; else as [`read_capabilities`].
-    pub fn greet(&mut self, link: LinkId, cer: &Message, local: &Local) -> Result<Opened, Fault> {
+    pub fn admit(&mut self, link: LinkId, cer: &Message, local: &Local) -> Result<AdmittedClient, Fault> {
         let remote = read_capabilities(cer, local)?;
         let unknown = |text: String| Fault::new(result::UNKNOWN_PEER, text);
         let client = self.clients.get(&remote.host).or_else(|| self.clients.get(ANYONE));
@@ -74,7 +74,7 @@
         };
         *owner = Some(remote.host.clone());
         self.half_open -= 1;
-        Ok(Opened { relay: client.relay, remote })
+        Ok(AdmittedClient { relay: client.relay, remote })
     }
 
     /// A transport is gone.
--- a/crates/desk/src/facts.rs
+++ b/crates/desk/src/classification.rs
@@ -9,7 +9,7 @@
 
 /// What the engine is told of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Facts {
+pub struct CallAttributes {
     /// Index of its class.
     pub class: usize,
     /// Index of its publisher; beyond all of them where none is known.
@@ -24,7 +24,7 @@
 
 /// The configured table: from what requests say to what calls are.
 #[derive(Debug, Clone)]
-pub struct Table {
+pub struct CallClassifier {
     host: String,
     serves: Vec<String>,
     contexts: BTreeMap<String, usize>,
@@ -37,7 +37,7 @@
     publishers: usize,
 }
 
-impl Table {
+impl CallClassifier {
     /// The table of a configuration.
     pub fn new(config: &Config) -> Self {
         let mut contexts = BTreeMap::new();
@@ -81,7 +81,7 @@
     ///
     /// # Errors
     /// 3003 for a realm not served, 3002 for a host not known, 5004 for a service context without a class.
-    pub fn facts(&self, message: &Message, ccr: &Ccr<'_>) -> Result<Facts, Fault> {
+    pub fn facts(&self, message: &Message, ccr: &Ccr<'_>) -> Result<CallAttributes, Fault> {
         if !self.serves.iter().any(|realm| realm == ccr.destination_realm) {
             let text = format!("realm {} is not served", ccr.destination_realm);
             return Err(Fault::new(result::REALM_NOT_SERVED, text));
@@ -98,7 +98,7 @@
             Fault::new(result::INVALID_AVP_VALUE, text)
                 .with(Avp::text(dict::SERVICE_CONTEXT_ID, ccr.service_context))
         })?;
-        Ok(Facts {
+        Ok(CallAttributes {
             class,
             tenant: self.tenant(message, ccr.origin_realm),
             number: ccr.called.map_or(0, number_of),
--- a/crates/desk/src/commands.rs
+++ b/crates/desk/src/commands.rs
@@ -13,7 +13,7 @@
 };
 use tracing::{debug, debug_span};
 
-use crate::desk::{Desk, DeskOutput, Payload};
+use crate::session_layer::{Payload, SessionLayer, SessionOutput};
 use crate::text::{is_trunk, property, Entry, Job, Step, Told};
 
 /// What a command came to.
@@ -36,7 +36,7 @@
     Err(ErrorDescriptor::new(code, text))
 }
 
-impl Desk {
+impl SessionLayer {
     /// A datagram or packet came.
     pub(crate) fn text_heard(
         &mut self,
@@ -44,7 +44,7 @@
         link: LinkId,
         reliable: bool,
         bytes: &[u8],
-        out: &mut Vec<DeskOutput>,
+        out: &mut Vec<SessionOutput>,
     ) {
         let read = match std::str::from_utf8(bytes) {
             Ok(text) => parse(text),
@@ -61,7 +61,7 @@
             for transaction in all {
                 if let Transaction::Request { id, .. } = transaction {
                     let text = self.text.reply(id, false, ReplyBody::Error(error.clone()));
-                    out.push(DeskOutput::Text { link, text });
+                    out.push(SessionOutput::Text { link, text });
                 }
             }
             return;
@@ -72,7 +72,7 @@
     }
 
     /// A text that is none: the transaction is told where it could be read, else the sender, if it is known.
-    fn text_unread(&mut self, link: LinkId, error: &baydrift_h248::Error, out: &mut Vec<DeskOutput>) {
+    fn text_unread(&mut self, link: LinkId, error: &baydrift_h248::Error, out: &mut Vec<SessionOutput>) {
         self.faults += 1;
         debug!(link = link.0, "{error}");
         if !self.text.clients.contains_key(&link) {
@@ -85,7 +85,7 @@
                 Message { version: 1, mid: self.text.mid.clone(), body }.write(Style::Compact).into()
             }
         };
-        out.push(DeskOutput::Text { link, text });
+        out.push(SessionOutput::Text { link, text });
     }
 
     fn transaction(
@@ -93,7 +93,7 @@
         now: Micros,
         link: LinkId,
         transaction: Transaction,
-        out: &mut Vec<DeskOutput>,
+        out: &mut Vec<SessionOutput>,
     ) {
         let Some(client) = self.text.clients.get_mut(&link) else { return };
         let mut dos = Vec::new();
@@ -126,7 +126,7 @@
         }
     }
 
-    fn text_do(&mut self, now: Micros, link: LinkId, what: ExchangeAction, out: &mut Vec<DeskOutput>) {
+    fn text_do(&mut self, now: Micros, link: LinkId, what: ExchangeAction, out: &mut Vec<SessionOutput>) {
         let text = match what {
             ExchangeAction::Send(text) => text,
             ExchangeAction::Pending(id) => self.text.message(Transaction::Pending(id)).into(),
@@ -138,11 +138,11 @@
             ExchangeAction::Lost(_) => return self.text_gone(now, link, out),
             ExchangeAction::Execute(_) | ExchangeAction::Delivered(_) => return,
         };
-        out.push(DeskOutput::Text { link, text });
+        out.push(SessionOutput::Text { link, text });
     }
 
     /// Pendings and repeats that are due.
-    pub(crate) fn text_tick(&mut self, now: Micros, out: &mut Vec<DeskOutput>) {
+    pub(crate) fn text_tick(&mut self, now: Micros, out: &mut Vec<SessionOutput>) {
         let due: Vec<_> = self
             .text
             .clients
@@ -171,7 +171,7 @@
 
     /// A client is gone: its link closed, or it does not answer. Its calls go with the association: nobody can name
     /// their contexts any more, and a set-up that went on would be a second one beside what its caller asks anew.
-    pub(crate) fn text_gone(&mut self, now: Micros, link: LinkId, out: &mut Vec<DeskOutput>) {
+    pub(crate) fn text_gone(&mut self, now: Micros, link: LinkId, out: &mut Vec<SessionOutput>) {
         if let Some(owner) = self.text.clients.get(&link).map(|client| client.mid.clone()) {
             self.text.drop_client(link);
             self.engine(now, Input::ClientUp { link, owner, restarted: true }, out);
@@ -185,7 +185,7 @@
         link: LinkId,
         id: u32,
         actions: Vec<baydrift_h248::Action>,
-        out: &mut Vec<DeskOutput>,
+        out: &mut Vec<SessionOutput>,
     ) {
         let (turn, _) = self.text.turns.submit(&link, (link, id));
         if turn == QueueDecision::Refused {
@@ -200,7 +200,7 @@
 
     /// All that can be done now. Steps are taken from a queue, not by recursion: a transaction may have thousands
     /// of commands.
-    pub(crate) fn text_steps(&mut self, now: Micros, out: &mut Vec<DeskOutput>) {
+    pub(crate) fn text_steps(&mut self, now: Micros, out: &mut Vec<SessionOutput>) {
         while let Some(step) = self.text.steps.pop_front() {
             match step {
                 Step::Run(link, id) => self.run_job(now, link, id, out),
@@ -213,7 +213,7 @@
         }
     }
 
-    fn run_job(&mut self, now: Micros, link: LinkId, id: u32, out: &mut Vec<DeskOutput>) {
+    fn run_job(&mut self, now: Micros, link: LinkId, id: u32, out: &mut Vec<SessionOutput>) {
         loop {
             let Some(job) = self.text.jobs.get_mut(&(link, id)).filter(|job| job.waits.is_none()) else {
                 return;
@@ -242,7 +242,7 @@
         }
     }
 
-    fn finish(&mut self, now: Micros, link: LinkId, id: u32, out: &mut Vec<DeskOutput>) {
+    fn finish(&mut self, now: Micros, link: LinkId, id: u32, out: &mut Vec<SessionOutput>) {
         let Some(job) = self.text.jobs.remove(&(link, id)) else { return };
         let long = now.saturating_sub(job.began) > TOOK_LONG;
         // A call's answer that is lost is worth nothing: over datagrams it is said until it is acknowledged, or
@@ -267,7 +267,7 @@
         id: u32,
         again_for: Option<Micros>,
         body: ReplyBody,
-        out: &mut Vec<DeskOutput>,
+        out: &mut Vec<SessionOutput>,
     ) {
         let text = self.text.reply(id, again_for.is_some(), body);
         let mut dos = Vec::new();
@@ -284,7 +284,7 @@
         id: u32,
         context: Context,
         command: &Command,
-        out: &mut Vec<DeskOutput>,
+        out: &mut Vec<SessionOutput>,
     ) -> Result<Done, ErrorDescriptor> {
         let Some(client) = self.text.clients.get(&link) else { return no(code::INTERNAL, "gone") };
         if !client.registered && command.kind != CommandKind::ServiceChange {
@@ -337,7 +337,7 @@
         id: u32,
         context: Context,
         command: &Command,
-        out: &mut Vec<DeskOutput>,
+        out: &mut Vec<SessionOutput>,
     ) -> Result<Done, ErrorDescriptor> {
         if self.text.clients.get(&link).is_some_and(|client| client.leaving) {
             return no(code::INSUFFICIENT_RESOURCES, "the client leaves");
@@ -400,7 +400,7 @@
         let facts = self.table.facts(&message, &ccr)?;
         let session = Session { owner: client.mid.clone(), id: Arc::from(session) };
         let span = debug_span!("call", session = &*session.id);
-        let patience = facts.gives_up.saturating_sub(self.waited());
+        let patience = facts.gives_up.saturating_sub(self.input_delay());
         let reserve = if client.exchange.is_reliable() { 0 } else { RESERVE.min(facts.gives_up / 4) };
         self.next_ticket += 1;
         let offer = Offer {
@@ -439,7 +439,7 @@
         id: u32,
         context: Context,
         command: &Command,
-        out: &mut Vec<DeskOutput>,
+        out: &mut Vec<SessionOutput>,
     ) -> Result<Done, ErrorDescriptor> {
         let (context, entry) = self.known(link, context)?;
         let all = command.termination == "*" || command.termination.eq_ignore_ascii_case("trunk/*");
@@ -518,7 +518,7 @@
         link: LinkId,
         id: u32,
         command: &Command,
-        out: &mut Vec<DeskOutput>,
+        out: &mut Vec<SessionOutput>,
     ) -> Result<Done, ErrorDescriptor> {
         if !command.termination.eq_ignore_ascii_case("ROOT") {
             return no(code::NOT_IMPLEMENTED, "a client registers as a whole");
@@ -558,7 +558,7 @@
     }
 
     /// The engine has answered a command that waited.
-    fn told(&mut self, now: Micros, link: LinkId, id: u32, told: Told, out: &mut Vec<DeskOutput>) {
+    fn told(&mut self, now: Micros, link: LinkId, id: u32, told: Told, out: &mut Vec<SessionOutput>) {
         let waits = self.text.jobs.get_mut(&(link, id)).and_then(|job| job.waits.take());
         let Some((command, context)) = waits else { return };
         let termination = format!("trunk/{context}");
@@ -606,7 +606,7 @@
         }
     }
 
-    fn notify_cut(&mut self, now: Micros, link: LinkId, session: &Session, out: &mut Vec<DeskOutput>) {
+    fn notify_cut(&mut self, now: Micros, link: LinkId, session: &Session, out: &mut Vec<SessionOutput>) {
         let Some(context) = self.text.context_of(link, session) else { return };
         self.text.contexts.remove(&(link, context));
         self.notify(now, link, Context::Id(context), &format!("trunk/{context}"), "1", "bdc/cut", out);
@@ -621,7 +621,7 @@
         termination: &str,
         request: &str,
         event: &str,
-        out: &mut Vec<DeskOutput>,
+        out: &mut Vec<SessionOutput>,
     ) {
         let observed = Item::new("ObservedEvents").with(request).grouping(vec![Item::new(event)]);
         let command = Command {
--- a/crates/desk/src/lib.rs
+++ b/crates/desk/src/lib.rs
@@ -1,30 +1,33 @@
-//! Between Diameter and the call engine, without I/O: which request is which call, which answer ends which
-//! attempt, what each Result-Code means, and who may connect at all.
+//! The session layer: maps Diameter requests, H.248 text commands and trunk circuits to calls of the engine and
+//! back, without I/O.
 //!
-//! [`Desk`] owns the [`baydrift_call::Engine`]. A driver hands it messages whose base protocol a
-//! [`baydrift_diameter::Peer`] has checked, and sends what comes out. [`Doors`] counts connections before and
-//! after their capabilities exchange. [`Transit`] is one server link's memory of requests sent.
+//! It decides which request belongs to which call, which answer ends which attempt, what each Result-Code means and
+//! which peers may connect.
+//!
+//! [`SessionLayer`] owns the [`baydrift_call::Engine`]. A driver passes it messages whose base protocol a
+//! [`baydrift_diameter::Peer`] has checked, and sends the resulting outputs. [`Admission`] counts connections before
+//! and after their capabilities exchange. [`OutstandingRequests`] maps the answers on one server link to attempts.
 
-mod boot;
+mod admission;
+mod classification;
 mod commands;
-mod desk;
-mod doors;
-mod facts;
 mod links;
-mod meaning;
+mod outstanding;
 mod pool;
-mod stalls;
+mod process_identity;
+mod result_codes;
+mod session_layer;
+mod stall_monitor;
 mod text;
-mod transit;
 mod trunk;
 
-pub use boot::Boot;
-pub use desk::{Desk, DeskInput, DeskOutput, Held};
-pub use doors::{Doors, Opened};
-pub use facts::{number_of, Facts, Table};
-pub use links::{local, Asked, ClientLink, LinkOutput, ServerLink};
-pub use meaning::{code_of, end_of};
+pub use admission::{Admission, AdmittedClient};
+pub use classification::{number_of, CallAttributes, CallClassifier};
+pub use links::{local_capabilities, ClientLink, LinkOutput, SendDecision, ServerLink};
+pub use outstanding::{OutstandingRequests, RequestKind};
 pub use pool::{PoolEntry, PoolError, PoolList};
-pub use stalls::{Stalls, CATCH_UP};
-pub use transit::{Kind, Transit};
+pub use process_identity::ProcessIdentity;
+pub use result_codes::{attempt_end, result_code};
+pub use session_layer::{Held, SessionInput, SessionLayer, SessionOutput};
+pub use stall_monitor::{StallMonitor, CATCH_UP};
 pub use trunk::TrunkGroupView;
--- a/crates/desk/src/links.rs
+++ b/crates/desk/src/links.rs
@@ -11,12 +11,12 @@
 use baydrift_diameter::credit::APPLICATION;
 use baydrift_diameter::{code, Local, Message, Peer, PeerInput, PeerOutput, Reason, Side};
 
-use crate::desk::DeskInput;
-use crate::stalls::STALLED;
-use crate::transit::{Kind, Transit};
+use crate::outstanding::{OutstandingRequests, RequestKind};
+use crate::session_layer::SessionInput;
+use crate::stall_monitor::STALLED;
 
 /// What a front says of itself to its peers. `state_id` is its Origin-State-Id.
-pub fn local(config: &Config, address: IpAddr, state_id: u32) -> Arc<Local> {
+pub fn local_capabilities(config: &Config, address: IpAddr, state_id: u32) -> Arc<Local> {
     Arc::new(Local {
         host: config.host.clone(),
         realm: config.realm.clone(),
@@ -42,7 +42,7 @@
     /// Close a transport once what was sent is out.
     Close(Side, Reason),
     /// Tell the desk.
-    Desk(DeskInput),
+    Session(SessionInput),
     /// The link is down: whatever transport or attempt to connect is left is of no use.
     Down,
     /// A message was turned down with this Result-Code.
@@ -51,13 +51,13 @@
 
 /// What becomes of a request to a server.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Asked {
+pub enum SendDecision {
     /// Send it on this transport.
     Send(Side, Message),
     /// There is no transport: the desk hears of that by itself.
-    Nowhere,
+    NoTransport,
     /// It is too old to go out; tell the desk.
-    Stale(DeskInput),
+    Expired(SessionInput),
 }
 
 /// One server's link.
@@ -65,7 +65,7 @@
 pub struct ServerLink {
     id: ServerId,
     peer: Peer,
-    transit: Transit,
+    transit: OutstandingRequests,
     state_id: Option<u32>,
     seen: Vec<PeerOutput>,
 }
@@ -77,7 +77,7 @@
         Self {
             id: u64::from(server.number),
             peer: Peer::new(local, expect, watchdog, end_to_end, seed),
-            transit: Transit::new(TRANSIT),
+            transit: OutstandingRequests::new(TRANSIT),
             state_id: None,
             seen: Vec::new(),
         }
@@ -106,16 +106,16 @@
         &mut self,
         now: Micros,
         said_at: Micros,
-        (attempt, kind): (AttemptId, Kind),
+        (attempt, kind): (AttemptId, RequestKind),
         mut message: Message,
-    ) -> Asked {
-        let Some(side) = self.peer.side() else { return Asked::Nowhere };
-        if kind == Kind::SetUp && now > said_at.saturating_add(STALLED) {
-            return Asked::Stale(DeskInput::Unsent(attempt));
+    ) -> SendDecision {
+        let Some(side) = self.peer.side() else { return SendDecision::NoTransport };
+        if kind == RequestKind::SetUp && now > said_at.saturating_add(STALLED) {
+            return SendDecision::Expired(SessionInput::SetUpNotSent(attempt));
         }
         let hop_by_hop = self.peer.assign_ids(&mut message);
         self.transit.sent(hop_by_hop, attempt, kind);
-        Asked::Send(side, message)
+        SendDecision::Send(side, message)
     }
 
     /// Takes one input; appends what is to be done.
@@ -136,21 +136,23 @@
                 PeerOutput::Up(remote) => self.state_id = remote.state_id,
                 PeerOutput::Usable => {
                     let state_id = self.state_id;
-                    out.push(LinkOutput::Desk(DeskInput::ServerUp { server, state_id }));
+                    out.push(LinkOutput::Session(SessionInput::ServerUp { server, state_id }));
+                }
+                PeerOutput::Suspect => out.push(LinkOutput::Session(SessionInput::ServerSuspect(server))),
+                PeerOutput::Draining(_) => {
+                    out.push(LinkOutput::Session(SessionInput::ServerDraining(server)))
                 }
-                PeerOutput::Suspect => out.push(LinkOutput::Desk(DeskInput::ServerSuspect(server))),
-                PeerOutput::Draining(_) => out.push(LinkOutput::Desk(DeskInput::ServerDrains(server))),
                 PeerOutput::Down(_) => {
                     self.transit.clear();
                     out.push(LinkOutput::Down);
-                    out.push(LinkOutput::Desk(DeskInput::ServerDown(server)));
+                    out.push(LinkOutput::Session(SessionInput::ServerDown(server)));
                 }
                 PeerOutput::Request(message) => {
-                    out.push(LinkOutput::Desk(DeskInput::ServerRequest { server, message }));
+                    out.push(LinkOutput::Session(SessionInput::ServerRequest { server, message }));
                 }
                 PeerOutput::Answer(message) => {
                     if let Some((attempt, kind)) = self.transit.answered(message.header.hop_by_hop) {
-                        out.push(LinkOutput::Desk(DeskInput::ServerAnswer {
+                        out.push(LinkOutput::Session(SessionInput::ServerAnswer {
                             server,
                             attempt,
                             kind,
@@ -206,7 +208,7 @@
             match output {
                 PeerOutput::Send(side, message) => out.push(LinkOutput::Send(side, message)),
                 PeerOutput::Request(message) => {
-                    out.push(LinkOutput::Desk(DeskInput::ClientRequest { link: self.link, message }));
+                    out.push(LinkOutput::Session(SessionInput::ClientRequest { link: self.link, message }));
                 }
                 PeerOutput::Close(side, reason) => out.push(LinkOutput::Close(side, reason)),
                 PeerOutput::Down(_) => out.push(LinkOutput::Down),
--- a/crates/desk/src/transit.rs
+++ b/crates/desk/src/outstanding.rs
@@ -6,7 +6,7 @@
 
 /// What a request asks of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum RequestKind {
     /// Set a call up.
     SetUp,
     /// Release it.
@@ -15,20 +15,20 @@
 
 /// Requests without their answer; at the bound the oldest is forgotten, and its answer counts as unasked.
 #[derive(Debug)]
-pub struct Transit {
-    out: BTreeMap<u32, (AttemptId, Kind)>,
+pub struct OutstandingRequests {
+    out: BTreeMap<u32, (AttemptId, RequestKind)>,
     order: VecDeque<u32>,
     most: usize,
 }
 
-impl Transit {
+impl OutstandingRequests {
     /// None yet; room for so many.
     pub fn new(most: usize) -> Self {
         Self { out: BTreeMap::new(), order: VecDeque::new(), most: most.max(1) }
     }
 
     /// A request was sent under this hop-by-hop id.
-    pub fn sent(&mut self, hop_by_hop: u32, attempt: AttemptId, kind: Kind) {
+    pub fn sent(&mut self, hop_by_hop: u32, attempt: AttemptId, kind: RequestKind) {
         while self.order.len() >= self.most {
             if let Some(oldest) = self.order.pop_front() {
                 self.out.remove(&oldest);
@@ -39,7 +39,7 @@
     }
 
     /// What an answer belongs to; each is found once.
-    pub fn answered(&mut self, hop_by_hop: u32) -> Option<(AttemptId, Kind)> {
+    pub fn answered(&mut self, hop_by_hop: u32) -> Option<(AttemptId, RequestKind)> {
         let found = self.out.remove(&hop_by_hop);
         while self.order.front().is_some_and(|id| !self.out.contains_key(id)) {
             self.order.pop_front();
--- a/crates/desk/src/pool.rs
+++ b/crates/desk/src/pool.rs
@@ -32,7 +32,7 @@
 pub enum PoolError {
     /// A list as new or newer was taken already.
     #[error("version {got} after version {known}: only newer lists are taken")]
-    Old {
+    Outdated {
         /// This list's.
         got: u64,
         /// The last one taken.
@@ -43,7 +43,7 @@
     Unknown(String),
     /// One host twice.
     #[error("server {0} is named twice")]
-    Twice(String),
+    Duplicate(String),
 }
 
 /// The configured servers by host, and the last version taken.
@@ -73,7 +73,7 @@
     /// A pushed list as entries; all of it or nothing.
     pub(crate) fn take(&mut self, now: Micros, list: &PoolList) -> Result<(ListKind, Vec<Entry>), PoolError> {
         if let Some(known) = self.version.filter(|known| list.version <= *known) {
-            return Err(PoolError::Old { got: list.version, known });
+            return Err(PoolError::Outdated { got: list.version, known });
         }
         let mut entries: Vec<Entry> = Vec::new();
         for line in &list.servers {
@@ -81,7 +81,7 @@
                 return Err(PoolError::Unknown(line.host.clone()));
             };
             if entries.iter().any(|entry| entry.number == number) {
-                return Err(PoolError::Twice(line.host.clone()));
+                return Err(PoolError::Duplicate(line.host.clone()));
             }
             let started_at = line.started_ago.map(|ago| now.saturating_sub(ago));
             entries.push(Entry { server: u64::from(number), number, state: line.state, started_at });
--- a/crates/desk/src/meaning.rs
+++ b/crates/desk/src/result_codes.rs
@@ -7,7 +7,7 @@
 use baydrift_trunk::route::cause;
 
 /// How a set-up ended by its answer; `None` when it stands.
-pub fn end_of(answer: &Message) -> Option<AttemptEnd> {
+pub fn attempt_end(answer: &Message) -> Option<AttemptEnd> {
     let report = load::read(answer);
     let wait = report.wait_s.map_or(0, |s| (s * 1e6) as u64);
     let (outcome, note) = match answer.result() {
@@ -23,7 +23,7 @@
 }
 
 /// The Result-Code and Error-Message of a final answer.
-pub fn code_of(answer: Final) -> (u32, Option<&'static str>) {
+pub fn result_code(answer: Final) -> (u32, Option<&'static str>) {
     match answer {
         Final::Established => (result::SUCCESS, None),
         Final::Refused { .. } => (result::TOO_BUSY, Some("refused")),
@@ -32,7 +32,7 @@
 }
 
 /// The cause value with which a far end's call is released by its final answer; `None` when it stands.
-pub fn cause_of(answer: Final) -> Option<u8> {
+pub fn release_cause(answer: Final) -> Option<u8> {
     match answer {
         Final::Established => None,
         Final::Refused { .. } => Some(cause::SWITCHING_CONGESTION),
--- a/crates/desk/src/desk.rs
+++ b/crates/desk/src/session_layer.rs
@@ -20,13 +20,13 @@
 use baydrift_trunk::{CallKey, Setup};
 use tracing::{debug, debug_span, Span};
 
-use crate::boot::Boot;
-use crate::doors::Opened;
-use crate::facts::{number_of, Table};
-use crate::meaning::{cause_of, code_of, end_of};
+use crate::admission::AdmittedClient;
+use crate::classification::{number_of, CallClassifier};
+use crate::outstanding::RequestKind;
 use crate::pool::{PoolError, PoolList, Roster};
+use crate::process_identity::ProcessIdentity;
+use crate::result_codes::{attempt_end, release_cause, result_code};
 use crate::text::{Step, Text, Told};
-use crate::transit::Kind;
 use crate::trunk::{News, Offered, TrunkGroupView, TrunkSide};
 
 /// Longest number of an IAM.
@@ -57,13 +57,13 @@
 
 /// What happened.
 #[derive(Debug, Clone, PartialEq)]
-pub enum DeskInput {
+pub enum SessionInput {
     /// A client's capabilities were exchanged.
     ClientUp {
         /// Its link.
         link: LinkId,
         /// Who it is.
-        opened: Opened,
+        client: AdmittedClient,
     },
     /// A client's link is gone.
     ClientDown(LinkId),
@@ -86,9 +86,9 @@
     /// A server's link is gone.
     ServerDown(ServerId),
     /// A server said that it leaves.
-    ServerDrains(ServerId),
+    ServerDraining(ServerId),
     /// A set-up that a link did not send: it had lain there while the process stood still.
-    Unsent(AttemptId),
+    SetUpNotSent(AttemptId),
     /// A server answered a request.
     ServerAnswer {
         /// The server.
@@ -96,7 +96,7 @@
         /// Of which attempt.
         attempt: AttemptId,
         /// Which request.
-        kind: Kind,
+        kind: RequestKind,
         /// The answer.
         message: Message,
     },
@@ -117,15 +117,15 @@
         bytes: Vec<u8>,
     },
     /// A connection of text commands is gone.
-    TextGone(LinkId),
+    TextClosed(LinkId),
     /// The signalling link to a far end, by its point code, may be used.
     TrunkUp(u32),
     /// It is gone.
     TrunkDown(u32),
     /// A packet came by it.
-    Trunk(Data),
+    TrunkPacket(Data),
     /// A message from another front.
-    Fleet {
+    PeerMessage {
         /// Its ordinal.
         from: u32,
         /// What it said.
@@ -141,7 +141,7 @@
 
 /// What is to be sent.
 #[derive(Debug, Clone, PartialEq)]
-pub enum DeskOutput {
+pub enum SessionOutput {
     /// To a client.
     ToClient {
         /// Its link.
@@ -156,7 +156,7 @@
         /// For which attempt.
         attempt: AttemptId,
         /// Which request.
-        kind: Kind,
+        kind: RequestKind,
         /// The message; it still wants its hop-by-hop id.
         message: Message,
         /// When it was said.
@@ -258,13 +258,13 @@
 
 /// See the crate's page.
 #[derive(Debug)]
-pub struct Desk {
+pub struct SessionLayer {
     pub(crate) host: String,
     realm: String,
-    pub(crate) boot: Boot,
+    pub(crate) boot: ProcessIdentity,
     /// What its Session-Ids begin with.
     process: String,
-    pub(crate) table: Table,
+    pub(crate) table: CallClassifier,
     pub(crate) text: Text,
     trunk: TrunkSide,
     roster: Roster,
@@ -284,12 +284,12 @@
     pub(crate) faults: u64,
 }
 
-impl Desk {
+impl SessionLayer {
     /// A desk by a configuration. `boot` tells this process from all others in Session-Ids.
     ///
     /// # Errors
     /// Where the engine cannot be made of the settings.
-    pub fn new(config: &Config, boot: Boot, seed: u64) -> Result<Self, EngineError> {
+    pub fn new(config: &Config, boot: ProcessIdentity, seed: u64) -> Result<Self, EngineError> {
         Ok(Self::with_engine(
             config,
             boot,
@@ -300,13 +300,17 @@
     /// A desk with another policy than the module, for comparisons.
     ///
     /// # Errors
-    /// As [`Desk::new`].
-    pub fn with_policy(config: &Config, boot: Boot, policy: Box<dyn Policy>) -> Result<Self, EngineError> {
+    /// As [`SessionLayer::new`].
+    pub fn with_policy(
+        config: &Config,
+        boot: ProcessIdentity,
+        policy: Box<dyn Policy>,
+    ) -> Result<Self, EngineError> {
         let engine = Engine::with_policy(config.settings.clone(), config.limits.clone(), policy)?;
         Ok(Self::with_engine(config, boot, engine))
     }
 
-    fn with_engine(config: &Config, boot: Boot, mut engine: Engine<Payload>) -> Self {
+    fn with_engine(config: &Config, boot: ProcessIdentity, mut engine: Engine<Payload>) -> Self {
         engine.handle(0, Input::List(ListKind::Full, Roster::first(config)), &mut Vec::new());
         if config.pool.is_some() {
             engine.expect_server_list(0);
@@ -335,7 +339,7 @@
             realm: config.realm.clone(),
             process: format!("{};{boot}", config.host),
             boot,
-            table: Table::new(config),
+            table: CallClassifier::new(config),
             text: Text::new(config, boot.incarnation),
             roster: Roster::new(config),
             origin: [
@@ -370,13 +374,13 @@
     }
 
     /// Takes one input without looking at timers: all that waits is heard before time is let pass
-    /// ([`DeskInput::Tick`]), so that after an own stall drains come before set-ups.
-    pub fn hear(&mut self, now: Micros, input: DeskInput, out: &mut Vec<DeskOutput>) {
+    /// ([`SessionInput::Tick`]), so that after an own stall drains come before set-ups.
+    pub fn handle(&mut self, now: Micros, input: SessionInput, out: &mut Vec<SessionOutput>) {
         match input {
-            DeskInput::ClientUp { link, opened } => self.client_up(now, link, opened, out),
-            DeskInput::ClientDown(link) => self.client_down(now, link, out),
-            DeskInput::ClientRequest { link, message } => self.client_request(now, link, message, out),
-            DeskInput::ServerUp { server, state_id } => {
+            SessionInput::ClientUp { link, client } => self.client_up(now, link, client, out),
+            SessionInput::ClientDown(link) => self.client_down(now, link, out),
+            SessionInput::ClientRequest { link, message } => self.client_request(now, link, message, out),
+            SessionInput::ServerUp { server, state_id } => {
                 let host = self.servers.get(&server).map(|far| far.host.clone()).unwrap_or_default();
                 let process = match state_id {
                     None => Process::Unknown,
@@ -385,40 +389,44 @@
                 };
                 self.link(now, server, LinkState::Up(process), out);
             }
-            DeskInput::ServerSuspect(server) => self.link(now, server, LinkState::Suspect, out),
-            DeskInput::ServerDown(server) => self.link(now, server, LinkState::Down, out),
+            SessionInput::ServerSuspect(server) => self.link(now, server, LinkState::Suspect, out),
+            SessionInput::ServerDown(server) => self.link(now, server, LinkState::Down, out),
             // It never left, and nothing ran.
-            DeskInput::Unsent(attempt) => {
+            SessionInput::SetUpNotSent(attempt) => {
                 let end = AttemptEnd::plain(Outcome::Moot);
                 self.engine(now, Input::Ended { attempt, end }, out);
             }
-            DeskInput::ServerDrains(server) => self.engine(now, Input::DrainAnnounced(server), out),
-            DeskInput::ServerAnswer { server, attempt, kind, message } => {
+            SessionInput::ServerDraining(server) => self.engine(now, Input::DrainAnnounced(server), out),
+            SessionInput::ServerAnswer { server, attempt, kind, message } => {
                 self.server_answer(now, server, attempt, kind, &message, out);
             }
-            DeskInput::ServerRequest { server, message } => self.server_request(now, server, &message, out),
-            DeskInput::Text { link, reliable, bytes } => self.text_heard(now, link, reliable, &bytes, out),
-            DeskInput::TextGone(link) => self.text_gone(now, link, out),
-            DeskInput::TrunkUp(point) => self.trunk_link(now, point, true, out),
-            DeskInput::TrunkDown(point) => self.trunk_link(now, point, false, out),
-            DeskInput::Trunk(data) => self.faults += u64::from(!self.trunk.heard(now, &data)),
-            DeskInput::Fleet { from, payload } => self.engine(now, Input::Peer { from, payload }, out),
-            DeskInput::Tick => {
+            SessionInput::ServerRequest { server, message } => {
+                self.server_request(now, server, &message, out)
+            }
+            SessionInput::Text { link, reliable, bytes } => self.text_heard(now, link, reliable, &bytes, out),
+            SessionInput::TextClosed(link) => self.text_gone(now, link, out),
+            SessionInput::TrunkUp(point) => self.trunk_link(now, point, true, out),
+            SessionInput::TrunkDown(point) => self.trunk_link(now, point, false, out),
+            SessionInput::TrunkPacket(data) => self.faults += u64::from(!self.trunk.heard(now, &data)),
+            SessionInput::PeerMessage { from, payload } => {
+                self.engine(now, Input::Peer { from, payload }, out)
+            }
+            SessionInput::Tick => {
                 self.engine(now, Input::Tick, out);
                 self.text_tick(now, out);
                 self.trunk.tick(now);
             }
-            DeskInput::Stop => self.engine(now, Input::Stop, out),
-            DeskInput::CutAll => self.engine(now, Input::CutAll, out),
+            SessionInput::Stop => self.engine(now, Input::Stop, out),
+            SessionInput::CutAll => self.engine(now, Input::CutAll, out),
         }
         self.settle(now, out);
     }
 
     /// All that counters still have for the engine, until nothing is left.
-    fn settle(&mut self, now: Micros, out: &mut Vec<DeskOutput>) {
+    fn settle(&mut self, now: Micros, out: &mut Vec<SessionOutput>) {
         loop {
             self.text_steps(now, out);
-            out.extend(self.trunk.packets.drain(..).map(DeskOutput::ToFarEnd));
+            out.extend(self.trunk.packets.drain(..).map(SessionOutput::ToFarEnd));
             let Some(news) = self.trunk.news.pop_front() else { return };
             self.trunk_news(now, news, out);
         }
@@ -426,11 +434,11 @@
 
     /// What is heard from now on may have waited so long to be read, since this process stood still: its callers'
     /// patience has run meanwhile.
-    pub fn set_waited(&mut self, span: Micros) {
+    pub fn set_input_delay(&mut self, span: Micros) {
         self.engine.set_input_delay(span);
     }
 
-    pub(crate) fn waited(&self) -> Micros {
+    pub(crate) fn input_delay(&self) -> Micros {
         self.engine.input_delay()
     }
 
@@ -438,14 +446,19 @@
     ///
     /// # Errors
     /// Why it is not taken; the last good one holds.
-    pub fn pool(&mut self, now: Micros, list: &PoolList, out: &mut Vec<DeskOutput>) -> Result<(), PoolError> {
+    pub fn apply_pool_list(
+        &mut self,
+        now: Micros,
+        list: &PoolList,
+        out: &mut Vec<SessionOutput>,
+    ) -> Result<(), PoolError> {
         let (kind, entries) = self.roster.take(now, list)?;
         self.engine(now, Input::List(kind, entries), out);
         self.settle(now, out);
         Ok(())
     }
 
-    /// When [`DeskInput::Tick`] is wanted at the latest.
+    /// When [`SessionInput::Tick`] is wanted at the latest.
     pub fn next_wake(&self) -> Option<Micros> {
         let text = self
             .text
@@ -462,7 +475,7 @@
     }
 
     /// The process starts now, by a clock that did not start with it: virtual time's.
-    pub fn starts(&mut self, now: Micros) {
+    pub fn set_start_time(&mut self, now: Micros) {
         self.engine.set_start_time(now);
     }
 
@@ -482,7 +495,7 @@
     }
 
     /// Who of the fleet is believed alive, where the settings let fronts tell.
-    pub fn lives(&self) -> Option<&baydrift_fleet::Membership> {
+    pub fn membership(&self) -> Option<&baydrift_fleet::Membership> {
         self.engine.membership()
     }
 
@@ -492,7 +505,7 @@
     }
 
     /// Its exchange.
-    pub fn office(&self) -> &SignallingPoint {
+    pub fn signalling_point(&self) -> &SignallingPoint {
         self.trunk.office()
     }
 
@@ -520,21 +533,21 @@
         }
     }
 
-    fn link(&mut self, now: Micros, server: ServerId, state: LinkState, out: &mut Vec<DeskOutput>) {
+    fn link(&mut self, now: Micros, server: ServerId, state: LinkState, out: &mut Vec<SessionOutput>) {
         self.engine(now, Input::ServerLink { server, state }, out);
     }
 
     // --- clients ---
 
-    fn client_up(&mut self, now: Micros, link: LinkId, opened: Opened, out: &mut Vec<DeskOutput>) {
-        let Opened { remote, relay } = opened;
+    fn client_up(&mut self, now: Micros, link: LinkId, client: AdmittedClient, out: &mut Vec<SessionOutput>) {
+        let AdmittedClient { remote, relay } = client;
         let restarted = self.restarted(&remote.host, remote.state_id);
         let owner: Arc<str> = Arc::from(remote.host.as_str());
         self.clients.insert(link, ClientLink { remote, relay, owner: owner.clone() });
         self.engine(now, Input::ClientUp { link, owner, restarted }, out);
     }
 
-    fn client_down(&mut self, now: Micros, link: LinkId, out: &mut Vec<DeskOutput>) {
+    fn client_down(&mut self, now: Micros, link: LinkId, out: &mut Vec<SessionOutput>) {
         if self.clients.remove(&link).is_none() {
             return;
         }
@@ -547,19 +560,19 @@
         self.engine(now, Input::ClientDown(link), out);
     }
 
-    fn client_request(&mut self, now: Micros, link: LinkId, message: Message, out: &mut Vec<DeskOutput>) {
+    fn client_request(&mut self, now: Micros, link: LinkId, message: Message, out: &mut Vec<SessionOutput>) {
         let Some(client) = self.clients.get(&link) else { return };
         let request = Request { link, ticket: self.next_ticket };
         self.next_ticket += 1;
         let message = Arc::new(message);
-        let waited = self.waited();
+        let waited = self.input_delay();
         let input = match read_request(&self.table, client, request, waited, &message) {
             Ok(input) => input,
             Err(fault) => {
                 self.faults += 1;
                 debug!(peer = client.remote.host, code = fault.code, "{}", fault.text);
                 let message = Message::error_answer(&message, &fault, &self.host, &self.realm);
-                return out.push(DeskOutput::ToClient { link, message });
+                return out.push(SessionOutput::ToClient { link, message });
             }
         };
         let payload = match &input {
@@ -577,15 +590,15 @@
         now: Micros,
         server: ServerId,
         attempt: AttemptId,
-        kind: Kind,
+        kind: RequestKind,
         message: &Message,
-        out: &mut Vec<DeskOutput>,
+        out: &mut Vec<SessionOutput>,
     ) {
         debug!(server, attempt = attempt.0, ?kind, result = message.result(), "answer");
-        let input = match (kind, end_of(message)) {
-            (Kind::Release, _) => Input::ReleaseDone { attempt, report: load::read(message) },
-            (Kind::SetUp, None) => Input::Established { attempt, report: load::read(message) },
-            (Kind::SetUp, Some(end)) => Input::Ended { attempt, end },
+        let input = match (kind, attempt_end(message)) {
+            (RequestKind::Release, _) => Input::ReleaseDone { attempt, report: load::read(message) },
+            (RequestKind::SetUp, None) => Input::Established { attempt, report: load::read(message) },
+            (RequestKind::SetUp, Some(end)) => Input::Ended { attempt, end },
         };
         self.engine(now, input, out);
     }
@@ -595,7 +608,7 @@
         now: Micros,
         server: ServerId,
         message: &Message,
-        out: &mut Vec<DeskOutput>,
+        out: &mut Vec<SessionOutput>,
     ) {
         let session = message.text(dict::SESSION_ID).unwrap_or("");
         let attempt = self.attempt_of(session);
@@ -607,7 +620,7 @@
         let answer = Message::answer(message, code)
             .with(Avp::text(dict::ORIGIN_HOST, &self.host))
             .with(Avp::text(dict::ORIGIN_REALM, &self.realm));
-        out.push(DeskOutput::Reply { server, message: answer });
+        out.push(SessionOutput::Reply { server, message: answer });
         if let Some(attempt) = attempt {
             self.engine(now, Input::Cut { attempt, report: load::read(message) }, out);
         }
@@ -625,7 +638,7 @@
 
     // --- trunks ---
 
-    fn trunk_link(&mut self, now: Micros, point: u32, up: bool, out: &mut Vec<DeskOutput>) {
+    fn trunk_link(&mut self, now: Micros, point: u32, up: bool, out: &mut Vec<SessionOutput>) {
         let Some(server) = self.trunk.server_at(point) else { return };
         if up {
             self.trunk.reachable(now, point, true);
@@ -643,7 +656,7 @@
         }
     }
 
-    fn trunk_news(&mut self, now: Micros, news: News, out: &mut Vec<DeskOutput>) {
+    fn trunk_news(&mut self, now: Micros, news: News, out: &mut Vec<SessionOutput>) {
         let input = match news {
             News::Stands(attempt, report) => Input::Established { attempt, report },
             News::Ended(attempt, end) => Input::Ended { attempt, end },
@@ -685,7 +698,7 @@
             tenant: what.publisher,
             number: number_of(number),
             first_choice: None,
-            caller_timeout: class.1.saturating_sub(self.waited()),
+            caller_timeout: class.1.saturating_sub(self.input_delay()),
             redial: None,
             was_dropped: false,
             retransmission: Retransmission::First,
@@ -705,7 +718,7 @@
 
     // --- the engine ---
 
-    pub(crate) fn engine(&mut self, now: Micros, input: Input<Payload>, out: &mut Vec<DeskOutput>) {
+    pub(crate) fn engine(&mut self, now: Micros, input: Input<Payload>, out: &mut Vec<SessionOutput>) {
         let mut outputs = std::mem::take(&mut self.outputs);
         outputs.clear();
         if input == Input::Tick {
@@ -719,7 +732,7 @@
         self.outputs = outputs;
     }
 
-    fn carry_out(&mut self, now: Micros, output: Output<Payload>, out: &mut Vec<DeskOutput>) {
+    fn carry_out(&mut self, now: Micros, output: Output<Payload>, out: &mut Vec<SessionOutput>) {
         match output {
             Output::SetUp { attempt, server, call, index, session, payload, .. }
                 if self.trunk.leads_to(server) =>
@@ -736,14 +749,26 @@
             Output::SetUp { attempt, server, call, index, class, session, payload, .. } => {
                 payload.span.in_scope(|| debug!(call, index, server, attempt = attempt.0, "set up"));
                 let message = self.set_up(attempt, server, class, &session, &payload);
-                out.push(DeskOutput::ToServer { server, attempt, kind: Kind::SetUp, message, at: now });
+                out.push(SessionOutput::ToServer {
+                    server,
+                    attempt,
+                    kind: RequestKind::SetUp,
+                    message,
+                    at: now,
+                });
             }
             Output::Release { attempt, server, class } => {
                 let message = self.ccr(attempt, server, class, &self.fixed.termination);
-                out.push(DeskOutput::ToServer { server, attempt, kind: Kind::Release, message, at: now });
+                out.push(SessionOutput::ToServer {
+                    server,
+                    attempt,
+                    kind: RequestKind::Release,
+                    message,
+                    at: now,
+                });
             }
             Output::Answer { request, session: _, answer } => match self.trunk.asked_by(request) {
-                Some(call) => self.trunk.answer(now, call, cause_of(answer)),
+                Some(call) => self.trunk.answer(now, call, release_cause(answer)),
                 None => self.answer(request, answer, out),
             },
             Output::AnswerRelease { request, result, .. } => {
@@ -756,7 +781,7 @@
                 };
                 if let Some((asked, _)) = self.tickets.remove(&request) {
                     let message = credit::answer_with_origin(&asked, code, &self.origin);
-                    out.push(DeskOutput::ToClient { link: request.link, message });
+                    out.push(SessionOutput::ToClient { link: request.link, message });
                 }
             }
             Output::Dropped(request) => {
@@ -779,23 +804,23 @@
                     destination_realm: &client.remote.realm,
                     destination_host: Some(origin.unwrap_or(&session.owner)),
                 };
-                out.push(DeskOutput::ToClient { link, message: credit::abort(ends, &session.id) });
+                out.push(SessionOutput::ToClient { link, message: credit::abort(ends, &session.id) });
             }
             // Callers here are told by their links, and no call is taken over.
             Output::Cleared { .. } | Output::Adopted { .. } => {}
-            Output::SendToPeer { to, payload } => out.push(DeskOutput::ToFront { to, payload }),
+            Output::SendToPeer { to, payload } => out.push(SessionOutput::ToFront { to, payload }),
             // Lists are pushed: there is nothing to subscribe to.
             Output::Subscribe => {}
             Output::Log(text) => tracing::info!("{text}"),
         }
     }
 
-    fn answer(&mut self, request: Request, answer: Final, out: &mut Vec<DeskOutput>) {
+    fn answer(&mut self, request: Request, answer: Final, out: &mut Vec<SessionOutput>) {
         if let Some((link, id)) = self.text.waiting.remove(&request) {
             return self.text.steps.push_back(Step::Told(link, id, Told::Answer(answer)));
         }
         let Some((asked, span)) = self.tickets.remove(&request) else { return };
-        let (code, text) = code_of(answer);
+        let (code, text) = result_code(answer);
         span.in_scope(|| debug!(code, "final answer"));
         let mut message = credit::answer_with_origin(&asked, code, &self.origin);
         message.avps.extend(text.map(|text| Avp::text(dict::ERROR_MESSAGE, text)));
@@ -804,7 +829,7 @@
                 message.push(load::retry_after(retry_after));
             }
         }
-        out.push(DeskOutput::ToClient { link: request.link, message });
+        out.push(SessionOutput::ToClient { link: request.link, message });
     }
 
     /// A CCR with what RFC 8506, section 3.1 wants in it.
@@ -848,7 +873,7 @@
 
 /// What a client's request asks of the engine.
 fn read_request(
-    table: &Table,
+    table: &CallClassifier,
     client: &ClientLink,
     request: Request,
     waited: Micros,
--- a/crates/desk/src/stalls.rs
+++ b/crates/desk/src/stall_monitor.rs
@@ -2,7 +2,7 @@
 
 use baydrift::interface::Micros;
 
-use crate::desk::Desk;
+use crate::session_layer::SessionLayer;
 
 /// A timer so late means that this process stood still.
 pub(crate) const STALLED: Micros = 100_000;
@@ -17,30 +17,30 @@
 
 /// Watches one driver's wake-ups.
 #[derive(Debug, Default)]
-pub struct Stalls {
+pub struct StallMonitor {
     /// Until when what is read may have waited.
     until: Option<Micros>,
     /// The driver wakes by then, whatever the desk wants.
     beat: Micros,
 }
 
-impl Stalls {
+impl StallMonitor {
     /// When the driver wakes at the latest.
-    pub fn due(&self, desk: &Desk) -> Micros {
+    pub fn due(&self, desk: &SessionLayer) -> Micros {
         desk.next_wake().map_or(self.beat, |wake| wake.min(self.beat))
     }
 
     /// The driver woke at `now`, by a timer or since something came. `true`: it stood still, and shall read for
     /// [`CATCH_UP`] before it lets time pass: guards against timers that fire before what came in time was read.
-    pub fn woke(&mut self, now: Micros, desk: &mut Desk) -> bool {
+    pub fn record_wake_up(&mut self, now: Micros, desk: &mut SessionLayer) -> bool {
         let late = now.saturating_sub(self.due(desk));
         let stood_still = late > STALLED && self.beat > 0;
         if stood_still {
             self.until = Some(now + CAUGHT_UP);
-            desk.set_waited(late + BEAT);
+            desk.set_input_delay(late + BEAT);
         } else if self.until.is_some_and(|until| now > until) {
             self.until = None;
-            desk.set_waited(0);
+            desk.set_input_delay(0);
         }
         self.beat = now + BEAT;
         stood_still
--- a/crates/desk/tests/desk.rs
+++ b/crates/desk/tests/desk.rs
@@ -4,8 +4,9 @@
 use baydrift_call::{AttemptId, Final, LinkId, Refusal};
 use baydrift_config::Config;
 use baydrift_desk::{
-    code_of, end_of, local, number_of, Asked, Boot, Desk, DeskInput, DeskOutput, Doors, Kind, LinkOutput,
-    Opened, PoolEntry, PoolError, PoolList, ServerLink, Table, Transit,
+    attempt_end, local_capabilities, number_of, result_code, Admission, AdmittedClient, CallClassifier,
+    LinkOutput, OutstandingRequests, PoolEntry, PoolError, PoolList, ProcessIdentity, RequestKind,
+    SendDecision, ServerLink, SessionInput, SessionLayer, SessionOutput,
 };
 use baydrift_diameter::credit::{self, Ccr, Endpoints, RequestType};
 use baydrift_diameter::{code, dict, load, result, Avp, Frame, Local, Message, PeerInput, Remote, Side};
@@ -39,36 +40,39 @@
 }
 
 struct World {
-    desk: Desk,
+    desk: SessionLayer,
     now: u64,
 }
 
 impl World {
     fn new() -> Self {
-        let mut w = Self { desk: Desk::new(&config(), Boot::numbered(9), 1).expect("good settings"), now: 0 };
+        let mut w = Self {
+            desk: SessionLayer::new(&config(), ProcessIdentity::numbered(9), 1).expect("good settings"),
+            now: 0,
+        };
         for server in [0, 1] {
-            w.hear(DeskInput::ServerUp { server, state_id: Some(1) });
+            w.hear(SessionInput::ServerUp { server, state_id: Some(1) });
         }
         let remote = Remote { host: "c1.test".into(), realm: "test".into(), state_id: Some(1) };
-        w.hear(DeskInput::ClientUp { link: LinkId(1), opened: Opened { remote, relay: false } });
+        w.hear(SessionInput::ClientUp { link: LinkId(1), client: AdmittedClient { remote, relay: false } });
         w
     }
 
-    fn hear(&mut self, input: DeskInput) -> Vec<DeskOutput> {
+    fn hear(&mut self, input: SessionInput) -> Vec<SessionOutput> {
         self.now += 1_000;
         let mut out = Vec::new();
-        self.desk.hear(self.now, input, &mut out);
-        self.desk.hear(self.now, DeskInput::Tick, &mut out);
+        self.desk.handle(self.now, input, &mut out);
+        self.desk.handle(self.now, SessionInput::Tick, &mut out);
         out
     }
 
-    fn ask(&mut self, message: Message) -> Vec<DeskOutput> {
-        self.hear(DeskInput::ClientRequest { link: LinkId(1), message })
+    fn ask(&mut self, message: Message) -> Vec<SessionOutput> {
+        self.hear(SessionInput::ClientRequest { link: LinkId(1), message })
     }
 
     fn set_up(&mut self, session: &str) -> (u64, AttemptId, Message) {
         match &self.ask(ccr(session, RequestType::Initial))[..] {
-            [DeskOutput::ToServer { server, attempt, kind: Kind::SetUp, message, .. }] => {
+            [SessionOutput::ToServer { server, attempt, kind: RequestKind::SetUp, message, .. }] => {
                 (*server, *attempt, message.clone())
             }
             other => panic!("{other:?}"),
@@ -78,7 +82,7 @@
 
 #[test]
 fn the_table_alone_says_what_a_request_is() {
-    let table = Table::new(&config());
+    let table = CallClassifier::new(&config());
     let facts = |change: &dyn Fn(&mut Message)| {
         let mut message = ccr("c1.test;1", RequestType::Initial);
         change(&mut message);
@@ -110,7 +114,7 @@
 #[test]
 fn each_result_code_has_its_meaning() {
     let answer = |code| credit::answer(&ccr("s", RequestType::Initial), code, "s0.test", "core.test");
-    assert_eq!(end_of(&answer(result::SUCCESS)), None);
+    assert_eq!(attempt_end(&answer(result::SUCCESS)), None);
     let cases = [
         (result::TOO_BUSY, Outcome::Full, Note::ProcessorFull(2_500_000)),
         (result::RESOURCES_EXCEEDED, Outcome::Full, Note::NoLine),
@@ -123,18 +127,18 @@
         let mut message = answer(code);
         let report = baydrift::interface::Report { wait_s: Some(2.5), ..Default::default() };
         load::write(&report, "s0.test", 1, &mut message);
-        let end = end_of(&message).unwrap();
+        let end = attempt_end(&message).unwrap();
         assert_eq!((end.outcome, end.note, end.report.wait_s), (outcome, note, Some(2.5)), "{code}");
     }
     let refused = Final::Refused { retry_after: 0, why: Refusal::ByPolicy };
-    let codes = [Final::Established, refused, Final::Failed].map(|answer| code_of(answer).0);
+    let codes = [Final::Established, refused, Final::Failed].map(|answer| result_code(answer).0);
     assert_eq!(codes, [result::SUCCESS, result::TOO_BUSY, result::UNABLE_TO_COMPLY]);
 }
 
 /// A link to server 1 that is up.
 fn link_up(config: &Config) -> ServerLink {
     let server = config.servers.iter().find(|server| server.number == 1).expect("it is configured");
-    let ours = local(config, [127, 0, 0, 1].into(), 1);
+    let ours = local_capabilities(config, [127, 0, 0, 1].into(), 1);
     let mut link = ServerLink::new(server, ours, config.watchdog, 1, 1);
     let mut out = Vec::new();
     link.handle(0, PeerInput::Start, &mut out);
@@ -164,17 +168,21 @@
     assert_eq!(server, 1);
     let request =
         |link: &mut ServerLink, now, kind| link.request(now, 1_000, (attempt, kind), message.clone());
-    assert!(matches!(request(&mut link, 100_000, Kind::SetUp), Asked::Send(..)));
+    assert!(matches!(request(&mut link, 100_000, RequestKind::SetUp), SendDecision::Send(..)));
     // What was set up is released however late.
-    assert!(matches!(request(&mut link, 4_500_000, Kind::Release), Asked::Send(..)));
-    let Asked::Stale(input) = request(&mut link, 102_000, Kind::SetUp) else { panic!("it was sent") };
-    assert_eq!(input, DeskInput::Unsent(attempt));
+    assert!(matches!(request(&mut link, 4_500_000, RequestKind::Release), SendDecision::Send(..)));
+    let SendDecision::Expired(input) = request(&mut link, 102_000, RequestKind::SetUp) else {
+        panic!("it was sent")
+    };
+    assert_eq!(input, SessionInput::SetUpNotSent(attempt));
     // It never left: the call has another attempt at once, under a name of its own, and nothing is released.
     let out = w.hear(input);
-    let [DeskOutput::ToServer { attempt: next, kind: Kind::SetUp, .. }] = &out[..] else { panic!("{out:?}") };
+    let [SessionOutput::ToServer { attempt: next, kind: RequestKind::SetUp, .. }] = &out[..] else {
+        panic!("{out:?}")
+    };
     assert_ne!(*next, attempt);
     // Told twice, or of an attempt that is over: nothing.
-    assert_eq!(w.hear(DeskInput::Unsent(attempt)), []);
+    assert_eq!(w.hear(SessionInput::SetUpNotSent(attempt)), []);
 }
 
 #[test]
@@ -184,7 +192,7 @@
     let out = w.ask(
         ccr("c1.test;1", RequestType::Initial).with(extra.clone()).with(Avp::text(dict::ROUTE_RECORD, "p")),
     );
-    let [DeskOutput::ToServer { server: 1, attempt, message, .. }] = &out[..] else { panic!("{out:?}") };
+    let [SessionOutput::ToServer { server: 1, attempt, message, .. }] = &out[..] else { panic!("{out:?}") };
     assert_eq!(message.text(dict::SESSION_ID), Some(format!("f.test;9-9;{}", attempt.0).as_str()));
     assert_eq!(message.text(dict::DESTINATION_HOST), Some("s1.test"));
     assert_eq!(message.text(dict::CC_CORRELATION_ID), Some("c1.test|c1.test;1"));
@@ -200,9 +208,9 @@
     let mut w = World::new();
     let (server, attempt, message) = w.set_up("c1.test;1");
     let cca = credit::answer(&message, result::SUCCESS, "s1.test", "core.test");
-    let out = w.hear(DeskInput::ServerAnswer { server, attempt, kind: Kind::SetUp, message: cca });
+    let out = w.hear(SessionInput::ServerAnswer { server, attempt, kind: RequestKind::SetUp, message: cca });
     assert!(
-        matches!(&out[..], [DeskOutput::ToClient { message, .. }] if message.result() == result::SUCCESS)
+        matches!(&out[..], [SessionOutput::ToClient { message, .. }] if message.result() == result::SUCCESS)
     );
     let ends = Endpoints {
         origin_host: "s1.test",
@@ -210,11 +218,11 @@
         destination_realm: "test",
         destination_host: None,
     };
-    let codes = |out: &[DeskOutput]| -> Vec<u32> {
+    let codes = |out: &[SessionOutput]| -> Vec<u32> {
         out.iter()
             .map(|o| match o {
-                DeskOutput::Reply { message, .. } => message.result(),
-                DeskOutput::ToClient { message, .. } => message.header.code,
+                SessionOutput::Reply { message, .. } => message.result(),
+                SessionOutput::ToClient { message, .. } => message.header.code,
                 other => panic!("{other:?}"),
             })
             .collect()
@@ -222,12 +230,12 @@
     for foreign in ["f.test;9-8;1", "f.test;9;1", "other;9-9;1", "f.test;9-9;x", "", ";;;"] {
         let message = credit::abort(ends, foreign);
         assert_eq!(
-            codes(&w.hear(DeskInput::ServerRequest { server, message })),
+            codes(&w.hear(SessionInput::ServerRequest { server, message })),
             [result::UNKNOWN_SESSION_ID]
         );
     }
     let message = credit::abort(ends, &format!("f.test;9-9;{}", attempt.0));
-    let out = w.hear(DeskInput::ServerRequest { server, message });
+    let out = w.hear(SessionInput::ServerRequest { server, message });
     assert_eq!(codes(&out), [result::SUCCESS, code::ABORT_SESSION]);
     assert_eq!(w.desk.held().calls, 0);
 }
@@ -242,7 +250,7 @@
         w.ask(ccr("c1.test;1", RequestType::Initial));
     }
     assert!(w.desk.held().tickets <= 4, "{:?}", w.desk.held());
-    w.hear(DeskInput::ClientDown(LinkId(1)));
+    w.hear(SessionInput::ClientDown(LinkId(1)));
     assert_eq!(w.desk.held().tickets, 0);
 }
 
@@ -267,15 +275,17 @@
             .with(Avp::text(dict::PRODUCT_NAME, "x"))
             .with(Avp::u32(dict::AUTH_APPLICATION_ID, 4))
     };
-    let mut doors = Doors::new(&config());
+    let mut doors = Admission::new(&config());
     assert!(doors.accept(LinkId(1)) && doors.accept(LinkId(2)));
     assert!(!doors.accept(LinkId(3)), "two are half-open");
-    let code = |result: Result<Opened, baydrift_diameter::Fault>| result.map(|o| o.relay).map_err(|f| f.code);
-    assert_eq!(code(doors.greet(LinkId(1), &cer("nobody", "test"), &local)), Err(result::UNKNOWN_PEER));
-    assert_eq!(code(doors.greet(LinkId(1), &cer("c1.test", "else"), &local)), Err(result::UNKNOWN_PEER));
-    assert_eq!(code(doors.greet(LinkId(1), &cer("c1.test", "test"), &local)), Ok(false));
-    assert_eq!(code(doors.greet(LinkId(2), &cer("c1.test", "test"), &local)), Err(result::UNABLE_TO_COMPLY));
-    assert_eq!(code(doors.greet(LinkId(2), &cer("relay.test", "test"), &local)), Ok(true));
+    let code = |result: Result<AdmittedClient, baydrift_diameter::Fault>| {
+        result.map(|o| o.relay).map_err(|f| f.code)
+    };
+    assert_eq!(code(doors.admit(LinkId(1), &cer("nobody", "test"), &local)), Err(result::UNKNOWN_PEER));
+    assert_eq!(code(doors.admit(LinkId(1), &cer("c1.test", "else"), &local)), Err(result::UNKNOWN_PEER));
+    assert_eq!(code(doors.admit(LinkId(1), &cer("c1.test", "test"), &local)), Ok(false));
+    assert_eq!(code(doors.admit(LinkId(2), &cer("c1.test", "test"), &local)), Err(result::UNABLE_TO_COMPLY));
+    assert_eq!(code(doors.admit(LinkId(2), &cer("relay.test", "test"), &local)), Ok(true));
     assert!(doors.accept(LinkId(3)));
     assert!(!doors.accept(LinkId(4)), "three in all");
     (1..=4).for_each(|link| doors.close(LinkId(link)));
@@ -289,21 +299,21 @@
         let line =
             |host: &&str| PoolEntry { host: (*host).into(), state: ServerState::Draining, started_ago: None };
         let list = PoolList { version, full: false, servers: hosts.iter().map(line).collect() };
-        w.desk.pool(w.now, &list, &mut Vec::new())
+        w.desk.apply_pool_list(w.now, &list, &mut Vec::new())
     };
     assert_eq!(push(3, &["s0.test", "s9.test"]), Err(PoolError::Unknown("s9.test".into())));
-    assert_eq!(push(3, &["s0.test", "s0.test"]), Err(PoolError::Twice("s0.test".into())));
+    assert_eq!(push(3, &["s0.test", "s0.test"]), Err(PoolError::Duplicate("s0.test".into())));
     assert_eq!(push(3, &["s1.test"]), Ok(()));
-    assert_eq!(push(3, &["s0.test"]), Err(PoolError::Old { got: 3, known: 3 }));
+    assert_eq!(push(3, &["s0.test"]), Err(PoolError::Outdated { got: 3, known: 3 }));
     assert_eq!(w.set_up("c1.test;1").0, 0, "the first choice drains, the other never did");
 }
 
 #[test]
 fn transit_forgets_the_oldest_at_its_bound() {
-    let mut transit = Transit::new(2);
-    (1..=3).for_each(|id| transit.sent(id, AttemptId(u64::from(id)), Kind::SetUp));
+    let mut transit = OutstandingRequests::new(2);
+    (1..=3).for_each(|id| transit.sent(id, AttemptId(u64::from(id)), RequestKind::SetUp));
     assert_eq!((transit.len(), transit.answered(1)), (2, None));
-    assert_eq!(transit.answered(3), Some((AttemptId(3), Kind::SetUp)));
+    assert_eq!(transit.answered(3), Some((AttemptId(3), RequestKind::SetUp)));
     assert_eq!(transit.answered(3), None);
     transit.clear();
     assert!(transit.is_empty());
--- a/crates/desk/tests/differential.rs
+++ b/crates/desk/tests/differential.rs
@@ -4,7 +4,9 @@
 use std::collections::BTreeMap;
 
 use baydrift_call::LinkId;
-use baydrift_desk::{Boot, Desk, DeskInput, DeskOutput, Kind, Opened};
+use baydrift_desk::{
+    AdmittedClient, ProcessIdentity, RequestKind, SessionInput, SessionLayer, SessionOutput,
+};
 use baydrift_diameter::credit::{self, Endpoints, RequestType};
 use baydrift_diameter::{dict, load, result, Avp, Message, Remote};
 use baydrift_h248::{parse, Body, ReplyBody, Transaction};
@@ -13,7 +15,7 @@
 const S: u64 = 1_000_000;
 const LINK: LinkId = LinkId(1);
 
-fn desk(seed: u64) -> Desk {
+fn desk(seed: u64) -> SessionLayer {
     let text = r#"
 front "f.test" realm="test" { listen "127.0.0.1:0"; serves "core.test"; }
 class "grid" { context "grid@test"; gives-up "3s"; aim "2s"; worth 1; }
@@ -28,7 +30,7 @@
 server "s2.test" realm="core.test" number=2 addr="127.0.0.1:3"
 "#;
     let config = baydrift_config::parse("test", text).unwrap_or_else(|e| panic!("{:?}", e.problems));
-    Desk::new(&config, Boot::numbered(9), seed).expect("good settings")
+    SessionLayer::new(&config, ProcessIdentity::numbered(9), seed).expect("good settings")
 }
 
 /// A small generator: what a call is depends on its number alone.
@@ -84,17 +86,21 @@
     let mut desk = desk(seed);
     let (mut now, mut out) = (0u64, Vec::new());
     for server in 0..3 {
-        desk.hear(now, DeskInput::ServerUp { server, state_id: Some(1) }, &mut out);
+        desk.handle(now, SessionInput::ServerUp { server, state_id: Some(1) }, &mut out);
     }
     if by_text {
         let bytes = b"!/1 <c.test> T=4000000{C=-{SC=ROOT{SV{MT=RS}}}}".to_vec();
-        desk.hear(now, DeskInput::Text { link: LINK, reliable: true, bytes }, &mut out);
+        desk.handle(now, SessionInput::Text { link: LINK, reliable: true, bytes }, &mut out);
     } else {
         let remote = Remote { host: "c.test".into(), realm: "test".into(), state_id: None };
-        desk.hear(now, DeskInput::ClientUp { link: LINK, opened: Opened { remote, relay: false } }, &mut out);
+        desk.handle(
+            now,
+            SessionInput::ClientUp { link: LINK, client: AdmittedClient { remote, relay: false } },
+            &mut out,
+        );
     }
     let mut servers = Servers { free_at: [0; 3] };
-    let mut due: BTreeMap<(u64, u64), DeskInput> = BTreeMap::new();
+    let mut due: BTreeMap<(u64, u64), SessionInput> = BTreeMap::new();
     let (mut answers, mut set_ups, mut order) = (BTreeMap::new(), 0, 0u64);
     for n in 0..calls {
         due.insert((call(n).at, n), if by_text { text_of(n) } else { request_of(n) });
@@ -105,18 +111,18 @@
         let next = due.keys().next().map_or(end, |key| key.0).min(desk.next_wake().unwrap_or(end));
         now = now.max(next.min(end));
         if let Some(entry) = due.first_entry().filter(|entry| entry.key().0 <= now) {
-            desk.hear(now, entry.remove(), &mut out);
+            desk.handle(now, entry.remove(), &mut out);
         }
-        desk.hear(now, DeskInput::Tick, &mut out);
+        desk.handle(now, SessionInput::Tick, &mut out);
         for output in std::mem::take(&mut out) {
             match output {
-                DeskOutput::ToServer { server, attempt, kind, message, .. } => {
+                SessionOutput::ToServer { server, attempt, kind, message, .. } => {
                     let answer = match kind {
-                        Kind::SetUp => {
+                        RequestKind::SetUp => {
                             set_ups += 1;
                             servers.set_up(now, server as usize)
                         }
-                        Kind::Release => Some((now + 2 * MS, result::SUCCESS, 0)),
+                        RequestKind::Release => Some((now + 2 * MS, result::SUCCESS, 0)),
                     };
                     let Some((at, code, wait)) = answer else { continue };
                     let mut message = credit::answer(&message, code, "s", "core.test");
@@ -124,17 +130,17 @@
                         baydrift::interface::Report { wait_s: Some(wait as f64 / 1e6), ..Default::default() };
                     load::write(&report, "s", 1, &mut message);
                     order += 1;
-                    let input = DeskInput::ServerAnswer { server, attempt, kind, message };
+                    let input = SessionInput::ServerAnswer { server, attempt, kind, message };
                     due.insert((at, 1 << 40 | order), input);
                 }
-                DeskOutput::ToClient { message, .. } => {
+                SessionOutput::ToClient { message, .. } => {
                     let n = message
                         .text(dict::SESSION_ID)
                         .and_then(|s| s.rsplit(';').next()?.parse().ok())
                         .unwrap();
                     assert!(answers.insert(n, message.result()).is_none(), "{n} is answered twice");
                 }
-                DeskOutput::Text { text, .. } => {
+                SessionOutput::Text { text, .. } => {
                     for (n, code) in answers_of(&text) {
                         assert!(answers.insert(n, code).is_none(), "{n} is answered twice");
                     }
@@ -146,7 +152,7 @@
     (answers, set_ups)
 }
 
-fn request_of(n: u64) -> DeskInput {
+fn request_of(n: u64) -> SessionInput {
     let Call { context, subscription, number, server, .. } = call(n);
     let host = format!("s{server}.test");
     let ends = Endpoints {
@@ -163,17 +169,17 @@
         ));
     let message =
         Message { header: baydrift_diameter::Header { end_to_end: n as u32, ..message.header }, ..message };
-    DeskInput::ClientRequest { link: LINK, message }
+    SessionInput::ClientRequest { link: LINK, message }
 }
 
-fn text_of(n: u64) -> DeskInput {
+fn text_of(n: u64) -> SessionInput {
     let Call { context, subscription, number, server, .. } = call(n);
     let text = format!(
         "!/1 <c.test> T={}{{C=${{A=trunk/${{M{{O{{bdc/ctx=\"{context}\",bdc/sub=\"{subscription}\",bdc/num={number},\
          bdc/srv=s{server}.test}}}}}}}}}}",
         n + 1
     );
-    DeskInput::Text { link: LINK, reliable: true, bytes: text.into_bytes() }
+    SessionInput::Text { link: LINK, reliable: true, bytes: text.into_bytes() }
 }
 
 /// Replies to set-ups: the call's number, and the code that Diameter has for the answer.
--- a/crates/desk/tests/text.rs
+++ b/crates/desk/tests/text.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use baydrift_call::{AttemptId, LinkId};
-use baydrift_desk::{Boot, Desk, DeskInput, DeskOutput, Kind};
+use baydrift_desk::{ProcessIdentity, RequestKind, SessionInput, SessionLayer, SessionOutput};
 use baydrift_diameter::credit::{self, Endpoints};
 use baydrift_diameter::{dict, result, Message};
 use baydrift_h248::{parse, Body, ReplyBody, Transaction};
@@ -13,10 +13,10 @@
 const MS: u64 = 1_000;
 
 struct World {
-    desk: Desk,
+    desk: SessionLayer,
     now: u64,
     /// Set-ups and releases at servers, not yet answered.
-    asked: Vec<(u64, AttemptId, Kind, Message)>,
+    asked: Vec<(u64, AttemptId, RequestKind, Message)>,
     set_ups: usize,
     /// What was said to clients, by link.
     said: BTreeMap<LinkId, Vec<String>>,
@@ -40,33 +40,35 @@
 server "s1.test" realm="core.test" number=1 addr="127.0.0.1:2"
 "#;
         let config = baydrift_config::parse("test", text).unwrap_or_else(|e| panic!("{:?}", e.problems));
-        let desk = Desk::new(&config, Boot::numbered(9), 1).expect("good settings");
+        let desk = SessionLayer::new(&config, ProcessIdentity::numbered(9), 1).expect("good settings");
         let mut w = Self { desk, now, asked: Vec::new(), set_ups: 0, said: BTreeMap::new() };
         for server in [0, 1] {
-            w.hear(DeskInput::ServerUp { server, state_id: Some(1) });
+            w.hear(SessionInput::ServerUp { server, state_id: Some(1) });
         }
         w
     }
 
-    fn hear(&mut self, input: DeskInput) {
+    fn hear(&mut self, input: SessionInput) {
         self.now += MS;
         let mut out = Vec::new();
-        self.desk.hear(self.now, input, &mut out);
-        self.desk.hear(self.now, DeskInput::Tick, &mut out);
+        self.desk.handle(self.now, input, &mut out);
+        self.desk.handle(self.now, SessionInput::Tick, &mut out);
         for output in out {
             match output {
-                DeskOutput::ToServer { server, attempt, kind, message, .. } => {
-                    self.set_ups += usize::from(kind == Kind::SetUp);
+                SessionOutput::ToServer { server, attempt, kind, message, .. } => {
+                    self.set_ups += usize::from(kind == RequestKind::SetUp);
                     self.asked.push((server, attempt, kind, message));
                 }
-                DeskOutput::Text { link, text } => self.said.entry(link).or_default().push(text.to_string()),
+                SessionOutput::Text { link, text } => {
+                    self.said.entry(link).or_default().push(text.to_string())
+                }
                 _ => {}
             }
         }
     }
 
     fn say(&mut self, link: LinkId, mid: &str, text: &str) -> Vec<String> {
-        self.hear(DeskInput::Text {
+        self.hear(SessionInput::Text {
             link,
             reliable: false,
             bytes: format!("!/1 <{mid}> {text}").into_bytes(),
@@ -83,7 +85,7 @@
         let until = self.now + span;
         while self.now < until {
             self.now += 20 * MS;
-            self.hear(DeskInput::Tick);
+            self.hear(SessionInput::Tick);
         }
     }
 
@@ -91,7 +93,7 @@
     fn answer(&mut self, code: u32) -> Vec<String> {
         for (server, attempt, kind, message) in std::mem::take(&mut self.asked) {
             let message = credit::answer(&message, code, "s", "core.test");
-            self.hear(DeskInput::ServerAnswer { server, attempt, kind, message });
+            self.hear(SessionInput::ServerAnswer { server, attempt, kind, message });
         }
         self.said.remove(&A).unwrap_or_default()
     }
@@ -204,9 +206,9 @@
 fn what_waited_while_the_front_stood_still_is_answered_by_its_callers_clock() {
     let mut w = World::registered();
     // Read after a stall of 2 s: a second of patience is left at worst.
-    w.desk.set_waited(2_000 * MS);
+    w.desk.set_input_delay(2_000 * MS);
     w.a(&add(2));
-    w.desk.set_waited(0);
+    w.desk.set_input_delay(0);
     let before = w.now;
     while w.said.get(&A).is_none_or(|said| said.iter().all(|text| !text.contains("P=2"))) {
         w.pass(20 * MS);
@@ -311,7 +313,7 @@
         destination_host: None,
     };
     let message = credit::abort(ends, &format!("f.test;9-9;{}", attempt.0));
-    w.hear(DeskInput::ServerRequest { server: 1, message });
+    w.hear(SessionInput::ServerRequest { server: 1, message });
     let said = w.said.remove(&A).unwrap();
     let Body::Transactions(all) = parse(&said[0]).unwrap().body else { panic!() };
     let Transaction::Request { id, actions } = &all[0] else { panic!() };
@@ -381,7 +383,7 @@
     w.a(&add(7));
     w.answer(result::SUCCESS);
     assert_eq!(w.desk.held().calls, 1);
-    w.hear(DeskInput::TextGone(A));
+    w.hear(SessionInput::TextClosed(A));
     w.pass(31_000 * MS);
     w.answer(result::SUCCESS);
     assert_eq!((w.desk.held().calls, w.desk.held().orphans), (0, 0));
--- a/crates/desk/tests/trunk.rs
+++ b/crates/desk/tests/trunk.rs
@@ -1,7 +1,9 @@
 //! Calls over trunk groups at the desk: circuits seized for callers, and calls that far ends offer.
 
 use baydrift_call::LinkId;
-use baydrift_desk::{Boot, Desk, DeskInput, DeskOutput, Kind, Opened};
+use baydrift_desk::{
+    AdmittedClient, ProcessIdentity, RequestKind, SessionInput, SessionLayer, SessionOutput,
+};
 use baydrift_diameter::credit::{self, Endpoints, RequestType};
 use baydrift_diameter::{code, dict, Avp, Message, Remote};
 use baydrift_isup::{cause, CalledNumber, Data, Iam, Message as Signal, MessageType as Isup, Range};
@@ -26,22 +28,25 @@
 const SERVER: &str = "server \"s0.test\" realm=\"core.test\" number=0 addr=\"127.0.0.1:1\"\n";
 
 struct World {
-    desk: Desk,
+    desk: SessionLayer,
     now: u64,
 }
 
 impl World {
     fn new(config: &str) -> Self {
         let config = baydrift_config::parse("test", config).unwrap_or_else(|e| panic!("{:?}", e.problems));
-        let mut w = Self { desk: Desk::new(&config, Boot::numbered(9), 1).expect("good settings"), now: 0 };
+        let mut w = Self {
+            desk: SessionLayer::new(&config, ProcessIdentity::numbered(9), 1).expect("good settings"),
+            now: 0,
+        };
         let remote = Remote { host: "c1.test".into(), realm: "test".into(), state_id: Some(1) };
-        w.hear(DeskInput::ClientUp { link: LinkId(1), opened: Opened { remote, relay: false } });
+        w.hear(SessionInput::ClientUp { link: LinkId(1), client: AdmittedClient { remote, relay: false } });
         w
     }
 
     /// The signalling link comes up, and the far end answers the resets of a start.
     fn up(&mut self) {
-        let out = self.hear(DeskInput::TrunkUp(FAR));
+        let out = self.hear(SessionInput::TrunkUp(FAR));
         let resets = signals(&out);
         assert_eq!(
             resets.iter().map(|s| (s.kind, s.cic)).collect::<Vec<_>>(),
@@ -55,21 +60,21 @@
         }
     }
 
-    fn hear(&mut self, input: DeskInput) -> Vec<DeskOutput> {
+    fn hear(&mut self, input: SessionInput) -> Vec<SessionOutput> {
         self.now += 1_000;
         let mut out = Vec::new();
-        self.desk.hear(self.now, input, &mut out);
-        self.desk.hear(self.now, DeskInput::Tick, &mut out);
+        self.desk.handle(self.now, input, &mut out);
+        self.desk.handle(self.now, SessionInput::Tick, &mut out);
         out
     }
 
     /// The far end says something.
-    fn say(&mut self, signal: &Signal) -> Vec<DeskOutput> {
+    fn say(&mut self, signal: &Signal) -> Vec<SessionOutput> {
         let message = signal.write().expect("it fits");
-        self.hear(DeskInput::Trunk(Data { opc: FAR, dpc: OWN, sls: 0, message }))
+        self.hear(SessionInput::TrunkPacket(Data { opc: FAR, dpc: OWN, sls: 0, message }))
     }
 
-    fn ask(&mut self, session: &str, kind: RequestType) -> Vec<DeskOutput> {
+    fn ask(&mut self, session: &str, kind: RequestType) -> Vec<SessionOutput> {
         let ends = Endpoints {
             origin_host: "c1.test",
             origin_realm: "gulf.test",
@@ -78,7 +83,7 @@
         };
         let mut message = credit::request(ends, session, "grid@test", kind, 0);
         message.push(Avp::text(dict::CALLED_STATION_ID, "5550123"));
-        self.hear(DeskInput::ClientRequest { link: LinkId(1), message })
+        self.hear(SessionInput::ClientRequest { link: LinkId(1), message })
     }
 
     /// A set-up that goes out by an IAM.
@@ -91,27 +96,29 @@
     }
 
     fn free(&self) -> usize {
-        let trunks = self.desk.office().trunks();
+        let trunks = self.desk.signalling_point().trunks();
         (0..2).filter_map(|group| trunks.usage(GroupId(group))).map(|usage| usage.free).sum()
     }
 }
 
-fn signals(out: &[DeskOutput]) -> Vec<Signal> {
-    let of = |out: &DeskOutput| match out {
-        DeskOutput::ToFarEnd(data) if data.dpc == FAR => Some(Signal::read(&data.message).expect("our own")),
+fn signals(out: &[SessionOutput]) -> Vec<Signal> {
+    let of = |out: &SessionOutput| match out {
+        SessionOutput::ToFarEnd(data) if data.dpc == FAR => {
+            Some(Signal::read(&data.message).expect("our own"))
+        }
         _ => None,
     };
     out.iter().filter_map(of).collect()
 }
 
-fn kinds(out: &[DeskOutput]) -> Vec<Isup> {
+fn kinds(out: &[SessionOutput]) -> Vec<Isup> {
     signals(out).iter().map(|signal| signal.kind).collect()
 }
 
 /// Final answers to the client.
-fn answers(out: &[DeskOutput]) -> Vec<u32> {
-    let of = |out: &DeskOutput| match out {
-        DeskOutput::ToClient { message, .. } if message.header.code == code::CREDIT_CONTROL => {
+fn answers(out: &[SessionOutput]) -> Vec<u32> {
+    let of = |out: &SessionOutput| match out {
+        SessionOutput::ToClient { message, .. } if message.header.code == code::CREDIT_CONTROL => {
             Some(message.result())
         }
         _ => None,
@@ -134,7 +141,7 @@
     let mut early = w.ask("c1.test;0", RequestType::Initial);
     for _ in 0..30 {
         w.now += 100_000;
-        early.extend(w.hear(DeskInput::Tick));
+        early.extend(w.hear(SessionInput::Tick));
     }
     assert!(signals(&early).is_empty() && answers(&early).len() == 1, "{early:?}");
     w.up();
@@ -164,11 +171,12 @@
         assert_eq!(kinds(&w.say(&Signal::with_range(Isup::Cgb, first, &range))), [Isup::Cgba]);
     }
     assert_eq!(w.free(), 0);
-    w.hear(DeskInput::ServerUp { server: 0, state_id: Some(1) });
+    w.hear(SessionInput::ServerUp { server: 0, state_id: Some(1) });
     for call in 0..20 {
         let out = w.ask(&format!("c1.test;{call}"), RequestType::Initial);
-        let by_diameter =
-            |o: &DeskOutput| matches!(o, DeskOutput::ToServer { server: 0, kind: Kind::SetUp, .. });
+        let by_diameter = |o: &SessionOutput| {
+            matches!(o, SessionOutput::ToServer { server: 0, kind: RequestKind::SetUp, .. })
+        };
         assert!(out.iter().any(by_diameter) && signals(&out).is_empty(), "{out:?}");
     }
 }
@@ -211,7 +219,7 @@
 fn a_far_ends_call_is_admitted_like_others_and_gets_one_answer() {
     let mut w = World::new(&format!("{CONFIG}{SERVER}"));
     w.up();
-    w.hear(DeskInput::ServerUp { server: 0, state_id: Some(1) });
+    w.hear(SessionInput::ServerUp { server: 0, state_id: Some(1) });
     let mut taken = 0;
     for cic in [2, 34] {
         let out = w.say(&iam(cic, "77"));
@@ -219,7 +227,9 @@
         let asked: Vec<(Message, _)> = out
             .iter()
             .filter_map(|o| match o {
-                DeskOutput::ToServer { server: 0, attempt, message, .. } => Some((message.clone(), *attempt)),
+                SessionOutput::ToServer { server: 0, attempt, message, .. } => {
+                    Some((message.clone(), *attempt))
+                }
                 _ => None,
             })
             .collect();
@@ -228,12 +238,14 @@
         assert_eq!(request.text(dict::CC_CORRELATION_ID), Some("gw.test|77"));
         assert_eq!(request.text(dict::CALLED_STATION_ID), Some("555"));
         let message = credit::answer(&request, 2001, "s0.test", "core.test");
-        let out = w.hear(DeskInput::ServerAnswer { server: 0, attempt, kind: Kind::SetUp, message });
+        let out =
+            w.hear(SessionInput::ServerAnswer { server: 0, attempt, kind: RequestKind::SetUp, message });
         assert_eq!(kinds(&out), [Isup::Anm]);
         // Its caller is done: the server hears so.
         let out = w.say(&Signal::with_cause(Isup::Rel, cic, cause::NORMAL_CLEARING));
         assert_eq!(kinds(&out), [Isup::Rlc]);
-        let released = |o: &DeskOutput| matches!(o, DeskOutput::ToServer { kind: Kind::Release, .. });
+        let released =
+            |o: &SessionOutput| matches!(o, SessionOutput::ToServer { kind: RequestKind::Release, .. });
         assert!(out.iter().any(released));
     }
     assert!(taken > 0);
@@ -252,7 +264,7 @@
     }
     for _ in 0..400 {
         w.now += 10_000;
-        released += signals(&w.hear(DeskInput::Tick)).iter().filter(|s| s.kind == Isup::Rel).count();
+        released += signals(&w.hear(SessionInput::Tick)).iter().filter(|s| s.kind == Isup::Rel).count();
     }
     assert!(released > 0 && w.desk.held().in_set_up == 0);
     // A far end that may offer no calls.
@@ -271,12 +283,12 @@
     let seized = w.seize("c1.test;1");
     let accepted = w.seize("c1.test;2");
     w.say(&Signal::acm(accepted.cic));
-    w.hear(DeskInput::TrunkDown(FAR));
+    w.hear(SessionInput::TrunkDown(FAR));
     // Neither is out any more; whether the far end has them is not known.
     assert_eq!(w.desk.held().in_set_up, 2);
     w.now += 400_000;
-    w.hear(DeskInput::Tick);
-    let out = w.hear(DeskInput::TrunkUp(FAR));
+    w.hear(SessionInput::Tick);
+    let out = w.hear(SessionInput::TrunkUp(FAR));
     let released: std::collections::BTreeSet<_> =
         signals(&out).iter().filter(|s| s.kind == Isup::Rel).map(|s| s.cic).collect();
     assert_eq!(released, [seized.cic, accepted.cic].into());
@@ -288,11 +300,13 @@
     w.up();
     let good = iam(1, "x").write().expect("it fits");
     for (opc, dpc) in [(22, OWN), (FAR, 12)] {
-        assert!(w.hear(DeskInput::Trunk(Data { opc, dpc, sls: 0, message: good.clone() })).is_empty());
+        assert!(w
+            .hear(SessionInput::TrunkPacket(Data { opc, dpc, sls: 0, message: good.clone() }))
+            .is_empty());
     }
     for end in 0..good.len() {
         let message = good[..end].to_vec();
-        assert!(w.hear(DeskInput::Trunk(Data { opc: FAR, dpc: OWN, sls: 0, message })).is_empty());
+        assert!(w.hear(SessionInput::TrunkPacket(Data { opc: FAR, dpc: OWN, sls: 0, message })).is_empty());
     }
     assert_eq!((w.free(), w.desk.held().calls), (4, 0));
     assert_eq!(w.desk.faults(), 2 + good.len() as u64);
--- a/crates/emulator/src/front.rs
+++ b/crates/emulator/src/front.rs
@@ -9,8 +9,8 @@
 use baydrift_call::{EngineError, LinkId, Policy};
 use baydrift_config::Config;
 use baydrift_desk::{
-    local, Asked, Boot, ClientLink, Desk, DeskInput, DeskOutput, Doors, LinkOutput, PoolList, ServerLink,
-    Stalls, CATCH_UP,
+    local_capabilities, Admission, ClientLink, LinkOutput, PoolList, ProcessIdentity, SendDecision,
+    ServerLink, SessionInput, SessionLayer, SessionOutput, StallMonitor, CATCH_UP,
 };
 use baydrift_diameter::{Frame, Local, Message, PeerInput, Side};
 use rand::Rng;
@@ -19,7 +19,7 @@
 /// What the core is told.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum ToCore {
-    Desk(DeskInput),
+    Desk(SessionInput),
     /// A list, and what it makes true if it is taken.
     Pool(PoolList, Vec<Moment>),
 }
@@ -49,7 +49,7 @@
     /// Closed.
     Close(u64),
     /// Told the core.
-    Tell(DeskInput),
+    Tell(SessionInput),
 }
 
 /// See the module's page.
@@ -57,12 +57,12 @@
 pub(crate) struct Front {
     config: Config,
     local: Arc<Local>,
-    desk: Desk,
-    stalls: Stalls,
+    desk: SessionLayer,
+    stalls: StallMonitor,
     /// Until then the core only reads, after an own stall.
     catching: Option<Micros>,
     read: Vec<ToCore>,
-    doors: Doors,
+    doors: Admission,
     pub(crate) servers: Vec<Server>,
     clients: BTreeMap<LinkId, Client>,
     next_link: u64,
@@ -81,20 +81,20 @@
     ) -> Result<Self, EngineError> {
         let seed = config.seed.unwrap_or_else(|| rng.random());
         let desk = match policy {
-            Some(policy) => Desk::with_policy(&config, Boot::numbered(boot), policy)?,
-            None => Desk::new(&config, Boot::numbered(boot), seed)?,
+            Some(policy) => SessionLayer::with_policy(&config, ProcessIdentity::numbered(boot), policy)?,
+            None => SessionLayer::new(&config, ProcessIdentity::numbered(boot), seed)?,
         };
-        let local = local(&config, config.listen.ip(), boot);
+        let local = local_capabilities(&config, config.listen.ip(), boot);
         let link =
             |server| ServerLink::new(server, local.clone(), config.watchdog, rng.random(), rng.random());
         let links: Vec<_> = config.servers.iter().map(link).collect();
         Ok(Self {
             servers: links.into_iter().map(|link| Server { link, conn: None }).collect(),
-            doors: Doors::new(&config),
+            doors: Admission::new(&config),
             config,
             local,
             desk,
-            stalls: Stalls::default(),
+            stalls: StallMonitor::default(),
             catching: None,
             read: Vec::new(),
             clients: BTreeMap::new(),
@@ -127,11 +127,11 @@
     /// Another process, which knows nothing of the one before.
     pub(crate) fn start_anew(&mut self, now: Micros, rng: &mut Pcg64Mcg) -> Result<(), EngineError> {
         *self = Self::new(self.config.clone(), None, self.process + 1, rng)?;
-        self.desk.starts(now);
+        self.desk.set_start_time(now);
         Ok(())
     }
 
-    pub(crate) fn desk(&self) -> &Desk {
+    pub(crate) fn desk(&self) -> &SessionLayer {
         &self.desk
     }
 
@@ -147,29 +147,29 @@
         &mut self,
         now: Micros,
         input: Option<ToCore>,
-        out: &mut Vec<DeskOutput>,
+        out: &mut Vec<SessionOutput>,
         told: &mut Vec<Moment>,
     ) {
         self.read.extend(input);
         if self.catching.is_some_and(|until| now < until) {
             return;
         }
-        if self.catching.take().is_none() && self.stalls.woke(now, &mut self.desk) {
+        if self.catching.take().is_none() && self.stalls.record_wake_up(now, &mut self.desk) {
             self.catching = Some(now + CATCH_UP);
             return;
         }
         for input in std::mem::take(&mut self.read) {
             match input {
-                ToCore::Desk(input) => self.desk.hear(now, input, out),
+                ToCore::Desk(input) => self.desk.handle(now, input, out),
                 // One that is turned down, as an older one is, leaves the last good one.
                 ToCore::Pool(list, moments) => {
-                    if self.desk.pool(now, &list, out).is_ok() {
+                    if self.desk.apply_pool_list(now, &list, out).is_ok() {
                         told.extend(moments);
                     }
                 }
             }
         }
-        self.desk.hear(now, DeskInput::Tick, out);
+        self.desk.handle(now, SessionInput::Tick, out);
     }
 
     // --- server links ---
@@ -195,24 +195,24 @@
                     server.conn = None;
                     did.push(Did::Close(conn));
                 }
-                (LinkOutput::Desk(input), _) => did.push(Did::Tell(input)),
+                (LinkOutput::Session(input), _) => did.push(Did::Tell(input)),
                 _ => {}
             }
         }
     }
 
     /// What the core sends to a server leaves its task's queue.
-    pub(crate) fn out_to_server(&mut self, now: Micros, output: DeskOutput, did: &mut Vec<Did>) {
+    pub(crate) fn out_to_server(&mut self, now: Micros, output: SessionOutput, did: &mut Vec<Did>) {
         let (server, message) = match output {
-            DeskOutput::ToServer { server, attempt, kind, message, at } => {
+            SessionOutput::ToServer { server, attempt, kind, message, at } => {
                 let Some(place) = self.place(server) else { return };
                 match self.servers[place].link.request(now, at, (attempt, kind), message) {
-                    Asked::Send(_, message) => (place, Some(message)),
-                    Asked::Nowhere => (place, None),
-                    Asked::Stale(input) => return did.push(Did::Tell(input)),
+                    SendDecision::Send(_, message) => (place, Some(message)),
+                    SendDecision::NoTransport => (place, None),
+                    SendDecision::Expired(input) => return did.push(Did::Tell(input)),
                 }
             }
-            DeskOutput::Reply { server, message } => {
+            SessionOutput::Reply { server, message } => {
                 let Some(place) = self.place(server) else { return };
                 (place, self.servers[place].link.side().map(|_| message))
             }
@@ -265,11 +265,11 @@
                 did,
             );
         }
-        match self.doors.greet(id, &message, &self.local) {
+        match self.doors.admit(id, &message, &self.local) {
             Ok(opened) => {
                 let (local, seed) = (self.local.clone(), rng.random());
                 client.link = Some(ClientLink::new(id, local, self.config.watchdog, rng.random(), seed));
-                did.push(Did::Tell(DeskInput::ClientUp { link: id, opened }));
+                did.push(Did::Tell(SessionInput::ClientUp { link: id, client: opened }));
                 self.client_input(now, id, PeerInput::Accepted(message), did);
             }
             Err(fault) => {
@@ -296,13 +296,13 @@
         for output in out {
             match output {
                 LinkOutput::Send(_, message) => did.push(Did::Send(client.conn, message)),
-                LinkOutput::Desk(input) => did.push(Did::Tell(input)),
+                LinkOutput::Session(input) => did.push(Did::Tell(input)),
                 _ => {}
             }
         }
         if !link.is_open() {
             did.push(Did::Close(client.conn));
-            did.push(Did::Tell(DeskInput::ClientDown(id)));
+            did.push(Did::Tell(SessionInput::ClientDown(id)));
             self.clients.remove(&id);
             self.doors.close(id);
         }
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -11,7 +11,7 @@
 use baydrift_audit::{Line, Moment};
 use baydrift_call::{EngineError, LinkId, Policy};
 use baydrift_config::Config;
-use baydrift_desk::{Desk, DeskInput, DeskOutput, PoolList};
+use baydrift_desk::{PoolList, SessionInput, SessionLayer, SessionOutput};
 use baydrift_diameter::{Frame, Message, PeerInput, Side};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -100,7 +100,7 @@
     /// The core of a front's process, by its count, takes an input.
     Core(usize, u32, Box<ToCore>),
     /// What the core sent leaves a link's queue.
-    Out(usize, u32, Box<DeskOutput>),
+    Out(usize, u32, Box<SessionOutput>),
     /// Another process of a front starts.
     Starts(usize),
     /// A datagram of text caller so-and-so, towards its front or back.
@@ -218,7 +218,7 @@
     }
 
     /// A front's desk, for its counts.
-    pub fn desk(&self, front: usize) -> Option<&Desk> {
+    pub fn desk(&self, front: usize) -> Option<&SessionLayer> {
         self.fronts.get(front).map(Front::desk)
     }
 
@@ -575,7 +575,7 @@
                 End::Callers(callers) => self.caller(callers, CallerInput::Connected),
                 End::FrontFar(front, far) => {
                     let point = self.fars[far].1;
-                    self.tell_core(front, Node::ToFar(front, far), DeskInput::TrunkUp(point));
+                    self.tell_core(front, Node::ToFar(front, far), SessionInput::TrunkUp(point));
                 }
                 End::Server(_) | End::FrontClient(_) | End::Far(_) => {}
             },
@@ -584,7 +584,7 @@
                     self.far(far, FarInput::Received(front as u32, data));
                 }
                 (End::FrontFar(front, far), _) => {
-                    self.tell_core(front, Node::ToFar(front, far), DeskInput::Trunk(data));
+                    self.tell_core(front, Node::ToFar(front, far), SessionInput::TrunkPacket(data));
                 }
                 _ => {}
             },
@@ -647,7 +647,7 @@
             }
             End::FrontFar(front, far) => {
                 let point = self.fars[far].1;
-                self.tell_core(front, Node::ToFar(front, far), DeskInput::TrunkDown(point));
+                self.tell_core(front, Node::ToFar(front, far), SessionInput::TrunkDown(point));
                 let at = self.queue.now() + REDIAL + self.turn();
                 self.queue.at(at, Event::Redial(front, far));
             }
@@ -766,10 +766,10 @@
     }
 
     /// What a front's core is told of a datagram of a text caller, if it runs.
-    fn text_input(&self, text: usize, said: &str) -> Option<(usize, DeskInput)> {
+    fn text_input(&self, text: usize, said: &str) -> Option<(usize, SessionInput)> {
         let front = self.texts.get(text).map(|(_, front, _)| *front)?;
         let bytes = said.as_bytes().to_vec();
-        let input = DeskInput::Text { link: text_link(text), reliable: false, bytes };
+        let input = SessionInput::Text { link: text_link(text), reliable: false, bytes };
         (!self.fronts[front].is_down()).then_some((front, input))
     }
 
@@ -790,13 +790,13 @@
     }
 
     /// A link's task tells the core something.
-    fn tell_core(&mut self, front: usize, task: Node, input: DeskInput) {
+    fn tell_core(&mut self, front: usize, task: Node, input: SessionInput) {
         let at = self.queued(front, Some(task), true);
         self.tell_process(at, front, input);
     }
 
     /// The front's process that runs now takes an input at a time, if it still runs then.
-    fn tell_process(&mut self, at: Micros, front: usize, input: DeskInput) {
+    fn tell_process(&mut self, at: Micros, front: usize, input: SessionInput) {
         let process = self.fronts[front].process();
         self.queue.at(at, Event::Core(front, process, Box::new(ToCore::Desk(input))));
     }
@@ -829,15 +829,15 @@
         told.into_iter().for_each(|moment| self.record(moment));
         for output in out {
             let task = match &output {
-                DeskOutput::ToClient { link, .. } => Some(Node::ToClient(front, *link)),
-                DeskOutput::ToServer { server, .. } | DeskOutput::Reply { server, .. } => {
+                SessionOutput::ToClient { link, .. } => Some(Node::ToClient(front, *link)),
+                SessionOutput::ToServer { server, .. } | SessionOutput::Reply { server, .. } => {
                     self.fronts[front].place(*server).map(|server| Node::ToServer(front, server))
                 }
-                DeskOutput::ToFarEnd(data) => {
+                SessionOutput::ToFarEnd(data) => {
                     let far = self.far_at(data.dpc);
                     far.map(|far| Node::ToFar(front, far))
                 }
-                DeskOutput::Text { .. } | DeskOutput::ToFront { .. } => None,
+                SessionOutput::Text { .. } | SessionOutput::ToFront { .. } => None,
             };
             let at = self.queued(front, task, false);
             self.queue.at(at, Event::Out(front, self.fronts[front].process(), Box::new(output)));
@@ -846,35 +846,35 @@
     }
 
     /// What the core sent leaves its link's queue.
-    fn out(&mut self, front: usize, output: DeskOutput) {
+    fn out(&mut self, front: usize, output: SessionOutput) {
         let mut did = Vec::new();
         match output {
-            DeskOutput::ToClient { link, message } => {
+            SessionOutput::ToClient { link, message } => {
                 self.fronts[front].out_to_client(link, message, &mut did);
                 self.did(front, Node::ToClient(front, link), did);
             }
-            DeskOutput::ToServer { server, .. } | DeskOutput::Reply { server, .. } => {
+            SessionOutput::ToServer { server, .. } | SessionOutput::Reply { server, .. } => {
                 let Some(place) = self.fronts[front].place(server) else { return };
                 self.fronts[front].out_to_server(self.queue.now(), output, &mut did);
                 self.did(front, Node::ToServer(front, place), did);
             }
-            DeskOutput::ToFarEnd(data) => {
+            SessionOutput::ToFarEnd(data) => {
                 let Some(far) = self.far_at(data.dpc) else { return };
                 if let Some(id) = self.conns.of(End::FrontFar(front, far)).last().copied() {
                     self.post(id, THERE, Parcel::Packet(data));
                 }
             }
-            DeskOutput::Text { link, text } => {
+            SessionOutput::Text { link, text } => {
                 if let Some(place) = (0..self.texts.len()).find(|place| text_link(*place) == link) {
                     self.relay(place, false, text);
                 }
             }
-            DeskOutput::ToFront { to, payload } => {
+            SessionOutput::ToFront { to, payload } => {
                 let place = to as usize;
                 self.record(Moment::Word { from: front as u32, to, bytes: payload.len() });
                 let heard = place < self.fronts.len() && self.rng.random::<f64>() >= self.messages_lost;
                 if heard && !self.is_severed(Place::Front(front), Place::Front(place)) {
-                    let input = DeskInput::Fleet { from: front as u32, payload };
+                    let input = SessionInput::PeerMessage { from: front as u32, payload };
                     let at = self.queue.now() + self.turn() + self.turn();
                     self.tell_process(at, place, input);
                 }
--- a/crates/front/src/admin.rs
+++ b/crates/front/src/admin.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use baydrift::interface::Micros;
-use baydrift_desk::{Desk, TrunkGroupView};
+use baydrift_desk::{SessionLayer, TrunkGroupView};
 use baydrift_trunk::Processing;
 use serde_json::{json, Value};
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
@@ -103,8 +103,8 @@
 }
 
 /// Who of the fleet is believed alive, how far that may be relied on, and what this front has of each shared budget.
-pub(crate) fn fleet(desk: &Desk, now: Micros) -> Value {
-    let lives = desk.lives().map(|lives| {
+pub(crate) fn fleet(desk: &SessionLayer, now: Micros) -> Value {
+    let lives = desk.membership().map(|lives| {
         let (view, own) = (lives.view(now), lives.local_member());
         let members = lives.members().map(|(member, alive, since)| {
             json!({
@@ -140,9 +140,9 @@
 }
 
 /// All groups, and their circuits that are not plainly idle.
-pub(crate) fn circuits(desk: &Desk, now: Micros) -> Value {
+pub(crate) fn circuits(desk: &SessionLayer, now: Micros) -> Value {
     let groups: Vec<_> = desk.trunk_groups().iter().map(|group| of_group(desk, now, group)).collect();
-    let counts = desk.office().trunks().counts();
+    let counts = desk.signalling_point().trunks().counts();
     json!({
         "groups": groups,
         "seized": counts.seized,
@@ -156,9 +156,9 @@
     })
 }
 
-fn of_group(desk: &Desk, now: Micros, group: &TrunkGroupView) -> Value {
+fn of_group(desk: &SessionLayer, now: Micros, group: &TrunkGroupView) -> Value {
     let TrunkGroupView { far_end, point, name, id, view } = group;
-    let trunks = desk.office().trunks();
+    let trunks = desk.signalling_point().trunks();
     let circuits = (view.first..view.first.saturating_add(view.circuits)).filter_map(|cic| {
         let circuit = trunks.view(*id, cic)?;
         let told = circuit.state;
--- a/crates/front/src/client.rs
+++ b/crates/front/src/client.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use baydrift_call::LinkId;
-use baydrift_desk::{ClientLink, DeskInput, LinkOutput, Opened};
+use baydrift_desk::{AdmittedClient, ClientLink, LinkOutput, SessionInput};
 use baydrift_diameter::{cause, code, Frame, Message, PeerInput, Side, StreamError};
 use futures_util::StreamExt;
 use tokio::net::TcpStream;
@@ -54,7 +54,7 @@
         let _ = server.try_send((wire, cer));
         return;
     }
-    let opened = shared.doors().greet(link, &cer, &shared.local);
+    let opened = shared.doors().admit(link, &cer, &shared.local);
     match opened {
         Ok(opened) => {
             info!(link = link.0, peer = opened.remote.host, "client connected");
@@ -66,7 +66,7 @@
                 let mut client = Client { shared, wire, link, peer, out: Vec::new(), from_core };
                 let why = client.serve(cer).await;
                 ended(link, &opened, why);
-                let _ = shared.core.send(ToCore::Desk(DeskInput::ClientDown(link))).await;
+                let _ = shared.core.send(ToCore::Desk(SessionInput::ClientDown(link))).await;
             }
         }
         Err(fault) => {
@@ -77,7 +77,7 @@
     }
 }
 
-fn ended(link: LinkId, opened: &Opened, why: Result<(), StreamError>) {
+fn ended(link: LinkId, opened: &AdmittedClient, why: Result<(), StreamError>) {
     match why {
         Ok(()) => info!(link = link.0, peer = opened.remote.host, "client gone"),
         Err(error) => warn!(link = link.0, peer = opened.remote.host, %error, "client's link closed"),
@@ -163,7 +163,7 @@
         for output in out.drain(..) {
             match output {
                 LinkOutput::Send(_, message) => self.feed(message).await?,
-                LinkOutput::Desk(input) => drop(self.shared.core.send(ToCore::Desk(input)).await),
+                LinkOutput::Session(input) => drop(self.shared.core.send(ToCore::Desk(input)).await),
                 LinkOutput::Refused(code) => debug!(link = self.link.0, code, "message turned down"),
                 // Its state tells when the link is over.
                 _ => {}
--- a/crates/front/src/core.rs
+++ b/crates/front/src/core.rs
@@ -6,7 +6,10 @@
 
 use baydrift::interface::{Micros, ServerId};
 use baydrift_call::{AttemptId, LinkId};
-use baydrift_desk::{Desk, DeskInput, DeskOutput, Kind, Opened, PoolError, PoolList, Stalls, CATCH_UP};
+use baydrift_desk::{
+    AdmittedClient, PoolError, PoolList, RequestKind, SessionInput, SessionLayer, SessionOutput,
+    StallMonitor, CATCH_UP,
+};
 use baydrift_diameter::Message;
 use baydrift_isup::Data;
 use tokio::net::UdpSocket;
@@ -19,11 +22,11 @@
 /// What tasks tell the core.
 pub(crate) enum ToCore {
     /// A client's link is open; messages for it go here.
-    ClientUp(LinkId, Opened, mpsc::Sender<ToLink>),
+    ClientUp(LinkId, AdmittedClient, mpsc::Sender<ToLink>),
     /// A text client's connection is open; texts for it go here.
     TextUp(LinkId, mpsc::Sender<Arc<str>>),
     /// Anything else for the desk.
-    Desk(DeskInput),
+    Desk(SessionInput),
     /// A pushed list; the answer goes back to who pushed it.
     Pool(PoolList, oneshot::Sender<Result<(), PoolError>>),
     /// What are the trunk groups like?
@@ -46,7 +49,7 @@
     /// Send as it is, or a request with a new id.
     Send(Message),
     /// Send a request for an attempt, said at this time.
-    Request(Micros, (AttemptId, Kind), Message),
+    Request(Micros, (AttemptId, RequestKind), Message),
     /// Say good-bye.
     Stop,
 }
@@ -55,7 +58,7 @@
 const BATCH: usize = 256;
 struct Core {
     shared: Arc<Shared>,
-    desk: Desk,
+    desk: SessionLayer,
     clients: BTreeMap<LinkId, mpsc::Sender<ToLink>>,
     servers: BTreeMap<ServerId, mpsc::Sender<ToLink>>,
     texts: BTreeMap<LinkId, mpsc::Sender<Arc<str>>>,
@@ -63,14 +66,14 @@
     fars: BTreeMap<u32, mpsc::Sender<Data>>,
     datagrams: Option<mpsc::Sender<Datagram>>,
     fleet: Option<Arc<UdpSocket>>,
-    out: Vec<DeskOutput>,
+    out: Vec<SessionOutput>,
     stopping: Option<(Instant, Option<oneshot::Sender<()>>)>,
     spent: Spent,
 }
 
 pub(crate) async fn run(
     shared: Arc<Shared>,
-    desk: Desk,
+    desk: SessionLayer,
     mut inputs: mpsc::Receiver<ToCore>,
     servers: BTreeMap<ServerId, mpsc::Sender<ToLink>>,
     fars: BTreeMap<u32, mpsc::Sender<Data>>,
@@ -93,7 +96,7 @@
         spent,
     };
     let mut batch = Vec::with_capacity(BATCH);
-    let mut stalls = Stalls::default();
+    let mut stalls = StallMonitor::default();
     loop {
         let wake = stalls.due(&core.desk);
         tokio::select! {
@@ -105,7 +108,7 @@
             }
             () = tokio::time::sleep_until(clock.at(wake)) => {}
         }
-        if stalls.woke(clock.now(), &mut core.desk) {
+        if stalls.record_wake_up(clock.now(), &mut core.desk) {
             tokio::time::sleep(Duration::from_micros(CATCH_UP)).await;
             while let Ok(input) = inputs.try_recv() {
                 batch.push(input);
@@ -119,7 +122,7 @@
         for input in batch.drain(..) {
             core.take(now, input);
         }
-        core.desk.hear(now, DeskInput::Tick, &mut core.out);
+        core.desk.handle(now, SessionInput::Tick, &mut core.out);
         core.spent.desk_ns += started.elapsed().as_nanos() as u64;
         core.dispatch();
         if core.stopped(now) {
@@ -133,22 +136,22 @@
         match input {
             ToCore::ClientUp(link, opened, sender) => {
                 self.clients.insert(link, sender);
-                self.desk.hear(now, DeskInput::ClientUp { link, opened }, &mut self.out);
+                self.desk.handle(now, SessionInput::ClientUp { link, client: opened }, &mut self.out);
             }
             ToCore::TextUp(link, sender) => {
                 self.texts.insert(link, sender);
             }
             ToCore::Desk(input) => {
-                if let DeskInput::TextGone(link) = &input {
+                if let SessionInput::TextClosed(link) = &input {
                     self.texts.remove(link);
                 }
-                if let DeskInput::ClientDown(link) = &input {
+                if let SessionInput::ClientDown(link) = &input {
                     self.clients.remove(link);
                 }
-                self.desk.hear(now, input, &mut self.out);
+                self.desk.handle(now, input, &mut self.out);
             }
             ToCore::Pool(list, reply) => {
-                let taken = self.desk.pool(now, &list, &mut self.out);
+                let taken = self.desk.apply_pool_list(now, &list, &mut self.out);
                 match &taken {
                     Ok(()) => info!(version = list.version, servers = list.servers.len(), "pool list"),
                     Err(error) => warn!(%error, "pool list turned down"),
@@ -165,7 +168,7 @@
                 let _ = reply.send(self.snapshot());
             }
             ToCore::Stop { within, done } => {
-                self.desk.hear(now, DeskInput::Stop, &mut self.out);
+                self.desk.handle(now, SessionInput::Stop, &mut self.out);
                 self.stopping = Some((Instant::now() + within, Some(done)));
             }
         }
@@ -185,7 +188,7 @@
     fn dispatch(&mut self) {
         for output in self.out.drain(..) {
             match output {
-                DeskOutput::ToClient { link, message } => {
+                SessionOutput::ToClient { link, message } => {
                     let full =
                         self.clients.get(&link).is_some_and(|to| to.try_send(ToLink::Send(message)).is_err());
                     if full {
@@ -194,10 +197,10 @@
                         self.clients.remove(&link);
                     }
                 }
-                DeskOutput::ToServer { server, attempt, kind, message, at } => {
+                SessionOutput::ToServer { server, attempt, kind, message, at } => {
                     send(&self.servers, server, ToLink::Request(at, (attempt, kind), message));
                 }
-                DeskOutput::Text { link, text } => match (self.texts.get(&link), &self.datagrams) {
+                SessionOutput::Text { link, text } => match (self.texts.get(&link), &self.datagrams) {
                     // A full queue closes a connection; a datagram is lost, as a network loses some.
                     (Some(to), _) if to.try_send(text.clone()).is_err() => {
                         warn!(link = link.0, "text client does not read what it is sent: link closed");
@@ -208,11 +211,13 @@
                     (None, None) => {}
                 },
                 // Without room it is lost, as a network loses some: the far end does not read, and timers say it again.
-                DeskOutput::ToFarEnd(data) => {
+                SessionOutput::ToFarEnd(data) => {
                     drop(self.fars.get(&data.dpc).map(|to| to.try_send(data)));
                 }
-                DeskOutput::Reply { server, message } => send(&self.servers, server, ToLink::Send(message)),
-                DeskOutput::ToFront { to, payload } => {
+                SessionOutput::Reply { server, message } => {
+                    send(&self.servers, server, ToLink::Send(message))
+                }
+                SessionOutput::ToFront { to, payload } => {
                     if let (Some(socket), Some(config)) = (&self.fleet, &self.shared.config.fleet) {
                         fleet::send(socket, config, self.shared.config.settings.ordinal, to, &payload);
                     }
@@ -233,7 +238,7 @@
         }
         let done = done.take();
         self.stopping = None;
-        self.desk.hear(now, DeskInput::CutAll, &mut self.out);
+        self.desk.handle(now, SessionInput::CutAll, &mut self.out);
         self.dispatch();
         for to in self.clients.values().chain(self.servers.values()) {
             let _ = to.try_send(ToLink::Stop);
--- a/crates/front/src/fleet.rs
+++ b/crates/front/src/fleet.rs
@@ -4,7 +4,7 @@
 
 use baydrift::interface::MESSAGE_MAX;
 use baydrift_config::Fleet;
-use baydrift_desk::DeskInput;
+use baydrift_desk::SessionInput;
 use tokio::net::UdpSocket;
 use tracing::debug;
 
@@ -54,7 +54,7 @@
             shared.config.fleet.as_ref().and_then(|f| f.fronts.iter().find(|(_, addr)| *addr == from));
         match (read(&buffer[..size]), known) {
             (Some((ordinal, payload)), Some((expected, _))) if ordinal == *expected => {
-                let input = DeskInput::Fleet { from: ordinal, payload: payload.to_vec() };
+                let input = SessionInput::PeerMessage { from: ordinal, payload: payload.to_vec() };
                 // The next message is as good as this one.
                 let _ = shared.core.try_send(ToCore::Desk(input));
             }
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -1,4 +1,4 @@
-//! A front on sockets: a thin coat of tokio around [`baydrift_desk::Desk`].
+//! A front on sockets: a thin coat of tokio around [`baydrift_desk::SessionLayer`].
 //!
 //! One task owns the desk ([`core`]); each client connection and each server is a task of its own
 //! ([`client`], [`server`]) with a bounded queue towards it. A task that reads waits while the core is
@@ -24,7 +24,7 @@
 use baydrift::interface::Micros;
 use baydrift_call::{Counts, EngineError, LinkId, Policy};
 use baydrift_config::{Config, Dial};
-use baydrift_desk::{local, Boot, Desk, DeskInput, Doors, Held};
+use baydrift_desk::{local_capabilities, Admission, Held, ProcessIdentity, SessionInput, SessionLayer};
 use baydrift_diameter::{Codec, Local, Message};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::sync::{mpsc, oneshot, watch};
@@ -130,7 +130,7 @@
     pub(crate) config: Config,
     pub(crate) local: Arc<Local>,
     pub(crate) clock: Clock,
-    pub(crate) doors: Mutex<Doors>,
+    pub(crate) doors: Mutex<Admission>,
     pub(crate) core: mpsc::Sender<ToCore>,
     /// Servers' tasks by host, for transports that servers open themselves.
     pub(crate) inbound: BTreeMap<String, mpsc::Sender<Inbound>>,
@@ -139,7 +139,7 @@
 }
 
 impl Shared {
-    pub(crate) fn doors(&self) -> std::sync::MutexGuard<'_, Doors> {
+    pub(crate) fn doors(&self) -> std::sync::MutexGuard<'_, Admission> {
         self.doors.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
@@ -253,13 +253,13 @@
         let Self { config, listener, pool, fleet, text_udp, text_tcp, signalling, admin, addrs, clock_off } =
             self;
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as Micros);
-        let boot = Boot::at(unix.saturating_add_signed(clock_off), rand::random());
+        let boot = ProcessIdentity::started_at(unix.saturating_add_signed(clock_off), rand::random());
         let seed = config.seed.unwrap_or_else(rand::random);
         let desk = match policy {
-            Some(policy) => Desk::with_policy(&config, boot, policy)?,
-            None => Desk::new(&config, boot, seed)?,
+            Some(policy) => SessionLayer::with_policy(&config, boot, policy)?,
+            None => SessionLayer::new(&config, boot, seed)?,
         };
-        let local = local(&config, addrs.diameter.ip(), boot.state_id);
+        let local = local_capabilities(&config, addrs.diameter.ip(), boot.state_id);
         let (to_core, from_links) = mpsc::channel(CORE_QUEUE);
         let (closing, closed) = watch::channel(false);
         let (mut inbound, mut servers) = (BTreeMap::new(), Vec::new());
@@ -269,7 +269,7 @@
             servers.push((server.clone(), opened));
         }
         let shared = Arc::new(Shared {
-            doors: Mutex::new(Doors::new(&config)),
+            doors: Mutex::new(Admission::new(&config)),
             clock: Clock(Instant::now()),
             core: to_core.clone(),
             closing: closed,
@@ -290,9 +290,9 @@
             let tell = shared.core.clone();
             tokio::spawn(signalling::serve(point, role, from_core, tell, |far, linked| {
                 ToCore::Desk(match linked {
-                    Linked::Up => DeskInput::TrunkUp(far),
-                    Linked::Down => DeskInput::TrunkDown(far),
-                    Linked::Packet(data) => DeskInput::Trunk(data),
+                    Linked::Up => SessionInput::TrunkUp(far),
+                    Linked::Down => SessionInput::TrunkDown(far),
+                    Linked::Packet(data) => SessionInput::TrunkPacket(data),
                 })
             }));
         }
--- a/crates/front/src/pool.rs
+++ b/crates/front/src/pool.rs
@@ -121,7 +121,7 @@
     }
     match told.await {
         Ok(Ok(())) => (StatusCode::OK, "taken".into()),
-        Ok(Err(error @ PoolError::Old { .. })) => (StatusCode::CONFLICT, error.to_string()),
+        Ok(Err(error @ PoolError::Outdated { .. })) => (StatusCode::CONFLICT, error.to_string()),
         Ok(Err(error)) => (StatusCode::UNPROCESSABLE_ENTITY, error.to_string()),
         Err(_) => (StatusCode::SERVICE_UNAVAILABLE, "the front stops".into()),
     }
--- a/crates/front/src/server.rs
+++ b/crates/front/src/server.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use baydrift_config::Server;
-use baydrift_desk::{Asked, DeskInput, LinkOutput, ServerLink};
+use baydrift_desk::{LinkOutput, SendDecision, ServerLink, SessionInput};
 use baydrift_diameter::{cause, Frame, Message, PeerInput, Side, StreamError};
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
@@ -142,9 +142,9 @@
             match next {
                 Some(ToLink::Request(at, what, message)) => {
                     match self.peer.request(self.shared.clock.now(), at, what, message) {
-                        Asked::Send(side, message) => self.send(side, message).await,
-                        Asked::Nowhere => return,
-                        Asked::Stale(input) => {
+                        SendDecision::Send(side, message) => self.send(side, message).await,
+                        SendDecision::NoTransport => return,
+                        SendDecision::Expired(input) => {
                             let _ = self.shared.core.send(ToCore::Desk(input)).await;
                         }
                     }
@@ -215,7 +215,7 @@
                     self.connecting = None;
                     self.initiated = None;
                 }
-                LinkOutput::Desk(input) => self.tell(input).await,
+                LinkOutput::Session(input) => self.tell(input).await,
                 LinkOutput::Refused(code) => debug!(server = self.peer.id(), code, "message turned down"),
             }
         }
@@ -229,12 +229,12 @@
         }
     }
 
-    async fn tell(&self, input: DeskInput) {
+    async fn tell(&self, input: SessionInput) {
         let (server, host) = (self.peer.id(), &self.server.host);
         match &input {
-            DeskInput::ServerUp { .. } => info!(server, host, "server in use"),
-            DeskInput::ServerSuspect(_) => warn!(server, host, "server's watchdog is unanswered"),
-            DeskInput::ServerDrains(_) => info!(server, host, "server drains"),
+            SessionInput::ServerUp { .. } => info!(server, host, "server in use"),
+            SessionInput::ServerSuspect(_) => warn!(server, host, "server's watchdog is unanswered"),
+            SessionInput::ServerDraining(_) => info!(server, host, "server drains"),
             _ => {}
         }
         let _ = self.shared.core.send(ToCore::Desk(input)).await;
--- a/crates/front/src/text.rs
+++ b/crates/front/src/text.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use baydrift_call::LinkId;
-use baydrift_desk::DeskInput;
+use baydrift_desk::SessionInput;
 use baydrift_h248::{frame, unframe, TEXT_MAX, TPKT_MAX};
 use bytes::{Buf, BytesMut};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -80,11 +80,11 @@
                 };
                 let (link, gone) = addresses.link(addr);
                 if let Some(gone) = gone {
-                    let _ = shared.core.send(ToCore::Desk(DeskInput::TextGone(gone))).await;
+                    let _ = shared.core.send(ToCore::Desk(SessionInput::TextClosed(gone))).await;
                 }
                 let bytes = buffer[..size].to_vec();
                 // A core that is behind loses datagrams, as a network does: they come again.
-                let input = DeskInput::Text { link, reliable: false, bytes };
+                let input = SessionInput::Text { link, reliable: false, bytes };
                 if shared.core.try_send(ToCore::Desk(input)).is_err() {
                     debug!(%addr, "datagram lost: the core is behind");
                 }
@@ -112,7 +112,7 @@
             if let Err(error) = connection(&shared, stream, link).await {
                 warn!(link = link.0, %error, "text client's link closed");
             }
-            let _ = shared.core.send(ToCore::Desk(DeskInput::TextGone(link))).await;
+            let _ = shared.core.send(ToCore::Desk(SessionInput::TextClosed(link))).await;
             drop(permit);
         });
     }
@@ -132,7 +132,7 @@
             unframe(&buffer).map_err(std::io::Error::other)?.map(|(text, size)| (text.to_vec(), size))
         {
             buffer.advance(size);
-            let input = DeskInput::Text { link, reliable: true, bytes };
+            let input = SessionInput::Text { link, reliable: true, bytes };
             if shared.core.send(ToCore::Desk(input)).await.is_err() {
                 return Ok(());
             }
