--- a/crates/desk/src/admission.rs
+++ b/crates/desk/src/admission.rs
@@ -1,4 +1,4 @@
-//! Who may connect, and how many at once.
+//! Admission of client connections: which hosts may connect, and how many connections each.
 
 use std::collections::BTreeMap;
 
@@ -6,70 +6,70 @@
 use baydrift_config::{Client, Config};
 use baydrift_diameter::{read_capabilities, result, Fault, Local, Message, Remote};
 
-/// Host and realm of the configured client that stands for every other: an operator's choice, for closed
-/// networks and demonstrations.
-const ANYONE: &str = "*";
+/// Host and realm of a configured client entry that matches any client, for closed networks and
+/// demonstrations.
+const WILDCARD: &str = "*";
 
-/// A connection that may go on.
+/// A client that completed its capabilities exchange.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AdmittedClient {
-    /// Who it is.
+    /// Its identity and capabilities.
     pub remote: Remote,
-    /// Whether it forwards requests of other hosts.
+    /// Whether it may forward requests of other hosts.
     pub relay: bool,
 }
 
-/// Counts connections: all, half-open, and each client's own.
+/// Admits connections within the limits for all, for half-open ones and for each client.
 #[derive(Debug)]
 pub struct Admission {
     clients: BTreeMap<String, Client>,
-    open: BTreeMap<LinkId, Option<String>>,
+    connections: BTreeMap<LinkId, Option<String>>,
     half_open: usize,
-    most: usize,
-    most_half_open: usize,
+    max_connections: usize,
+    max_half_open: usize,
 }
 
 impl Admission {
-    /// By a configuration.
+    /// Creates the admission of a front from its configuration.
     pub fn new(config: &Config) -> Self {
         Self {
             clients: config.clients.iter().map(|client| (client.host.clone(), client.clone())).collect(),
-            open: BTreeMap::new(),
+            connections: BTreeMap::new(),
             half_open: 0,
-            most: config.links.connections,
-            most_half_open: config.links.half_open,
+            max_connections: config.links.connections,
+            max_half_open: config.links.half_open,
         }
     }
 
-    /// A transport was accepted; `false` when there is no room and it is to be closed at once.
+    /// Counts an accepted transport connection; `false` if a limit is reached and it is to be closed.
     pub fn accept(&mut self, link: LinkId) -> bool {
-        let room = self.open.len() < self.most && self.half_open < self.most_half_open;
+        let room = self.connections.len() < self.max_connections && self.half_open < self.max_half_open;
         if room {
-            self.open.insert(link, None);
+            self.connections.insert(link, None);
             self.half_open += 1;
         }
         room
     }
 
-    /// A CER came first. On success the connection counts as its client's.
+    /// Admits a client by its CER. On success the connection counts towards the limit of the client.
     ///
     /// # Errors
-    /// 3010 for a host that is not configured, or of another realm; 5012 where a client has as many
-    /// connections as it may; else as [`read_capabilities`].
+    /// 3010 for a host that is not configured or has another realm; 5012 if the client has reached its limit
+    /// of connections or the capabilities were already exchanged; otherwise as [`read_capabilities`].
     pub fn admit(&mut self, link: LinkId, cer: &Message, local: &Local) -> Result<AdmittedClient, Fault> {
         let remote = read_capabilities(cer, local)?;
         let unknown = |text: String| Fault::new(result::UNKNOWN_PEER, text);
-        let client = self.clients.get(&remote.host).or_else(|| self.clients.get(ANYONE));
+        let client = self.clients.get(&remote.host).or_else(|| self.clients.get(WILDCARD));
         let client = client.ok_or_else(|| unknown(format!("{} is not known here", remote.host)))?;
-        if client.realm != remote.realm && client.realm != ANYONE {
+        if client.realm != remote.realm && client.realm != WILDCARD {
             return Err(unknown(format!("{} is of another realm than {}", remote.host, remote.realm)));
         }
-        let theirs = self.open.values().flatten().filter(|host| **host == remote.host).count();
-        if theirs >= client.connections {
-            let text = format!("{} has {theirs} connections, as many as it may", remote.host);
+        let open = self.connections.values().flatten().filter(|host| **host == remote.host).count();
+        if open >= client.connections {
+            let text = format!("{} has {open} connections, as many as it may", remote.host);
             return Err(Fault::new(result::UNABLE_TO_COMPLY, text));
         }
-        let Some(owner @ None) = self.open.get_mut(&link) else {
+        let Some(owner @ None) = self.connections.get_mut(&link) else {
             return Err(Fault::new(result::UNABLE_TO_COMPLY, "capabilities were exchanged already"));
         };
         *owner = Some(remote.host.clone());
@@ -77,15 +77,15 @@
         Ok(AdmittedClient { relay: client.relay, remote })
     }
 
-    /// A transport is gone.
+    /// Removes a closed connection.
     pub fn close(&mut self, link: LinkId) {
-        if let Some(None) = self.open.remove(&link) {
+        if let Some(None) = self.connections.remove(&link) {
             self.half_open -= 1;
         }
     }
 
-    /// Connections in all, and half-open ones among them.
+    /// Number of connections, and of the half-open ones among them.
     pub fn count(&self) -> (usize, usize) {
-        (self.open.len(), self.half_open)
+        (self.connections.len(), self.half_open)
     }
 }
--- a/crates/desk/src/classification.rs
+++ b/crates/desk/src/classification.rs
@@ -1,4 +1,4 @@
-//! What a request tells of its call, by the configured table alone.
+//! Classification of calls: class, tenant, number and first choice of a request, by the configuration alone.
 
 use std::collections::BTreeMap;
 
@@ -7,38 +7,38 @@
 use baydrift_diameter::credit::Ccr;
 use baydrift_diameter::{dict, result, Avp, Fault, Message};
 
-/// What the engine is told of a call.
+/// Attributes of a call that the engine routes by.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallAttributes {
     /// Index of its class.
     pub class: usize,
-    /// Index of its publisher; beyond all of them where none is known.
+    /// Index of its publisher; the number of publishers if none matches.
     pub tenant: usize,
-    /// The number dialled; 0 for none.
+    /// The dialled number by [`number_of`]; 0 for none.
     pub number: u64,
     /// Number of the server of first choice.
     pub first_choice: Option<u16>,
-    /// Its caller gives up after so long.
-    pub gives_up: Micros,
+    /// Time after which the caller gives up, in microseconds.
+    pub caller_timeout: Micros,
 }
 
-/// The configured table: from what requests say to what calls are.
+/// Maps the contents of requests to [`CallAttributes`] by the configuration.
 #[derive(Debug, Clone)]
 pub struct CallClassifier {
     host: String,
-    serves: Vec<String>,
+    served_realms: Vec<String>,
     contexts: BTreeMap<String, usize>,
-    gives_up: Vec<Micros>,
+    caller_timeouts: Vec<Micros>,
     /// First Service-Context-Id of each class.
     first_contexts: Vec<String>,
     realms: BTreeMap<String, usize>,
     subscriptions: Vec<(String, usize)>,
     servers: BTreeMap<String, u16>,
-    publishers: usize,
+    publisher_count: usize,
 }
 
 impl CallClassifier {
-    /// The table of a configuration.
+    /// Builds the classifier from the configuration.
     pub fn new(config: &Config) -> Self {
         let mut contexts = BTreeMap::new();
         for (index, class) in config.classes.iter().enumerate() {
@@ -47,42 +47,43 @@
         let (mut realms, mut subscriptions) = (BTreeMap::new(), Vec::new());
         for (index, publisher) in config.publishers.iter().enumerate() {
             realms.extend(publisher.realms.iter().map(|realm| (realm.clone(), index)));
-            subscriptions.extend(publisher.subscriptions.iter().map(|start| (start.clone(), index)));
+            subscriptions.extend(publisher.subscriptions.iter().map(|prefix| (prefix.clone(), index)));
         }
         Self {
             host: config.host.clone(),
-            serves: config.serves.clone(),
+            served_realms: config.serves.clone(),
             contexts,
             first_contexts: config
                 .classes
                 .iter()
                 .map(|class| class.contexts.first().cloned().unwrap_or_default())
                 .collect(),
-            gives_up: config.classes.iter().map(|class| class.gives_up).collect(),
+            caller_timeouts: config.classes.iter().map(|class| class.gives_up).collect(),
             realms,
             subscriptions,
             servers: config.members().map(|(host, number, _)| (host.to_owned(), number)).collect(),
-            publishers: config.publishers.len(),
+            publisher_count: config.publishers.len(),
         }
     }
 
-    /// A class by its index: a Service-Context-Id of it, and when its callers give up.
+    /// First Service-Context-Id and caller timeout of a class.
     pub(crate) fn class(&self, class: usize) -> (&str, Micros) {
         let context = self.first_contexts.get(class).map_or("", String::as_str);
-        (context, self.gives_up.get(class).copied().unwrap_or(0))
+        (context, self.caller_timeouts.get(class).copied().unwrap_or(0))
     }
 
-    /// The realm of calls that name none.
+    /// Destination realm of calls without one.
     pub(crate) fn first_realm(&self) -> &str {
-        self.serves.first().map_or("", String::as_str)
+        self.served_realms.first().map_or("", String::as_str)
     }
 
-    /// Reads a set-up's facts.
+    /// Classifies a set-up.
     ///
     /// # Errors
-    /// 3003 for a realm not served, 3002 for a host not known, 5004 for a service context without a class.
-    pub fn facts(&self, message: &Message, ccr: &Ccr<'_>) -> Result<CallAttributes, Fault> {
-        if !self.serves.iter().any(|realm| realm == ccr.destination_realm) {
+    /// 3003 for a realm that is not served, 3002 for an unknown host, 5004 for a service context without a
+    /// class.
+    pub fn classify(&self, message: &Message, ccr: &Ccr<'_>) -> Result<CallAttributes, Fault> {
+        if !self.served_realms.iter().any(|realm| realm == ccr.destination_realm) {
             let text = format!("realm {} is not served", ccr.destination_realm);
             return Err(Fault::new(result::REALM_NOT_SERVED, text));
         }
@@ -103,25 +104,25 @@
             tenant: self.tenant(message, ccr.origin_realm),
             number: ccr.called.map_or(0, number_of),
             first_choice,
-            gives_up: self.gives_up[class],
+            caller_timeout: self.caller_timeouts[class],
         })
     }
 
     fn tenant(&self, message: &Message, realm: &str) -> usize {
         if !self.subscriptions.is_empty() {
             if let Some(data) = Ccr::subscription(message) {
-                let found = self.subscriptions.iter().find(|(start, _)| data.starts_with(start.as_str()));
+                let found = self.subscriptions.iter().find(|(prefix, _)| data.starts_with(prefix.as_str()));
                 if let Some((_, index)) = found {
                     return *index;
                 }
             }
         }
-        self.realms.get(realm).copied().unwrap_or(self.publishers)
+        self.realms.get(realm).copied().unwrap_or(self.publisher_count)
     }
 }
 
-/// A dialled number as the module counts it: its digits where it has no more than fit, else a hash of the
-/// text (FNV-1a, the same on each front). Never 0 for a number that is there.
+/// A dialled number as an integer: its value if it has at most 18 digits, otherwise the FNV-1a hash of the
+/// text, which is the same on every front. 0 only if the number is empty.
 pub fn number_of(called: &str) -> u64 {
     if called.is_empty() {
         return 0;
--- a/crates/desk/src/commands.rs
+++ b/crates/desk/src/commands.rs
@@ -1,4 +1,4 @@
-//! Text commands, run one by one: what each does to the engine, and what it is answered.
+//! Execution of H.248 text commands: the engine inputs of each command, and its reply.
 
 use std::sync::Arc;
 
@@ -14,31 +14,33 @@
 use tracing::{debug, debug_span};
 
 use crate::session_layer::{Payload, SessionLayer, SessionOutput};
-use crate::text::{is_trunk, property, Entry, Job, Step, Told};
+use crate::text::{is_trunk, property, EngineReply, Job, Step, TextCall};
 
-/// What a command came to.
-enum Done {
-    /// Its reply: the termination that it was about, and descriptors.
-    Replied(String, Vec<Item>),
-    /// The engine has it, for this context.
-    Waits(u32),
+/// The result of executing a command.
+enum CommandResult {
+    /// Completed: the termination and descriptors of the reply.
+    Done(String, Vec<Item>),
+    /// Awaits the engine's reply about the call of this context.
+    Pending(u32),
 }
 
-/// A transaction that took longer asks for its reply's acknowledgement at once (RFC 3525, section 8.2.3).
-const TOOK_LONG: Micros = 300_000;
-/// Over datagrams a call is decided so long before its caller gives up, so that three copies of its reply may be
-/// said in time: at 20% loss one answer in 125 given at the last moment is lost then, not one in five.
-const RESERVE: Micros = 460_000;
-/// The reply of any other transaction that took long is said again for at most so long.
-const REPLY_AGAIN: Micros = 10_000_000;
+/// Duration in microseconds after which the reply to a transaction requests an immediate acknowledgement (RFC
+/// 3525, section 8.2.3).
+const IMMEDIATE_ACK_AFTER: Micros = 300_000;
+/// Time in microseconds that is reserved before the caller timeout for sending three copies of a reply over
+/// datagrams: at 20% loss this loses one in 125 of the answers given at the last moment, instead of one in
+/// five.
+const DATAGRAM_REPLY_RESERVE: Micros = 460_000;
+/// Time in microseconds for which the reply to any other slow transaction is retransmitted at most.
+const REPLY_RETRANSMIT_TIME: Micros = 10_000_000;
 
-fn no<T>(code: u16, text: &str) -> Result<T, ErrorDescriptor> {
+fn reject<T>(code: u16, text: &str) -> Result<T, ErrorDescriptor> {
     Err(ErrorDescriptor::new(code, text))
 }
 
 impl SessionLayer {
-    /// A datagram or packet came.
-    pub(crate) fn text_heard(
+    /// Handles an H.248 text message.
+    pub(crate) fn handle_text(
         &mut self,
         now: Micros,
         link: LinkId,
@@ -46,13 +48,13 @@
         bytes: &[u8],
         out: &mut Vec<SessionOutput>,
     ) {
-        let read = match std::str::from_utf8(bytes) {
+        let parsed = match std::str::from_utf8(bytes) {
             Ok(text) => parse(text),
             Err(_) => parse("\u{0}"),
         };
-        let message = match read {
+        let message = match parsed {
             Ok(message) => message,
-            Err(error) => return self.text_unread(link, &error, out),
+            Err(error) => return self.reject_text(link, &error, out),
         };
         if let Err(error) = self.text.admit(now, link, &message.mid, reliable) {
             self.faults += 1;
@@ -71,8 +73,9 @@
         }
     }
 
-    /// A text that is none: the transaction is told where it could be read, else the sender, if it is known.
-    fn text_unread(&mut self, link: LinkId, error: &baydrift_h248::Error, out: &mut Vec<SessionOutput>) {
+    /// Rejects a message that cannot be parsed: by an error reply to its transaction if the id could be read,
+    /// otherwise by a message error. Unknown senders get no answer.
+    fn reject_text(&mut self, link: LinkId, error: &baydrift_h248::Error, out: &mut Vec<SessionOutput>) {
         self.faults += 1;
         debug!(link = link.0, "{error}");
         if !self.text.clients.contains_key(&link) {
@@ -96,38 +99,48 @@
         out: &mut Vec<SessionOutput>,
     ) {
         let Some(client) = self.text.clients.get_mut(&link) else { return };
-        let mut dos = Vec::new();
+        let mut exchange_actions = Vec::new();
         let actions = match transaction {
             Transaction::Request { id, actions } => {
-                client.exchange.handle(now, ExchangeInput::Request(id), &mut dos);
+                client.exchange.handle(now, ExchangeInput::Request(id), &mut exchange_actions);
                 actions
             }
             Transaction::Reply { id, immediate_ack, .. } => {
-                client.exchange.handle(now, ExchangeInput::Reply { id, immediate_ack }, &mut dos);
+                client.exchange.handle(
+                    now,
+                    ExchangeInput::Reply { id, immediate_ack },
+                    &mut exchange_actions,
+                );
                 Vec::new()
             }
             Transaction::Pending(id) => {
-                client.exchange.handle(now, ExchangeInput::Pending(id), &mut dos);
+                client.exchange.handle(now, ExchangeInput::Pending(id), &mut exchange_actions);
                 Vec::new()
             }
             Transaction::Ack(ranges) => {
-                client.exchange.handle(now, ExchangeInput::Ack(ranges), &mut dos);
+                client.exchange.handle(now, ExchangeInput::Ack(ranges), &mut exchange_actions);
                 Vec::new()
             }
         };
         let mut actions = Some(actions);
-        for what in dos {
-            match what {
+        for action in exchange_actions {
+            match action {
                 ExchangeAction::Execute(id) => {
-                    self.begin(now, link, id, actions.take().unwrap_or_default(), out)
+                    self.start_transaction(now, link, id, actions.take().unwrap_or_default(), out)
                 }
-                what => self.text_do(now, link, what, out),
+                action => self.apply_exchange_action(now, link, action, out),
             }
         }
     }
 
-    fn text_do(&mut self, now: Micros, link: LinkId, what: ExchangeAction, out: &mut Vec<SessionOutput>) {
-        let text = match what {
+    fn apply_exchange_action(
+        &mut self,
+        now: Micros,
+        link: LinkId,
+        action: ExchangeAction,
+        out: &mut Vec<SessionOutput>,
+    ) {
+        let text = match action {
             ExchangeAction::Send(text) => text,
             ExchangeAction::Pending(id) => self.text.message(Transaction::Pending(id)).into(),
             ExchangeAction::Ack(id) => self.text.message(Transaction::Ack(vec![(id, id)])).into(),
@@ -135,14 +148,15 @@
                 let error = ErrorDescriptor::new(code::INSUFFICIENT_RESOURCES, "too many transactions");
                 self.text.reply(id, false, ReplyBody::Error(error))
             }
-            ExchangeAction::Lost(_) => return self.text_gone(now, link, out),
+            ExchangeAction::Lost(_) => return self.close_text_client(now, link, out),
             ExchangeAction::Execute(_) | ExchangeAction::Delivered(_) => return,
         };
         out.push(SessionOutput::Text { link, text });
     }
 
-    /// Pendings and repeats that are due.
-    pub(crate) fn text_tick(&mut self, now: Micros, out: &mut Vec<SessionOutput>) {
+    /// Sends pending notifications and retransmissions that are due, and releases the calls of clients whose
+    /// graceful period is over.
+    pub(crate) fn tick_text(&mut self, now: Micros, out: &mut Vec<SessionOutput>) {
         let due: Vec<_> = self
             .text
             .clients
@@ -150,36 +164,39 @@
             .filter(|(_, client)| client.exchange.next_wake().is_some_and(|at| at <= now))
             .map(|(link, _)| *link)
             .collect();
-        let left =
-            self.text.clients.iter().filter(|(_, client)| client.leaves_at.is_some_and(|at| at <= now));
-        let left: Vec<_> = left.map(|(link, client)| (*link, client.mid.clone())).collect();
-        for (link, owner) in left {
+        let drained =
+            self.text.clients.iter().filter(|(_, client)| client.drain_deadline.is_some_and(|at| at <= now));
+        let drained: Vec<_> = drained.map(|(link, client)| (*link, client.mid.clone())).collect();
+        for (link, owner) in drained {
             if let Some(client) = self.text.clients.get_mut(&link) {
-                (client.registered, client.leaving, client.leaves_at) = (false, false, None);
+                (client.registered, client.draining, client.drain_deadline) = (false, false, None);
             }
-            self.text.forget_work(link);
-            self.engine(now, Input::ClientUp { link, owner, restarted: true }, out);
+            self.text.discard_work(link);
+            self.run_engine(now, Input::ClientUp { link, owner, restarted: true }, out);
         }
         for link in due {
-            let mut dos = Vec::new();
+            let mut exchange_actions = Vec::new();
             if let Some(client) = self.text.clients.get_mut(&link) {
-                client.exchange.tick(now, &mut dos);
+                client.exchange.tick(now, &mut exchange_actions);
             }
-            dos.into_iter().for_each(|what| self.text_do(now, link, what, out));
+            exchange_actions
+                .into_iter()
+                .for_each(|action| self.apply_exchange_action(now, link, action, out));
         }
     }
 
-    /// A client is gone: its link closed, or it does not answer. Its calls go with the association: nobody can name
-    /// their contexts any more, and a set-up that went on would be a second one beside what its caller asks anew.
-    pub(crate) fn text_gone(&mut self, now: Micros, link: LinkId, out: &mut Vec<SessionOutput>) {
+    /// Removes a client whose link closed or that does not answer. Its calls are released with the
+    /// association: their contexts can no longer be addressed, and a set-up that continued would duplicate
+    /// the caller's next request.
+    pub(crate) fn close_text_client(&mut self, now: Micros, link: LinkId, out: &mut Vec<SessionOutput>) {
         if let Some(owner) = self.text.clients.get(&link).map(|client| client.mid.clone()) {
             self.text.drop_client(link);
-            self.engine(now, Input::ClientUp { link, owner, restarted: true }, out);
-            self.engine(now, Input::ClientDown(link), out);
+            self.run_engine(now, Input::ClientUp { link, owner, restarted: true }, out);
+            self.run_engine(now, Input::ClientDown(link), out);
         }
     }
 
-    fn begin(
+    fn start_transaction(
         &mut self,
         now: Micros,
         link: LinkId,
@@ -187,54 +204,56 @@
         actions: Vec<baydrift_h248::Action>,
         out: &mut Vec<SessionOutput>,
     ) {
-        let (turn, _) = self.text.turns.submit(&link, (link, id));
-        if turn == QueueDecision::Refused {
+        let (decision, _) = self.text.queue.submit(&link, (link, id));
+        if decision == QueueDecision::Refused {
             let error = ErrorDescriptor::new(code::INSUFFICIENT_RESOURCES, "too many transactions wait");
             return self.answer_transaction(now, link, id, None, ReplyBody::Error(error), out);
         }
         self.text.jobs.insert((link, id), Job::new(link, actions, now));
-        if turn == QueueDecision::Run {
+        if decision == QueueDecision::Run {
             self.text.steps.push_back(Step::Run(link, id));
         }
     }
 
-    /// All that can be done now. Steps are taken from a queue, not by recursion: a transaction may have thousands
+    /// Runs all queued steps. They are queued instead of recursive because a transaction may have thousands
     /// of commands.
-    pub(crate) fn text_steps(&mut self, now: Micros, out: &mut Vec<SessionOutput>) {
+    pub(crate) fn run_text_steps(&mut self, now: Micros, out: &mut Vec<SessionOutput>) {
         while let Some(step) = self.text.steps.pop_front() {
             match step {
                 Step::Run(link, id) => self.run_job(now, link, id, out),
-                Step::Told(link, id, told) => {
-                    self.told(now, link, id, told, out);
+                Step::Completed(link, id, reply) => {
+                    self.complete_command(now, link, id, reply, out);
                     self.text.steps.push_back(Step::Run(link, id));
                 }
-                Step::Cut(link, session) => self.notify_cut(now, link, &session, out),
+                Step::Cut(link, session) => self.notify_call_cut(now, link, &session, out),
             }
         }
     }
 
     fn run_job(&mut self, now: Micros, link: LinkId, id: u32, out: &mut Vec<SessionOutput>) {
         loop {
-            let Some(job) = self.text.jobs.get_mut(&(link, id)).filter(|job| job.waits.is_none()) else {
+            let Some(job) = self.text.jobs.get_mut(&(link, id)).filter(|job| job.pending.is_none()) else {
                 return;
             };
             let Some(command) = job.commands.pop_front() else {
-                let Some(action) = job.actions.pop_front() else { return self.finish(now, link, id, out) };
+                let Some(action) = job.actions.pop_front() else {
+                    return self.finish_transaction(now, link, id, out);
+                };
                 job.context = action.context;
                 job.commands = action.commands.into();
                 job.replies.push(ActionReply { context: action.context, replies: Vec::new(), error: None });
                 continue;
             };
             let context = job.context;
-            let done = self.execute(now, link, id, context, &command, out);
+            let result = self.execute(now, link, id, context, &command, out);
             let Some(job) = self.text.jobs.get_mut(&(link, id)) else { return };
-            match done {
-                Ok(Done::Replied(termination, descriptors)) => {
-                    job.put(command.kind, &termination, descriptors)
+            match result {
+                Ok(CommandResult::Done(termination, descriptors)) => {
+                    job.push_reply(command.kind, &termination, descriptors)
                 }
-                Ok(Done::Waits(context)) => {
+                Ok(CommandResult::Pending(context)) => {
                     job.context = Context::Id(context);
-                    job.waits = Some((command, context));
+                    job.pending = Some((command, context));
                     return;
                 }
                 Err(error) => job.fail(&command, error),
@@ -242,20 +261,21 @@
         }
     }
 
-    fn finish(&mut self, now: Micros, link: LinkId, id: u32, out: &mut Vec<SessionOutput>) {
+    fn finish_transaction(&mut self, now: Micros, link: LinkId, id: u32, out: &mut Vec<SessionOutput>) {
         let Some(job) = self.text.jobs.remove(&(link, id)) else { return };
-        let long = now.saturating_sub(job.began) > TOOK_LONG;
-        // A call's answer that is lost is worth nothing: over datagrams it is said until it is acknowledged, or
-        // its caller has given up. Repeats of the request alone lose one answer in some thousands at 20% loss.
+        let slow = now.saturating_sub(job.started_at) > IMMEDIATE_ACK_AFTER;
+        // Over datagrams, the answer to a call is retransmitted until it is acknowledged or the caller
+        // timeout: with retransmissions of the request alone, one answer in several thousand is lost at 20%
+        // loss.
         let reliable = self.text.clients.get(&link).is_none_or(|client| client.exchange.is_reliable());
-        let wanted = job.wanted_until.saturating_sub(now);
-        let again_for = match (reliable, wanted) {
-            (false, 1..) => Some(wanted),
-            _ if long => Some(REPLY_AGAIN),
+        let remaining = job.caller_deadline.saturating_sub(now);
+        let retransmit_time = match (reliable, remaining) {
+            (false, 1..) => Some(remaining),
+            _ if slow => Some(REPLY_RETRANSMIT_TIME),
             _ => None,
         };
-        self.answer_transaction(now, link, id, again_for, ReplyBody::Actions(job.replies), out);
-        if let Some((_, (link, id))) = self.text.turns.finish(&job.link) {
+        self.answer_transaction(now, link, id, retransmit_time, ReplyBody::Actions(job.replies), out);
+        if let Some((_, (link, id))) = self.text.queue.finish(&job.link) {
             self.text.steps.push_back(Step::Run(link, id));
         }
     }
@@ -265,16 +285,16 @@
         now: Micros,
         link: LinkId,
         id: u32,
-        again_for: Option<Micros>,
+        retransmit_time: Option<Micros>,
         body: ReplyBody,
         out: &mut Vec<SessionOutput>,
     ) {
-        let text = self.text.reply(id, again_for.is_some(), body);
-        let mut dos = Vec::new();
+        let text = self.text.reply(id, retransmit_time.is_some(), body);
+        let mut exchange_actions = Vec::new();
         if let Some(client) = self.text.clients.get_mut(&link) {
-            client.exchange.reply(now, id, text, again_for.unwrap_or(0), &mut dos);
+            client.exchange.reply(now, id, text, retransmit_time.unwrap_or(0), &mut exchange_actions);
         }
-        dos.into_iter().for_each(|what| self.text_do(now, link, what, out));
+        exchange_actions.into_iter().for_each(|action| self.apply_exchange_action(now, link, action, out));
     }
 
     fn execute(
@@ -285,51 +305,54 @@
         context: Context,
         command: &Command,
         out: &mut Vec<SessionOutput>,
-    ) -> Result<Done, ErrorDescriptor> {
-        let Some(client) = self.text.clients.get(&link) else { return no(code::INTERNAL, "gone") };
+    ) -> Result<CommandResult, ErrorDescriptor> {
+        let Some(client) = self.text.clients.get(&link) else { return reject(code::INTERNAL, "gone") };
         if !client.registered && command.kind != CommandKind::ServiceChange {
-            return no(code::BEFORE_SERVICE_CHANGE, "ServiceChange comes first");
+            return reject(code::BEFORE_SERVICE_CHANGE, "ServiceChange comes first");
         }
         match command.kind {
             CommandKind::Add if is_trunk(&command.termination) => {
                 self.add(now, link, id, context, command, out)
             }
-            CommandKind::Add => self.add_own(link, id, context, command),
+            CommandKind::Add => self.add_caller_side(link, id, context, command),
             CommandKind::Subtract => self.subtract(now, link, id, context, command, out),
             CommandKind::AuditValue => self.audit(now, link, id, context, command),
             CommandKind::AuditCapability => {
                 let packages = ["bdc-1", "ocp-1"].map(Item::new).to_vec();
-                Ok(Done::Replied(command.termination.clone(), vec![Item::new("Packages").grouping(packages)]))
+                Ok(CommandResult::Done(
+                    command.termination.clone(),
+                    vec![Item::new("Packages").grouping(packages)],
+                ))
             }
             CommandKind::Modify => self.modify(link, context, command),
             CommandKind::ServiceChange => self.service_change(now, link, id, command, out),
-            CommandKind::Move => no(code::NOT_IMPLEMENTED, "a call stays in its context"),
-            CommandKind::Notify => no(code::UNKNOWN_COMMAND, "nothing is notified here"),
+            CommandKind::Move => reject(code::NOT_IMPLEMENTED, "a call stays in its context"),
+            CommandKind::Notify => reject(code::UNKNOWN_COMMAND, "nothing is notified here"),
         }
     }
 
-    /// A termination of the caller's own side: it is named and no more.
-    fn add_own(
+    /// Adds a termination of the caller's side, which is only named.
+    fn add_caller_side(
         &mut self,
         link: LinkId,
         id: u32,
         context: Context,
         command: &Command,
-    ) -> Result<Done, ErrorDescriptor> {
+    ) -> Result<CommandResult, ErrorDescriptor> {
         let context = match context {
             Context::Choose => self.text.new_context(link),
             Context::Id(context) => context,
             Context::Null | Context::All => {
-                return no(code::UNKNOWN_CONTEXT, "a call has a context of its own")
+                return reject(code::UNKNOWN_CONTEXT, "a call has a context of its own")
             }
         };
         if let Some(job) = self.text.jobs.get_mut(&(link, id)) {
             job.context = Context::Id(context);
         }
-        Ok(Done::Replied(command.termination.replace('$', &context.to_string()), Vec::new()))
+        Ok(CommandResult::Done(command.termination.replace('$', &context.to_string()), Vec::new()))
     }
 
-    /// Sets a call up: its reply waits for the final answer.
+    /// Sets up a call; the command is pending until the final answer.
     fn add(
         &mut self,
         now: Micros,
@@ -338,37 +361,38 @@
         context: Context,
         command: &Command,
         out: &mut Vec<SessionOutput>,
-    ) -> Result<Done, ErrorDescriptor> {
-        if self.text.clients.get(&link).is_some_and(|client| client.leaving) {
-            return no(code::INSUFFICIENT_RESOURCES, "the client leaves");
+    ) -> Result<CommandResult, ErrorDescriptor> {
+        if self.text.clients.get(&link).is_some_and(|client| client.draining) {
+            return reject(code::INSUFFICIENT_RESOURCES, "the client leaves");
         }
         let context = match context {
             Context::Choose => self.text.new_context(link),
-            // Chosen by an earlier command of the same action.
+            // The context was created by an earlier command of the same action.
             Context::Id(context)
-                if self.text.jobs.get(&(link, id)).is_some_and(|job| chose(job, context)) =>
+                if self.text.jobs.get(&(link, id)).is_some_and(|job| is_current_context(job, context)) =>
             {
                 context
             }
             Context::Id(context) if self.text.contexts.contains_key(&(link, context)) => {
-                return no(code::INSUFFICIENT_RESOURCES, "the context has its call");
+                return reject(code::INSUFFICIENT_RESOURCES, "the context has its call");
             }
-            _ => return no(code::UNKNOWN_CONTEXT, "calls are set up in a context that is chosen"),
+            _ => return reject(code::UNKNOWN_CONTEXT, "calls are set up in a context that is chosen"),
         };
-        let (offer, patience) = self
+        let (offer, caller_timeout) = self
             .offer(link, context, command)
             .map_err(|fault| ErrorDescriptor::new(code::UNKNOWN_VALUE, fault.text))?;
-        self.text.waiting.insert(offer.request, (link, id));
+        self.text.pending_requests.insert(offer.request, (link, id));
         if let Some(job) = self.text.jobs.get_mut(&(link, id)) {
-            job.wanted_until = job.wanted_until.max(now.saturating_add(patience));
+            job.caller_deadline = job.caller_deadline.max(now.saturating_add(caller_timeout));
         }
-        let entry = Entry { session: offer.session.clone(), since: now, stands: false };
-        self.text.contexts.insert((link, context), entry);
-        self.engine(now, Input::Offered(offer), out);
-        Ok(Done::Waits(context))
+        let call = TextCall { session: offer.session.clone(), since: now, established: false };
+        self.text.contexts.insert((link, context), call);
+        self.run_engine(now, Input::Offered(offer), out);
+        Ok(CommandResult::Pending(context))
     }
 
-    /// The call of an Add, by the same table as a CCR: what it says is said as one; and when its caller gives up.
+    /// The offer for an Add, and its caller timeout in microseconds. The command is converted to a CCR, so
+    /// that both protocols are classified alike.
     fn offer(
         &mut self,
         link: LinkId,
@@ -379,11 +403,11 @@
             return Err(Fault::new(0, "no such client"));
         };
         let get = |name| property(command, name);
-        let session = format!("{};{};{context}", client.mid, self.boot);
+        let session = format!("{};{};{context}", client.mid, self.identity);
         let ends = Endpoints {
             origin_host: &self.host,
             origin_realm: &client.realm,
-            destination_realm: get("bdc/realm").unwrap_or(self.table.first_realm()),
+            destination_realm: get("bdc/realm").unwrap_or(self.classifier.first_realm()),
             destination_host: get("bdc/srv"),
         };
         let service = get("bdc/ctx").unwrap_or("");
@@ -397,38 +421,46 @@
             message.push(Avp::group(dict::SUBSCRIPTION_ID, &inner));
         }
         let ccr = Ccr::read(&message)?;
-        let facts = self.table.facts(&message, &ccr)?;
+        let attributes = self.classifier.classify(&message, &ccr)?;
         let session = Session { owner: client.mid.clone(), id: Arc::from(session) };
         let span = debug_span!("call", session = &*session.id);
-        let patience = facts.gives_up.saturating_sub(self.input_delay());
-        let reserve = if client.exchange.is_reliable() { 0 } else { RESERVE.min(facts.gives_up / 4) };
+        let caller_timeout = attributes.caller_timeout.saturating_sub(self.input_delay());
+        let reserve = if client.exchange.is_reliable() {
+            0
+        } else {
+            DATAGRAM_REPLY_RESERVE.min(attributes.caller_timeout / 4)
+        };
         self.next_ticket += 1;
         let offer = Offer {
             session,
             request: Request { link, ticket: self.next_ticket },
-            class: facts.class,
-            tenant: facts.tenant,
-            number: facts.number,
-            first_choice: facts.first_choice,
-            caller_timeout: patience.saturating_sub(reserve),
+            class: attributes.class,
+            tenant: attributes.tenant,
+            number: attributes.number,
+            first_choice: attributes.first_choice,
+            caller_timeout: caller_timeout.saturating_sub(reserve),
             redial: None,
             was_dropped: false,
-            // Over datagrams a transaction is said again, and looks as it did the first time.
+            // Over datagrams a retransmission cannot be distinguished from the first transmission.
             retransmission: if client.exchange.is_reliable() {
                 Retransmission::First
             } else {
                 Retransmission::Unknown
             },
-            payload: Payload { request: Arc::new(message), name: get("bdc/ref").map(Arc::from), span },
+            payload: Payload {
+                request: Arc::new(message),
+                caller_reference: get("bdc/ref").map(Arc::from),
+                span,
+            },
         };
-        Ok((offer, patience))
+        Ok((offer, caller_timeout))
     }
 
-    fn known(&self, link: LinkId, context: Context) -> Result<(u32, Entry), ErrorDescriptor> {
-        let Context::Id(id) = context else { return no(code::UNKNOWN_CONTEXT, "one context is wanted") };
+    fn find_context(&self, link: LinkId, context: Context) -> Result<(u32, TextCall), ErrorDescriptor> {
+        let Context::Id(id) = context else { return reject(code::UNKNOWN_CONTEXT, "one context is wanted") };
         match self.text.contexts.get(&(link, id)) {
-            Some(entry) => Ok((id, entry.clone())),
-            None => no(code::UNKNOWN_CONTEXT, "no such context"),
+            Some(call) => Ok((id, call.clone())),
+            None => reject(code::UNKNOWN_CONTEXT, "no such context"),
         }
     }
 
@@ -440,20 +472,20 @@
         context: Context,
         command: &Command,
         out: &mut Vec<SessionOutput>,
-    ) -> Result<Done, ErrorDescriptor> {
-        let (context, entry) = self.known(link, context)?;
+    ) -> Result<CommandResult, ErrorDescriptor> {
+        let (context, call) = self.find_context(link, context)?;
         let all = command.termination == "*" || command.termination.eq_ignore_ascii_case("trunk/*");
         if !all && !command.termination.eq_ignore_ascii_case(&format!("trunk/{context}")) {
             if is_trunk(&command.termination) {
-                return no(code::NOT_IN_CONTEXT, "not in this context");
+                return reject(code::NOT_IN_CONTEXT, "not in this context");
             }
-            return Ok(Done::Replied(command.termination.clone(), Vec::new()));
+            return Ok(CommandResult::Done(command.termination.clone(), Vec::new()));
         }
         self.next_ticket += 1;
         let request = Request { link, ticket: self.next_ticket };
-        self.text.waiting.insert(request, (link, id));
-        self.engine(now, Input::Released { session: entry.session, request }, out);
-        Ok(Done::Waits(context))
+        self.text.pending_requests.insert(request, (link, id));
+        self.run_engine(now, Input::Released { session: call.session, request }, out);
+        Ok(CommandResult::Pending(context))
     }
 
     fn audit(
@@ -463,53 +495,58 @@
         id: u32,
         context: Context,
         command: &Command,
-    ) -> Result<Done, ErrorDescriptor> {
+    ) -> Result<CommandResult, ErrorDescriptor> {
         if context == Context::Null && command.termination.eq_ignore_ascii_case("ROOT") {
-            return Ok(Done::Replied(command.termination.clone(), Vec::new()));
+            return Ok(CommandResult::Done(command.termination.clone(), Vec::new()));
         }
         if context != Context::All {
-            let (context, entry) = self.known(link, context)?;
-            return Ok(Done::Replied(format!("trunk/{context}"), vec![statistics(now, &entry)]));
+            let (context, call) = self.find_context(link, context)?;
+            return Ok(CommandResult::Done(format!("trunk/{context}"), vec![statistics(now, &call)]));
         }
-        // All calls of this client, each in its context.
+        // ALL contexts: reports every call of this client in its own context.
         let all = self.text.contexts.range((link, 0)..=(link, u32::MAX));
-        let all: Vec<_> = all.map(|((_, context), entry)| (*context, statistics(now, entry))).collect();
-        let Some(((last, told), before)) = all.split_last() else {
-            return no(code::NO_MATCH, "nothing matches");
+        let all: Vec<_> = all.map(|((_, context), call)| (*context, statistics(now, call))).collect();
+        let Some(((last, statistics), before)) = all.split_last() else {
+            return reject(code::NO_MATCH, "nothing matches");
         };
         if let Some(job) = self.text.jobs.get_mut(&(link, id)) {
-            for (context, told) in before {
+            for (context, statistics) in before {
                 job.context = Context::Id(*context);
-                job.put(command.kind, &format!("trunk/{context}"), vec![told.clone()]);
+                job.push_reply(command.kind, &format!("trunk/{context}"), vec![statistics.clone()]);
                 job.replies.push(ActionReply { context: Context::Null, replies: Vec::new(), error: None });
             }
             job.context = Context::Id(*last);
         }
-        Ok(Done::Replied(format!("trunk/{last}"), vec![told.clone()]))
+        Ok(CommandResult::Done(format!("trunk/{last}"), vec![statistics.clone()]))
     }
 
-    fn modify(&mut self, link: LinkId, context: Context, command: &Command) -> Result<Done, ErrorDescriptor> {
+    fn modify(
+        &mut self,
+        link: LinkId,
+        context: Context,
+        command: &Command,
+    ) -> Result<CommandResult, ErrorDescriptor> {
         let root = command.termination.eq_ignore_ascii_case("ROOT");
         if !root {
-            self.known(link, context)?;
+            self.find_context(link, context)?;
         }
         for descriptor in &command.descriptors {
             if !descriptor.is("Events", "E") {
-                return no(code::UNKNOWN_DESCRIPTOR, "only events can be asked for");
+                return reject(code::UNKNOWN_DESCRIPTOR, "only events can be asked for");
             }
             for event in descriptor.items() {
-                let known = if root { "ocp/mg_overload" } else { "bdc/cut" };
-                if !event.name.eq_ignore_ascii_case(known) {
-                    return no(code::NO_SUCH_EVENT, "no such event here");
+                let supported = if root { "ocp/mg_overload" } else { "bdc/cut" };
+                if !event.name.eq_ignore_ascii_case(supported) {
+                    return reject(code::NO_SUCH_EVENT, "no such event here");
                 }
             }
             let request = descriptor.text().unwrap_or("1").to_owned();
             if let Some(client) = self.text.clients.get_mut(&link).filter(|_| root) {
-                // An empty list takes back what was asked for.
-                client.overload = (!descriptor.items().is_empty()).then_some(request);
+                // An empty list cancels the subscription.
+                client.overload_request = (!descriptor.items().is_empty()).then_some(request);
             }
         }
-        Ok(Done::Replied(command.termination.clone(), Vec::new()))
+        Ok(CommandResult::Done(command.termination.clone(), Vec::new()))
     }
 
     fn service_change(
@@ -519,59 +556,67 @@
         id: u32,
         command: &Command,
         out: &mut Vec<SessionOutput>,
-    ) -> Result<Done, ErrorDescriptor> {
+    ) -> Result<CommandResult, ErrorDescriptor> {
         if !command.termination.eq_ignore_ascii_case("ROOT") {
-            return no(code::NOT_IMPLEMENTED, "a client registers as a whole");
+            return reject(code::NOT_IMPLEMENTED, "a client registers as a whole");
         }
         let services = command.descriptors.iter().find(|item| item.is("Services", "SV"));
         let method =
             services.and_then(|services| services.find("Method", "MT")).and_then(Item::text).unwrap_or("");
         let is =
             |long: &str, short: &str| method.eq_ignore_ascii_case(long) || method.eq_ignore_ascii_case(short);
-        let Some(client) = self.text.clients.get_mut(&link) else { return no(code::INTERNAL, "gone") };
+        let Some(client) = self.text.clients.get_mut(&link) else { return reject(code::INTERNAL, "gone") };
         let owner = client.mid.clone();
-        let restarted = is("Restart", "RS");
+        let restarts = is("Restart", "RS");
         let leaves = is("Forced", "FO");
         if is("Graceful", "GR") {
-            // Without a delay its calls end when they end (RFC 3525, section 7.2.8).
+            // Without a delay, its calls continue until they end (RFC 3525, section 7.2.8).
             let delay = services.and_then(|services| services.find("Delay", "DL")).and_then(Item::text);
             let delay =
                 delay.and_then(|seconds| seconds.parse::<Micros>().ok()).filter(|seconds| *seconds > 0);
-            client.leaving = true;
-            client.leaves_at = delay.map(|seconds| now.saturating_add(seconds.saturating_mul(1_000_000)));
-        } else if restarted || leaves {
-            (client.registered, client.leaving, client.leaves_at) = (!leaves, false, None);
-            client.overload = None;
-            // Its ids start anew: an old reply must not answer a new request.
+            client.draining = true;
+            client.drain_deadline =
+                delay.map(|seconds| now.saturating_add(seconds.saturating_mul(1_000_000)));
+        } else if restarts || leaves {
+            (client.registered, client.draining, client.drain_deadline) = (!leaves, false, None);
+            client.overload_request = None;
+            // Its transaction ids start over: a cached reply must not answer a new request.
             client.exchange.peer_restarted(id);
             let job = self.text.jobs.remove(&(link, id));
-            self.text.forget_work(link);
+            self.text.discard_work(link);
             self.text.jobs.extend(job.map(|job| ((link, id), job)));
-            self.engine(now, Input::ClientUp { link, owner, restarted: true }, out);
+            self.run_engine(now, Input::ClientUp { link, owner, restarted: true }, out);
         } else if is("Disconnected", "DC") || is("Handoff", "HO") || is("Failover", "FL") {
-            (client.registered, client.leaving, client.leaves_at) = (true, false, None);
-            self.engine(now, Input::ClientUp { link, owner, restarted: false }, out);
+            (client.registered, client.draining, client.drain_deadline) = (true, false, None);
+            self.run_engine(now, Input::ClientUp { link, owner, restarted: false }, out);
         } else {
-            return no(code::UNKNOWN_VALUE, "no such method of ServiceChange");
+            return reject(code::UNKNOWN_VALUE, "no such method of ServiceChange");
         }
-        Ok(Done::Replied("ROOT".into(), Vec::new()))
+        Ok(CommandResult::Done("ROOT".into(), Vec::new()))
     }
 
-    /// The engine has answered a command that waited.
-    fn told(&mut self, now: Micros, link: LinkId, id: u32, told: Told, out: &mut Vec<SessionOutput>) {
-        let waits = self.text.jobs.get_mut(&(link, id)).and_then(|job| job.waits.take());
-        let Some((command, context)) = waits else { return };
+    /// Completes a pending command with the reply of the engine.
+    fn complete_command(
+        &mut self,
+        now: Micros,
+        link: LinkId,
+        id: u32,
+        reply: EngineReply,
+        out: &mut Vec<SessionOutput>,
+    ) {
+        let pending = self.text.jobs.get_mut(&(link, id)).and_then(|job| job.pending.take());
+        let Some((command, context)) = pending else { return };
         let termination = format!("trunk/{context}");
         let key = (link, context);
         let mut refused = false;
-        let result = match told {
-            Told::Answer(Final::Established) => {
-                if let Some(entry) = self.text.contexts.get_mut(&key) {
-                    (entry.stands, entry.since) = (true, now);
+        let result = match reply {
+            EngineReply::Answer(Final::Established) => {
+                if let Some(call) = self.text.contexts.get_mut(&key) {
+                    (call.established, call.since) = (true, now);
                 }
                 Ok(Vec::new())
             }
-            Told::Answer(Final::Refused { retry_after, .. }) => {
+            EngineReply::Answer(Final::Refused { retry_after, .. }) => {
                 refused = true;
                 self.text.contexts.remove(&key);
                 let advice = match retry_after {
@@ -580,22 +625,22 @@
                 };
                 Err(ErrorDescriptor::new(code::INSUFFICIENT_RESOURCES, advice))
             }
-            Told::Answer(Final::Failed) => {
+            EngineReply::Answer(Final::Failed) => {
                 self.text.contexts.remove(&key);
                 Err(ErrorDescriptor::new(code::INTERNAL, "failed"))
             }
-            Told::Released(ReleaseResult::Done) => {
-                let entry = self.text.contexts.remove(&key);
-                Ok(entry.map(|entry| statistics(now, &entry)).into_iter().collect())
+            EngineReply::Released(ReleaseResult::Done) => {
+                let call = self.text.contexts.remove(&key);
+                Ok(call.map(|call| statistics(now, &call)).into_iter().collect())
             }
-            Told::Released(ReleaseResult::Unknown) => {
+            EngineReply::Released(ReleaseResult::Unknown) => {
                 self.text.contexts.remove(&key);
                 Err(ErrorDescriptor::new(code::UNKNOWN_TERMINATION, "the call is over"))
             }
         };
         if let Some(job) = self.text.jobs.get_mut(&(link, id)) {
             match result {
-                Ok(descriptors) => job.put(command.kind, &termination, descriptors),
+                Ok(descriptors) => job.push_reply(command.kind, &termination, descriptors),
                 Err(error) => job.fail(&command, error),
             }
         }
@@ -606,13 +651,20 @@
         }
     }
 
-    fn notify_cut(&mut self, now: Micros, link: LinkId, session: &Session, out: &mut Vec<SessionOutput>) {
-        let Some(context) = self.text.context_of(link, session) else { return };
+    fn notify_call_cut(
+        &mut self,
+        now: Micros,
+        link: LinkId,
+        session: &Session,
+        out: &mut Vec<SessionOutput>,
+    ) {
+        let Some(context) = self.text.context_for_session(link, session) else { return };
         self.text.contexts.remove(&(link, context));
         self.notify(now, link, Context::Id(context), &format!("trunk/{context}"), "1", "bdc/cut", out);
     }
 
-    #[allow(clippy::too_many_arguments)] // A notification has as many parts.
+    /// Sends a Notify command with one observed event.
+    #[allow(clippy::too_many_arguments)] // One for each part of a notification.
     fn notify(
         &mut self,
         now: Micros,
@@ -637,23 +689,24 @@
             let body = Body::Transactions(vec![Transaction::Request { id, actions: vec![action] }]);
             Message { version: 1, mid, body }.write(Style::Compact)
         };
-        let mut dos = Vec::new();
+        let mut exchange_actions = Vec::new();
         if let Some(client) = self.text.clients.get_mut(&link) {
-            client.exchange.send(now, text, &mut dos);
+            client.exchange.send(now, text, &mut exchange_actions);
         }
-        dos.into_iter().for_each(|what| self.text_do(now, link, what, out));
+        exchange_actions.into_iter().for_each(|action| self.apply_exchange_action(now, link, action, out));
     }
 }
 
-/// Whether a context was chosen by this transaction's own action, and has no call yet.
-fn chose(job: &Job, context: u32) -> bool {
+/// Whether the current action is in this context and has completed a command, such as one that created the
+/// context.
+fn is_current_context(job: &Job, context: u32) -> bool {
     job.replies
         .last()
         .is_some_and(|action| action.context == Context::Id(context) && !action.replies.is_empty())
 }
 
-/// How long a call has stood, ms.
-fn statistics(now: Micros, entry: &Entry) -> Item {
-    let ms = if entry.stands { now.saturating_sub(entry.since) / 1_000 } else { 0 };
+/// Statistics of a call: the time since it was established, in milliseconds.
+fn statistics(now: Micros, call: &TextCall) -> Item {
+    let ms = if call.established { now.saturating_sub(call.since) / 1_000 } else { 0 };
     Item::new("Statistics").grouping(vec![Item::new("bdc/dur").with(ms.to_string())])
 }
--- a/crates/desk/src/lib.rs
+++ b/crates/desk/src/lib.rs
@@ -1,12 +1,13 @@
-//! The session layer: maps Diameter requests, H.248 text commands and trunk circuits to calls of the engine and
-//! back, without I/O.
+//! The session layer: maps Diameter requests, H.248 text commands and trunk circuits to calls of the engine
+//! and back, without I/O.
 //!
-//! It decides which request belongs to which call, which answer ends which attempt, what each Result-Code means and
-//! which peers may connect.
+//! It decides which request belongs to which call, which answer ends which attempt, what each Result-Code
+//! means and which peers may connect.
 //!
 //! [`SessionLayer`] owns the [`baydrift_call::Engine`]. A driver passes it messages whose base protocol a
-//! [`baydrift_diameter::Peer`] has checked, and sends the resulting outputs. [`Admission`] counts connections before
-//! and after their capabilities exchange. [`OutstandingRequests`] maps the answers on one server link to attempts.
+//! [`baydrift_diameter::Peer`] has checked, and sends the resulting outputs. [`Admission`] counts connections
+//! before and after their capabilities exchange. [`OutstandingRequests`] maps the answers on one server link
+//! to attempts.
 
 mod admission;
 mod classification;
--- a/crates/desk/src/links.rs
+++ b/crates/desk/src/links.rs
@@ -1,6 +1,7 @@
-//! A link's two machines in one, without I/O: the Diameter peer, and what its messages mean to the desk.
+//! Diameter links of clients and servers, without I/O: the peer state machine, and the conversion of its
+//! outputs to inputs of the session layer.
 //!
-//! Whoever drives a front, on sockets or in virtual time, owns the transports and carries out [`LinkOutput`]s.
+//! The driver of a front, on sockets or in virtual time, owns the transports and carries out [`LinkOutput`]s.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -13,9 +14,9 @@
 
 use crate::outstanding::{OutstandingRequests, RequestKind};
 use crate::session_layer::SessionInput;
-use crate::stall_monitor::STALLED;
+use crate::stall_monitor::STALL_THRESHOLD;
 
-/// What a front says of itself to its peers. `state_id` is its Origin-State-Id.
+/// Identity and capabilities of this front towards its Diameter peers. `state_id` is its Origin-State-Id.
 pub fn local_capabilities(config: &Config, address: IpAddr, state_id: u32) -> Arc<Local> {
     Arc::new(Local {
         host: config.host.clone(),
@@ -29,102 +30,104 @@
     })
 }
 
-/// Requests to one server without their answer; beyond it the oldest's answer counts as unasked.
-const TRANSIT: usize = 65_536;
+/// Requests to one server that await an answer. Beyond this the oldest is dropped, and its answer ignored.
+const MAX_OUTSTANDING: usize = 65_536;
 
-/// What a link wants done.
+/// An action for the driver of a link.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LinkOutput {
-    /// Open a transport.
+    /// Open a transport connection.
     Connect,
-    /// Send on a transport.
+    /// Send a message on a transport connection.
     Send(Side, Message),
-    /// Close a transport once what was sent is out.
+    /// Close a transport connection after sending what is queued.
     Close(Side, Reason),
-    /// Tell the desk.
+    /// Pass an input to the session layer.
     Session(SessionInput),
-    /// The link is down: whatever transport or attempt to connect is left is of no use.
+    /// The link is down: discard any transport connection or connection attempt.
     Down,
-    /// A message was turned down with this Result-Code.
+    /// A message was rejected with this Result-Code.
     Refused(u32),
 }
 
-/// What becomes of a request to a server.
+/// What to do with a request to a server.
 #[derive(Debug, Clone, PartialEq)]
 pub enum SendDecision {
-    /// Send it on this transport.
+    /// Send it on this transport connection.
     Send(Side, Message),
-    /// There is no transport: the desk hears of that by itself.
+    /// Drop it: there is no transport connection. The session layer learns this from
+    /// [`SessionInput::ServerDown`].
     NoTransport,
-    /// It is too old to go out; tell the desk.
+    /// Drop the expired request and pass this input to the session layer.
     Expired(SessionInput),
 }
 
-/// One server's link.
+/// The link to a server.
 #[derive(Debug)]
 pub struct ServerLink {
     id: ServerId,
     peer: Peer,
-    transit: OutstandingRequests,
+    outstanding: OutstandingRequests,
     state_id: Option<u32>,
-    seen: Vec<PeerOutput>,
+    peer_outputs: Vec<PeerOutput>,
 }
 
 impl ServerLink {
-    /// A link that is down; `end_to_end` as for [`Peer::new`].
+    /// Creates a link that is down; `end_to_end` as for [`Peer::new`].
     pub fn new(server: &Server, local: Arc<Local>, watchdog: Micros, end_to_end: u32, seed: u64) -> Self {
         let expect = Some((server.host.clone(), server.realm.clone()));
         Self {
             id: u64::from(server.number),
             peer: Peer::new(local, expect, watchdog, end_to_end, seed),
-            transit: OutstandingRequests::new(TRANSIT),
+            outstanding: OutstandingRequests::new(MAX_OUTSTANDING),
             state_id: None,
-            seen: Vec::new(),
+            peer_outputs: Vec::new(),
         }
     }
 
-    /// The server.
+    /// Id of the server.
     pub fn id(&self) -> ServerId {
         self.id
     }
 
-    /// When [`PeerInput::Tick`] is wanted.
+    /// When [`PeerInput::Tick`] is due next.
     pub fn due(&self) -> Micros {
         self.peer.due()
     }
 
-    /// Side of the open transport.
+    /// Side of the open transport connection.
     pub fn side(&self) -> Option<Side> {
         self.peer.side()
     }
 
-    /// A request for an attempt, said by the desk at `said_at`, with its ids.
+    /// Prepares a request that the session layer issued at `issued_at`: assigns its ids and records it as
+    /// outstanding.
     ///
-    /// Guards against a process that stood still while a set-up lay between the desk and its link: on waking it would go
-    /// out seconds late, to a server that may drain by then, for a caller that may have left.
+    /// A set-up that was queued while the process was stalled expires. It would otherwise be sent seconds
+    /// late, to a server that may be draining, for a caller that may have disconnected.
     pub fn request(
         &mut self,
         now: Micros,
-        said_at: Micros,
+        issued_at: Micros,
         (attempt, kind): (AttemptId, RequestKind),
         mut message: Message,
     ) -> SendDecision {
         let Some(side) = self.peer.side() else { return SendDecision::NoTransport };
-        if kind == RequestKind::SetUp && now > said_at.saturating_add(STALLED) {
+        if kind == RequestKind::SetUp && now > issued_at.saturating_add(STALL_THRESHOLD) {
             return SendDecision::Expired(SessionInput::SetUpNotSent(attempt));
         }
         let hop_by_hop = self.peer.assign_ids(&mut message);
-        self.transit.sent(hop_by_hop, attempt, kind);
+        self.outstanding.sent(hop_by_hop, attempt, kind);
         SendDecision::Send(side, message)
     }
 
-    /// Takes one input; appends what is to be done.
+    /// Handles one input and appends the resulting actions.
     pub fn handle(&mut self, now: Micros, input: PeerInput, out: &mut Vec<LinkOutput>) {
-        let mut seen = std::mem::take(&mut self.seen);
-        seen.clear();
-        self.peer.handle(now, input, &mut seen);
+        let mut peer_outputs = std::mem::take(&mut self.peer_outputs);
+        peer_outputs.clear();
+        self.peer.handle(now, input, &mut peer_outputs);
         let server = self.id;
-        for output in seen.drain(..) {
+        for output in peer_outputs.drain(..) {
             match output {
                 PeerOutput::Connect => out.push(LinkOutput::Connect),
                 PeerOutput::Send(side, message) => out.push(LinkOutput::Send(side, message)),
@@ -143,7 +146,7 @@
                     out.push(LinkOutput::Session(SessionInput::ServerDraining(server)))
                 }
                 PeerOutput::Down(_) => {
-                    self.transit.clear();
+                    self.outstanding.clear();
                     out.push(LinkOutput::Down);
                     out.push(LinkOutput::Session(SessionInput::ServerDown(server)));
                 }
@@ -151,7 +154,7 @@
                     out.push(LinkOutput::Session(SessionInput::ServerRequest { server, message }));
                 }
                 PeerOutput::Answer(message) => {
-                    if let Some((attempt, kind)) = self.transit.answered(message.header.hop_by_hop) {
+                    if let Some((attempt, kind)) = self.outstanding.answered(message.header.hop_by_hop) {
                         out.push(LinkOutput::Session(SessionInput::ServerAnswer {
                             server,
                             attempt,
@@ -163,35 +166,35 @@
                 PeerOutput::Refused(code) => out.push(LinkOutput::Refused(code)),
             }
         }
-        self.seen = seen;
+        self.peer_outputs = peer_outputs;
     }
 }
 
-/// One client's link, from its CER on.
+/// The link of a client, from its CER on.
 #[derive(Debug)]
 pub struct ClientLink {
     link: LinkId,
     peer: Peer,
-    seen: Vec<PeerOutput>,
+    peer_outputs: Vec<PeerOutput>,
 }
 
 impl ClientLink {
-    /// A link whose transport was accepted; its CER is to be handed in as [`PeerInput::Accepted`].
+    /// Creates a link on an accepted transport connection; pass its CER as [`PeerInput::Accepted`].
     pub fn new(link: LinkId, local: Arc<Local>, watchdog: Micros, end_to_end: u32, seed: u64) -> Self {
-        Self { link, peer: Peer::new(local, None, watchdog, end_to_end, seed), seen: Vec::new() }
+        Self { link, peer: Peer::new(local, None, watchdog, end_to_end, seed), peer_outputs: Vec::new() }
     }
 
-    /// When [`PeerInput::Tick`] is wanted.
+    /// When [`PeerInput::Tick`] is due next.
     pub fn due(&self) -> Micros {
         self.peer.due()
     }
 
-    /// Whether the transport is in use.
+    /// Whether the transport connection is in use.
     pub fn is_open(&self) -> bool {
         self.peer.side().is_some()
     }
 
-    /// A message for the client: a request gets its ids.
+    /// Prepares a message for the client; a request is assigned its ids.
     pub fn outgoing(&mut self, mut message: Message) -> Message {
         if message.header.flags.request {
             self.peer.assign_ids(&mut message);
@@ -199,12 +202,12 @@
         message
     }
 
-    /// Takes one input; appends what is to be done.
+    /// Handles one input and appends the resulting actions.
     pub fn handle(&mut self, now: Micros, input: PeerInput, out: &mut Vec<LinkOutput>) {
-        let mut seen = std::mem::take(&mut self.seen);
-        seen.clear();
-        self.peer.handle(now, input, &mut seen);
-        for output in seen.drain(..) {
+        let mut peer_outputs = std::mem::take(&mut self.peer_outputs);
+        peer_outputs.clear();
+        self.peer.handle(now, input, &mut peer_outputs);
+        for output in peer_outputs.drain(..) {
             match output {
                 PeerOutput::Send(side, message) => out.push(LinkOutput::Send(side, message)),
                 PeerOutput::Request(message) => {
@@ -213,10 +216,11 @@
                 PeerOutput::Close(side, reason) => out.push(LinkOutput::Close(side, reason)),
                 PeerOutput::Down(_) => out.push(LinkOutput::Down),
                 PeerOutput::Refused(code) => out.push(LinkOutput::Refused(code)),
-                // Answers of clients (to ASR) change nothing; the rest shows in the machine's state.
+                // Answers of clients (to ASR) have no effect; the other outputs show in the state of the
+                // peer.
                 _ => {}
             }
         }
-        self.seen = seen;
+        self.peer_outputs = peer_outputs;
     }
 }
--- a/crates/desk/src/outstanding.rs
+++ b/crates/desk/src/outstanding.rs
@@ -1,65 +1,65 @@
-//! What one server link has sent and not heard of: from hop-by-hop ids back to attempts.
+//! Requests on a server link that await an answer, by hop-by-hop id.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use baydrift_call::AttemptId;
 
-/// What a request asks of a server.
+/// Kind of a request to a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestKind {
-    /// Set a call up.
+    /// Sets up a call.
     SetUp,
-    /// Release it.
+    /// Releases a call.
     Release,
 }
 
-/// Requests without their answer; at the bound the oldest is forgotten, and its answer counts as unasked.
+/// Maps outstanding requests to their attempts. At capacity the oldest is dropped, and its answer is ignored.
 #[derive(Debug)]
 pub struct OutstandingRequests {
-    out: BTreeMap<u32, (AttemptId, RequestKind)>,
+    requests: BTreeMap<u32, (AttemptId, RequestKind)>,
     order: VecDeque<u32>,
-    most: usize,
+    capacity: usize,
 }
 
 impl OutstandingRequests {
-    /// None yet; room for so many.
-    pub fn new(most: usize) -> Self {
-        Self { out: BTreeMap::new(), order: VecDeque::new(), most: most.max(1) }
+    /// Creates an empty map for at most `capacity` requests.
+    pub fn new(capacity: usize) -> Self {
+        Self { requests: BTreeMap::new(), order: VecDeque::new(), capacity: capacity.max(1) }
     }
 
-    /// A request was sent under this hop-by-hop id.
+    /// Records a request that was sent with this hop-by-hop id.
     pub fn sent(&mut self, hop_by_hop: u32, attempt: AttemptId, kind: RequestKind) {
-        while self.order.len() >= self.most {
+        while self.order.len() >= self.capacity {
             if let Some(oldest) = self.order.pop_front() {
-                self.out.remove(&oldest);
+                self.requests.remove(&oldest);
             }
         }
         self.order.push_back(hop_by_hop);
-        self.out.insert(hop_by_hop, (attempt, kind));
+        self.requests.insert(hop_by_hop, (attempt, kind));
     }
 
-    /// What an answer belongs to; each is found once.
+    /// Removes and returns the request that an answer belongs to.
     pub fn answered(&mut self, hop_by_hop: u32) -> Option<(AttemptId, RequestKind)> {
-        let found = self.out.remove(&hop_by_hop);
-        while self.order.front().is_some_and(|id| !self.out.contains_key(id)) {
+        let found = self.requests.remove(&hop_by_hop);
+        while self.order.front().is_some_and(|id| !self.requests.contains_key(id)) {
             self.order.pop_front();
         }
         found
     }
 
-    /// The link is gone, and all answers with it.
+    /// Drops all requests, as when the link goes down.
     pub fn clear(&mut self) {
-        self.out.clear();
+        self.requests.clear();
         self.order.clear();
     }
 
-    /// Requests without their answer.
+    /// Number of outstanding requests.
     pub fn len(&self) -> usize {
-        self.out.len()
+        self.requests.len()
     }
 
-    /// Whether all were answered.
+    /// Whether no request is outstanding.
     pub fn is_empty(&self) -> bool {
-        self.out.is_empty()
+        self.requests.is_empty()
     }
 }
--- a/crates/desk/src/pool.rs
+++ b/crates/desk/src/pool.rs
@@ -1,66 +1,66 @@
-//! The pool list as a list service pushes it: hosts by name, states, and how long ago each started.
+//! The server list pushed by a list service: host names, states, and the age of each process.
 
 use std::collections::BTreeMap;
 
 use baydrift::interface::{Entry, ListKind, Micros, ServerState};
 use baydrift_config::Config;
 
-/// One line of a pushed list.
+/// An entry of a pushed list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PoolEntry {
     /// Origin-Host of a configured server.
     pub host: String,
-    /// Its state.
+    /// State of the server.
     pub state: ServerState,
-    /// How long ago its process started, where that is known.
+    /// How long ago its process started, in microseconds, if known.
     pub started_ago: Option<Micros>,
 }
 
-/// A pushed list.
+/// A pushed server list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PoolList {
-    /// Grows with each list; an older one than the last is not taken.
+    /// Increases with each list; a list is rejected unless it is newer than the last one.
     pub version: u64,
-    /// Whether servers that it lacks are gone.
+    /// Whether servers missing from the list are removed.
     pub full: bool,
-    /// Its lines.
+    /// The entries.
     pub servers: Vec<PoolEntry>,
 }
 
-/// Why a list is not taken; the last good one holds.
+/// Why a list was rejected; the last valid one stays in force.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PoolError {
-    /// A list as new or newer was taken already.
+    /// The list is not newer than the last one applied.
     #[error("version {got} after version {known}: only newer lists are taken")]
     Outdated {
-        /// This list's.
+        /// Version of the rejected list.
         got: u64,
-        /// The last one taken.
+        /// Version of the last list applied.
         known: u64,
     },
-    /// A host that the configuration lacks: where it listens is not known.
+    /// A host that is not configured, so its address is unknown.
     #[error("server {0} is not configured here")]
     Unknown(String),
-    /// One host twice.
+    /// A host occurs twice.
     #[error("server {0} is named twice")]
     Duplicate(String),
 }
 
-/// The configured servers by host, and the last version taken.
+/// The configured servers by host, and the version of the last list applied.
 #[derive(Debug, Clone)]
-pub(crate) struct Roster {
-    numbers: BTreeMap<String, u16>,
+pub(crate) struct ServerPool {
+    server_numbers: BTreeMap<String, u16>,
     version: Option<u64>,
 }
 
-impl Roster {
+impl ServerPool {
     pub(crate) fn new(config: &Config) -> Self {
-        let numbers = config.members().map(|(host, number, _)| (host.to_owned(), number)).collect();
-        Self { numbers, version: None }
+        let server_numbers = config.members().map(|(host, number, _)| (host.to_owned(), number)).collect();
+        Self { server_numbers, version: None }
     }
 
-    /// The configured pool, to start from.
-    pub(crate) fn first(config: &Config) -> Vec<Entry> {
+    /// Entries of the configured servers, in force until the first pushed list.
+    pub(crate) fn initial_entries(config: &Config) -> Vec<Entry> {
         let entry = |(_, number, state): (&str, u16, ServerState)| Entry {
             server: u64::from(number),
             number,
@@ -70,21 +70,26 @@
         config.members().map(entry).collect()
     }
 
-    /// A pushed list as entries; all of it or nothing.
-    pub(crate) fn take(&mut self, now: Micros, list: &PoolList) -> Result<(ListKind, Vec<Entry>), PoolError> {
+    /// Converts a pushed list to entries and records its version; a list with any invalid entry is rejected
+    /// whole.
+    pub(crate) fn apply(
+        &mut self,
+        now: Micros,
+        list: &PoolList,
+    ) -> Result<(ListKind, Vec<Entry>), PoolError> {
         if let Some(known) = self.version.filter(|known| list.version <= *known) {
             return Err(PoolError::Outdated { got: list.version, known });
         }
         let mut entries: Vec<Entry> = Vec::new();
-        for line in &list.servers {
-            let Some(number) = self.numbers.get(&line.host).copied() else {
-                return Err(PoolError::Unknown(line.host.clone()));
+        for item in &list.servers {
+            let Some(number) = self.server_numbers.get(&item.host).copied() else {
+                return Err(PoolError::Unknown(item.host.clone()));
             };
             if entries.iter().any(|entry| entry.number == number) {
-                return Err(PoolError::Duplicate(line.host.clone()));
+                return Err(PoolError::Duplicate(item.host.clone()));
             }
-            let started_at = line.started_ago.map(|ago| now.saturating_sub(ago));
-            entries.push(Entry { server: u64::from(number), number, state: line.state, started_at });
+            let started_at = item.started_ago.map(|ago| now.saturating_sub(ago));
+            entries.push(Entry { server: u64::from(number), number, state: item.state, started_at });
         }
         self.version = Some(list.version);
         Ok((if list.full { ListKind::Full } else { ListKind::Delta }, entries))
--- a/crates/desk/src/result_codes.rs
+++ b/crates/desk/src/result_codes.rs
@@ -1,12 +1,12 @@
-//! What Result-Codes mean to the module, and what its answers are on the wire. `docs/operate/results.md` has
-//! both as tables.
+//! Mapping of Result-Codes to outcomes of attempts, and of final answers to Result-Codes and causes. See the
+//! tables in `docs/operate/results.md`.
 
 use baydrift::interface::{Note, Outcome};
 use baydrift_call::{AttemptEnd, Final};
 use baydrift_diameter::{load, result, Message};
 use baydrift_trunk::route::cause;
 
-/// How a set-up ended by its answer; `None` when it stands.
+/// The end of an attempt by the answer to its set-up; `None` if it is established.
 pub fn attempt_end(answer: &Message) -> Option<AttemptEnd> {
     let report = load::read(answer);
     let wait = report.wait_s.map_or(0, |s| (s * 1e6) as u64);
@@ -15,7 +15,7 @@
         result::TOO_BUSY => (Outcome::Full, Note::ProcessorFull(wait)),
         result::RESOURCES_EXCEEDED => (Outcome::Full, Note::NoLine),
         result::END_USER_SERVICE_DENIED => (Outcome::Error, Note::NumberBusy),
-        // An agent on the way could not hand it on: it never ran.
+        // An agent on the path could not deliver it, so it never ran.
         result::UNABLE_TO_DELIVER | result::REALM_NOT_SERVED => (Outcome::Moot, Note::None),
         _ => (Outcome::Error, Note::None),
     };
@@ -31,7 +31,7 @@
     }
 }
 
-/// The cause value with which a far end's call is released by its final answer; `None` when it stands.
+/// The cause value with which the final answer releases an incoming trunk call; `None` if it is established.
 pub fn release_cause(answer: Final) -> Option<u8> {
     match answer {
         Final::Established => None,
--- a/crates/desk/src/session_layer.rs
+++ b/crates/desk/src/session_layer.rs
@@ -1,4 +1,5 @@
-//! The desk: messages in, messages out, the engine between them.
+//! The session layer: passes messages of clients, servers, trunks and fronts to the engine and sends its
+//! outputs.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -23,22 +24,22 @@
 use crate::admission::AdmittedClient;
 use crate::classification::{number_of, CallClassifier};
 use crate::outstanding::RequestKind;
-use crate::pool::{PoolError, PoolList, Roster};
+use crate::pool::{PoolError, PoolList, ServerPool};
 use crate::process_identity::ProcessIdentity;
 use crate::result_codes::{attempt_end, release_cause, result_code};
-use crate::text::{Step, Text, Told};
-use crate::trunk::{News, Offered, TrunkGroupView, TrunkSide};
+use crate::text::{EngineReply, Step, TextState};
+use crate::trunk::{IncomingCall, TrunkEvent, TrunkGroupView, TrunkSide};
 
-/// Longest number of an IAM.
-const DIGITS_MAX: usize = 32;
-/// Longest user-to-user information (Q.763, 3.60).
-const REFERENCE_MAX: usize = 129;
+/// Most digits of a number in an IAM.
+const MAX_NUMBER_DIGITS: usize = 32;
+/// Longest user-to-user information in bytes (Q.763, section 3.60).
+const MAX_REFERENCE_BYTES: usize = 129;
 
-/// Room that is made for what a caller's CCR adds to a set-up.
-const USUAL: usize = 24;
+/// AVPs for which a CCR reserves room; a set-up adds those of the caller's CCR.
+const TYPICAL_AVP_COUNT: usize = 24;
 
-/// AVPs of a caller's CCR that do not go on to the server: they belong to one hop or one session.
-const OF_ONE_HOP: [u32; 14] = [
+/// AVPs of a caller's CCR that are not forwarded to the server: they belong to one hop or one session.
+const HOP_SPECIFIC_AVPS: [u32; 14] = [
     dict::SESSION_ID,
     dict::ORIGIN_HOST,
     dict::ORIGIN_REALM,
@@ -55,121 +56,121 @@
     dict::INBAND_SECURITY_ID,
 ];
 
-/// What happened.
+/// An event for the session layer.
 #[derive(Debug, Clone, PartialEq)]
 pub enum SessionInput {
-    /// A client's capabilities were exchanged.
+    /// A client completed its capabilities exchange.
     ClientUp {
-        /// Its link.
+        /// The link of the client.
         link: LinkId,
-        /// Who it is.
+        /// The client.
         client: AdmittedClient,
     },
-    /// A client's link is gone.
+    /// The link of a client is down.
     ClientDown(LinkId),
-    /// A client's request of the application.
+    /// An application request from a client.
     ClientRequest {
-        /// Its link.
+        /// The link of the client.
         link: LinkId,
         /// The request.
         message: Message,
     },
-    /// A server's link may be used.
+    /// The link to a server is usable.
     ServerUp {
         /// The server.
         server: ServerId,
         /// Its Origin-State-Id.
         state_id: Option<u32>,
     },
-    /// A server's watchdog is unanswered.
+    /// A server did not answer a watchdog request.
     ServerSuspect(ServerId),
-    /// A server's link is gone.
+    /// The link to a server is down.
     ServerDown(ServerId),
-    /// A server said that it leaves.
+    /// A server announced that it drains.
     ServerDraining(ServerId),
-    /// A set-up that a link did not send: it had lain there while the process stood still.
+    /// A set-up expired in the queue of its link while the process was stalled and was not sent.
     SetUpNotSent(AttemptId),
     /// A server answered a request.
     ServerAnswer {
         /// The server.
         server: ServerId,
-        /// Of which attempt.
+        /// The attempt that the request belonged to.
         attempt: AttemptId,
-        /// Which request.
+        /// Kind of the request.
         kind: RequestKind,
         /// The answer.
         message: Message,
     },
-    /// A server's request of the application.
+    /// An application request from a server.
     ServerRequest {
         /// The server.
         server: ServerId,
         /// The request.
         message: Message,
     },
-    /// A datagram or packet of H.248 text.
+    /// An H.248 text message.
     Text {
-        /// The address it came from, or its connection.
+        /// The source address or the connection.
         link: LinkId,
-        /// Whether the transport loses nothing.
+        /// Whether the transport is reliable.
         reliable: bool,
         /// The text.
         bytes: Vec<u8>,
     },
-    /// A connection of text commands is gone.
+    /// A connection of H.248 text closed.
     TextClosed(LinkId),
-    /// The signalling link to a far end, by its point code, may be used.
+    /// The signalling link to the far end with this point code is usable.
     TrunkUp(u32),
-    /// It is gone.
+    /// The signalling link to the far end with this point code is down.
     TrunkDown(u32),
-    /// A packet came by it.
+    /// A packet from a far end.
     TrunkPacket(Data),
     /// A message from another front.
     PeerMessage {
-        /// Its ordinal.
+        /// Ordinal of the sender.
         from: u32,
-        /// What it said.
+        /// The message.
         payload: Vec<u8>,
     },
-    /// Time has passed.
+    /// Timers may be due.
     Tick,
-    /// The front stops: what is undecided is answered, nothing new is taken.
+    /// The front stops: calls in set-up are answered and new ones are refused.
     Stop,
-    /// The front cannot wait for its standing calls any longer.
+    /// The drain grace is over: the remaining established calls are cut.
     CutAll,
 }
 
-/// What is to be sent.
+/// A message that the driver sends.
 #[derive(Debug, Clone, PartialEq)]
 pub enum SessionOutput {
-    /// To a client.
+    /// A message to a client.
     ToClient {
-        /// Its link.
+        /// The link of the client.
         link: LinkId,
-        /// The message; a request still wants its hop-by-hop id.
+        /// The message; the link assigns the ids of a request.
         message: Message,
     },
     /// A request to a server.
     ToServer {
         /// The server.
         server: ServerId,
-        /// For which attempt.
+        /// The attempt that the request belongs to.
         attempt: AttemptId,
-        /// Which request.
+        /// Kind of the request.
         kind: RequestKind,
-        /// The message; it still wants its hop-by-hop id.
+        /// The message; the link assigns its ids.
         message: Message,
-        /// When it was said.
+        /// When the request was issued.
         at: Micros,
     },
     /// H.248 text to a client.
     Text {
-        /// Its address or connection.
+        /// The address or connection of the client.
         link: LinkId,
         /// The text.
         text: Arc<str>,
     },
-    /// A packet to the far end whose point code it names.
+    /// A packet to the far end that its destination point code names.
     ToFarEnd(Data),
     /// An answer to a server's request.
     Reply {
@@ -178,36 +179,36 @@
         /// The answer.
         message: Message,
     },
-    /// To another front.
+    /// A message to another front.
     ToFront {
-        /// Its ordinal.
+        /// Ordinal of the receiver.
         to: u32,
-        /// What to say.
+        /// The message.
         payload: Vec<u8>,
     },
 }
 
-/// What the desk holds, for logs and tests.
+/// Numbers of objects that the session layer holds, for logs and tests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Held {
-    /// Calls, in set-up or standing.
+    /// Calls, in set-up or established.
     pub calls: usize,
-    /// Of them, without their answer.
+    /// Calls without their final answer.
     pub in_set_up: usize,
-    /// Attempts to be released.
+    /// Detached attempts that await their release.
     pub orphans: usize,
-    /// Requests that wait for an answer.
+    /// Client requests that await an answer.
     pub tickets: usize,
-    /// Answers remembered.
+    /// Cached final answers.
     pub remembered: usize,
 }
 
-/// What goes with a call until its answer.
+/// Data kept with a call until its final answer.
 #[derive(Debug, Clone)]
 pub(crate) struct Payload {
     pub(crate) request: Arc<Message>,
-    /// The caller's own name for the call, where its session is not one that it chose.
-    pub(crate) name: Option<Arc<str>>,
+    /// The caller's reference for the call, if its session id was not chosen by the caller.
+    pub(crate) caller_reference: Option<Arc<str>>,
     pub(crate) span: Span,
 }
 
@@ -224,94 +225,97 @@
     owner: Arc<str>,
 }
 
-/// A server, and what every request to it says: made once, since building messages is most of a call's cost.
+/// A server, with the destination AVPs of every request to it. They are built once, because building messages
+/// is most of the cost of a call.
 #[derive(Debug)]
-struct Far {
+struct Destination {
     host: String,
-    to: [Avp; 2],
+    avps: [Avp; 2],
 }
 
-/// AVPs that are the same in all requests to servers.
+/// AVPs that are the same in all requests to servers, built once.
 #[derive(Debug)]
-struct Fixed {
+struct ConstantAvps {
     application: Avp,
     initial: [Avp; 2],
     termination: [Avp; 3],
     features: Avp,
 }
 
-impl Fixed {
+impl ConstantAvps {
     fn new() -> Self {
         let kind = |kind: RequestType, number| {
             [Avp::u32(dict::CC_REQUEST_TYPE, kind.value()), Avp::u32(dict::CC_REQUEST_NUMBER, number)]
         };
-        let [ends, number] = kind(RequestType::Termination, 1);
+        let [request_type, number] = kind(RequestType::Termination, 1);
         Self {
             application: Avp::u32(dict::AUTH_APPLICATION_ID, credit::APPLICATION),
             initial: kind(RequestType::Initial, 0),
-            // DIAMETER_LOGOUT (RFC 6733, section 8.15): the caller or this front is done with it.
-            termination: [ends, number, Avp::u32(dict::TERMINATION_CAUSE, 1)],
+            // 1 is DIAMETER_LOGOUT (RFC 6733, section 8.15): the caller or this front ended the session.
+            termination: [request_type, number, Avp::u32(dict::TERMINATION_CAUSE, 1)],
             features: Avp::group(dict::OC_SUPPORTED_FEATURES, &[Avp::u64(dict::OC_FEATURE_VECTOR, 1)]),
         }
     }
 }
 
-/// See the crate's page.
+/// Maps the messages of all protocols to calls of the engine, and its outputs to messages. See the crate
+/// documentation.
 #[derive(Debug)]
 pub struct SessionLayer {
     pub(crate) host: String,
     realm: String,
-    pub(crate) boot: ProcessIdentity,
-    /// What its Session-Ids begin with.
-    process: String,
-    pub(crate) table: CallClassifier,
-    pub(crate) text: Text,
+    pub(crate) identity: ProcessIdentity,
+    /// Prefix of the Session-Ids towards servers.
+    session_prefix: String,
+    pub(crate) classifier: CallClassifier,
+    pub(crate) text: TextState,
     trunk: TrunkSide,
-    roster: Roster,
+    pool: ServerPool,
     /// Origin-Host and Origin-Realm of this front.
     origin: [Avp; 2],
     /// Service-Context-Id of each class.
-    contexts: Vec<Avp>,
-    servers: BTreeMap<ServerId, Far>,
-    fixed: Fixed,
+    service_contexts: Vec<Avp>,
+    servers: BTreeMap<ServerId, Destination>,
+    constant_avps: ConstantAvps,
     engine: Engine<Payload>,
     clients: BTreeMap<LinkId, ClientLink>,
-    tickets: BTreeMap<Request, (Arc<Message>, Span)>,
+    pending_requests: BTreeMap<Request, (Arc<Message>, Span)>,
     pub(crate) next_ticket: u64,
-    /// Origin-State-Ids by host; only configured hosts get here.
+    /// Last Origin-State-Id of each host; bounded, since only configured hosts are admitted.
     state_ids: BTreeMap<String, u32>,
     outputs: Vec<Output<Payload>>,
     pub(crate) faults: u64,
 }
 
 impl SessionLayer {
-    /// A desk by a configuration. `boot` tells this process from all others in Session-Ids.
+    /// Creates the session layer of a front. `identity` distinguishes its Session-Ids from those of other
+    /// processes.
     ///
     /// # Errors
-    /// Where the engine cannot be made of the settings.
-    pub fn new(config: &Config, boot: ProcessIdentity, seed: u64) -> Result<Self, EngineError> {
+    /// If the engine rejects the settings.
+    pub fn new(config: &Config, identity: ProcessIdentity, seed: u64) -> Result<Self, EngineError> {
         Ok(Self::with_engine(
             config,
-            boot,
+            identity,
             Engine::new(config.settings.clone(), config.limits.clone(), seed)?,
         ))
     }
 
-    /// A desk with another policy than the module, for comparisons.
+    /// Creates a session layer with another policy than the decision module, for comparisons.
     ///
     /// # Errors
     /// As [`SessionLayer::new`].
     pub fn with_policy(
         config: &Config,
-        boot: ProcessIdentity,
+        identity: ProcessIdentity,
         policy: Box<dyn Policy>,
     ) -> Result<Self, EngineError> {
         let engine = Engine::with_policy(config.settings.clone(), config.limits.clone(), policy)?;
-        Ok(Self::with_engine(config, boot, engine))
+        Ok(Self::with_engine(config, identity, engine))
     }
 
-    fn with_engine(config: &Config, boot: ProcessIdentity, mut engine: Engine<Payload>) -> Self {
-        engine.handle(0, Input::List(ListKind::Full, Roster::first(config)), &mut Vec::new());
+    fn with_engine(config: &Config, identity: ProcessIdentity, mut engine: Engine<Payload>) -> Self {
+        engine.handle(0, Input::List(ListKind::Full, ServerPool::initial_entries(config)), &mut Vec::new());
         if config.pool.is_some() {
             engine.expect_server_list(0);
         }
@@ -322,11 +326,11 @@
                 units: units as u32,
                 fronts,
                 ordinal,
-                incarnation: boot.incarnation,
+                incarnation: identity.incarnation,
             });
         }
         if fleet.is_some_and(|fleet| fleet.lives) {
-            let (incarnation, seed) = (boot.state_id, boot.incarnation);
+            let (incarnation, seed) = (identity.state_id, identity.incarnation);
             engine.enable_membership(baydrift_fleet::LocalFront { ordinal, fronts, incarnation, seed });
         }
         let trunk = TrunkSide::new(config);
@@ -337,35 +341,35 @@
             trunk,
             host: config.host.clone(),
             realm: config.realm.clone(),
-            process: format!("{};{boot}", config.host),
-            boot,
-            table: CallClassifier::new(config),
-            text: Text::new(config, boot.incarnation),
-            roster: Roster::new(config),
+            session_prefix: format!("{};{identity}", config.host),
+            identity,
+            classifier: CallClassifier::new(config),
+            text: TextState::new(config, identity.incarnation),
+            pool: ServerPool::new(config),
             origin: [
                 Avp::text(dict::ORIGIN_HOST, &config.host),
                 Avp::text(dict::ORIGIN_REALM, &config.realm),
             ],
-            contexts: config
+            service_contexts: config
                 .classes
                 .iter()
                 .map(|c| Avp::text(dict::SERVICE_CONTEXT_ID, c.contexts.first().map_or("", String::as_str)))
                 .collect(),
-            fixed: Fixed::new(),
+            constant_avps: ConstantAvps::new(),
             servers: config
                 .servers
                 .iter()
                 .map(|s| {
-                    let to = [
+                    let avps = [
                         Avp::text(dict::DESTINATION_REALM, &s.realm),
                         Avp::text(dict::DESTINATION_HOST, &s.host),
                     ];
-                    (u64::from(s.number), Far { host: s.host.clone(), to })
+                    (u64::from(s.number), Destination { host: s.host.clone(), avps })
                 })
                 .collect(),
             engine,
             clients: BTreeMap::new(),
-            tickets: BTreeMap::new(),
+            pending_requests: BTreeMap::new(),
             next_ticket: 0,
             state_ids: BTreeMap::new(),
             outputs: Vec::new(),
@@ -373,67 +377,73 @@
         }
     }
 
-    /// Takes one input without looking at timers: all that waits is heard before time is let pass
-    /// ([`SessionInput::Tick`]), so that after an own stall drains come before set-ups.
+    /// Handles one input without running timers. The driver passes all queued input before
+    /// [`SessionInput::Tick`], so that after a stall of this process drain announcements take effect before
+    /// set-ups.
     pub fn handle(&mut self, now: Micros, input: SessionInput, out: &mut Vec<SessionOutput>) {
         match input {
             SessionInput::ClientUp { link, client } => self.client_up(now, link, client, out),
             SessionInput::ClientDown(link) => self.client_down(now, link, out),
             SessionInput::ClientRequest { link, message } => self.client_request(now, link, message, out),
             SessionInput::ServerUp { server, state_id } => {
-                let host = self.servers.get(&server).map(|far| far.host.clone()).unwrap_or_default();
+                let host =
+                    self.servers.get(&server).map(|destination| destination.host.clone()).unwrap_or_default();
                 let process = match state_id {
                     None => Process::Unknown,
-                    Some(_) if self.restarted(&host, state_id) => Process::New,
+                    Some(_) if self.record_state_id(&host, state_id) => Process::New,
                     Some(_) => Process::Same,
                 };
-                self.link(now, server, LinkState::Up(process), out);
+                self.set_server_link(now, server, LinkState::Up(process), out);
             }
-            SessionInput::ServerSuspect(server) => self.link(now, server, LinkState::Suspect, out),
-            SessionInput::ServerDown(server) => self.link(now, server, LinkState::Down, out),
-            // It never left, and nothing ran.
+            SessionInput::ServerSuspect(server) => self.set_server_link(now, server, LinkState::Suspect, out),
+            SessionInput::ServerDown(server) => self.set_server_link(now, server, LinkState::Down, out),
+            // The set-up was not sent, so nothing ran.
             SessionInput::SetUpNotSent(attempt) => {
                 let end = AttemptEnd::plain(Outcome::Moot);
-                self.engine(now, Input::Ended { attempt, end }, out);
+                self.run_engine(now, Input::Ended { attempt, end }, out);
             }
-            SessionInput::ServerDraining(server) => self.engine(now, Input::DrainAnnounced(server), out),
+            SessionInput::ServerDraining(server) => self.run_engine(now, Input::DrainAnnounced(server), out),
             SessionInput::ServerAnswer { server, attempt, kind, message } => {
                 self.server_answer(now, server, attempt, kind, &message, out);
             }
             SessionInput::ServerRequest { server, message } => {
                 self.server_request(now, server, &message, out)
             }
-            SessionInput::Text { link, reliable, bytes } => self.text_heard(now, link, reliable, &bytes, out),
-            SessionInput::TextClosed(link) => self.text_gone(now, link, out),
-            SessionInput::TrunkUp(point) => self.trunk_link(now, point, true, out),
-            SessionInput::TrunkDown(point) => self.trunk_link(now, point, false, out),
-            SessionInput::TrunkPacket(data) => self.faults += u64::from(!self.trunk.heard(now, &data)),
+            SessionInput::Text { link, reliable, bytes } => {
+                self.handle_text(now, link, reliable, &bytes, out)
+            }
+            SessionInput::TextClosed(link) => self.close_text_client(now, link, out),
+            SessionInput::TrunkUp(point) => self.set_trunk_link(now, point, true, out),
+            SessionInput::TrunkDown(point) => self.set_trunk_link(now, point, false, out),
+            SessionInput::TrunkPacket(data) => {
+                self.faults += u64::from(!self.trunk.handle_packet(now, &data))
+            }
             SessionInput::PeerMessage { from, payload } => {
-                self.engine(now, Input::Peer { from, payload }, out)
+                self.run_engine(now, Input::Peer { from, payload }, out)
             }
             SessionInput::Tick => {
-                self.engine(now, Input::Tick, out);
-                self.text_tick(now, out);
+                self.run_engine(now, Input::Tick, out);
+                self.tick_text(now, out);
                 self.trunk.tick(now);
             }
-            SessionInput::Stop => self.engine(now, Input::Stop, out),
-            SessionInput::CutAll => self.engine(now, Input::CutAll, out),
+            SessionInput::Stop => self.run_engine(now, Input::Stop, out),
+            SessionInput::CutAll => self.run_engine(now, Input::CutAll, out),
         }
-        self.settle(now, out);
+        self.process_queues(now, out);
     }
 
-    /// All that counters still have for the engine, until nothing is left.
-    fn settle(&mut self, now: Micros, out: &mut Vec<SessionOutput>) {
+    /// Processes the queued steps of text transactions and trunk events until none are left.
+    fn process_queues(&mut self, now: Micros, out: &mut Vec<SessionOutput>) {
         loop {
-            self.text_steps(now, out);
+            self.run_text_steps(now, out);
             out.extend(self.trunk.packets.drain(..).map(SessionOutput::ToFarEnd));
-            let Some(news) = self.trunk.news.pop_front() else { return };
-            self.trunk_news(now, news, out);
+            let Some(event) = self.trunk.events.pop_front() else { return };
+            self.handle_trunk_event(now, event, out);
         }
     }
 
-    /// What is heard from now on may have waited so long to be read, since this process stood still: its callers'
-    /// patience has run meanwhile.
+    /// Sets for how long following input may have been queued while this process was stalled, in
+    /// microseconds. The caller timeouts of new calls are shortened by it.
     pub fn set_input_delay(&mut self, span: Micros) {
         self.engine.set_input_delay(span);
     }
@@ -442,86 +452,86 @@
         self.engine.input_delay()
     }
 
-    /// Takes a pushed pool list.
+    /// Applies a pushed server list.
     ///
     /// # Errors
-    /// Why it is not taken; the last good one holds.
+    /// If the list is rejected; the last valid one stays in force.
     pub fn apply_pool_list(
         &mut self,
         now: Micros,
         list: &PoolList,
         out: &mut Vec<SessionOutput>,
     ) -> Result<(), PoolError> {
-        let (kind, entries) = self.roster.take(now, list)?;
-        self.engine(now, Input::List(kind, entries), out);
-        self.settle(now, out);
+        let (kind, entries) = self.pool.apply(now, list)?;
+        self.run_engine(now, Input::List(kind, entries), out);
+        self.process_queues(now, out);
         Ok(())
     }
 
-    /// When [`SessionInput::Tick`] is wanted at the latest.
+    /// When [`SessionInput::Tick`] is due next.
     pub fn next_wake(&self) -> Option<Micros> {
         let text = self
             .text
             .clients
             .values()
-            .flat_map(|client| [client.exchange.next_wake(), client.leaves_at])
+            .flat_map(|client| [client.exchange.next_wake(), client.drain_deadline])
             .flatten();
         self.engine.next_wake().into_iter().chain(text).chain(self.trunk.next_wake()).min()
     }
 
-    /// What the engine has counted.
+    /// Counters of the engine.
     pub fn counts(&self) -> &Counts {
         self.engine.counts()
     }
 
-    /// The process starts now, by a clock that did not start with it: virtual time's.
+    /// Sets the start time of the process, for clocks that did not start with it, as in virtual time.
     pub fn set_start_time(&mut self, now: Micros) {
         self.engine.set_start_time(now);
     }
 
-    /// How often the engine held back what would have broken a rule.
+    /// How often the engine suppressed an action that would have violated a rule, by rule name.
     pub fn held_back(&self) -> Vec<(&'static str, u64)> {
         Breach::ALL.iter().map(|breach| (breach.name(), self.engine.held_back(*breach))).collect()
     }
 
-    /// Requests turned down with a fault.
+    /// Number of requests and packets rejected as faulty.
     pub fn faults(&self) -> u64 {
         self.faults
     }
 
-    /// Its trunk groups.
+    /// The trunk groups and their state.
     pub fn trunk_groups(&self) -> Vec<TrunkGroupView> {
         self.trunk.groups()
     }
 
-    /// Who of the fleet is believed alive, where the settings let fronts tell.
+    /// The membership of the fleet, if enabled by the configuration.
     pub fn membership(&self) -> Option<&baydrift_fleet::Membership> {
         self.engine.membership()
     }
 
-    /// What this front has of the fleet's budget of each server, where the settings let fronts share.
+    /// This front's share of the fleet budget of each server, if budget sharing is enabled.
     pub fn holdings(&self) -> impl Iterator<Item = (ServerId, Holdings)> + '_ {
         self.engine.holdings()
     }
 
-    /// Its exchange.
+    /// The signalling point of the trunk groups.
     pub fn signalling_point(&self) -> &SignallingPoint {
-        self.trunk.office()
+        self.trunk.signalling_point()
     }
 
-    /// What is held.
+    /// Numbers of calls, requests and answers held.
     pub fn held(&self) -> Held {
         Held {
             calls: self.engine.active_calls(),
             in_set_up: self.engine.calls_in_set_up(),
             orphans: self.engine.detached_attempts(),
-            tickets: self.tickets.len(),
+            tickets: self.pending_requests.len(),
             remembered: self.engine.cached_answers(),
         }
     }
 
-    /// Whether a host's process is another than the last one that was seen (RFC 6733, section 8.16).
-    fn restarted(&mut self, host: &str, state_id: Option<u32>) -> bool {
+    /// Records the Origin-State-Id of a host; returns whether it shows a restart (RFC 6733, section 8.16).
+    fn record_state_id(&mut self, host: &str, state_id: Option<u32>) -> bool {
         let Some(new) = state_id else { return false };
         match self.state_ids.insert(host.to_owned(), new) {
             Some(old) if old > new => {
@@ -533,18 +543,24 @@
         }
     }
 
-    fn link(&mut self, now: Micros, server: ServerId, state: LinkState, out: &mut Vec<SessionOutput>) {
-        self.engine(now, Input::ServerLink { server, state }, out);
+    fn set_server_link(
+        &mut self,
+        now: Micros,
+        server: ServerId,
+        state: LinkState,
+        out: &mut Vec<SessionOutput>,
+    ) {
+        self.run_engine(now, Input::ServerLink { server, state }, out);
     }
 
     // --- clients ---
 
     fn client_up(&mut self, now: Micros, link: LinkId, client: AdmittedClient, out: &mut Vec<SessionOutput>) {
         let AdmittedClient { remote, relay } = client;
-        let restarted = self.restarted(&remote.host, remote.state_id);
+        let restarted = self.record_state_id(&remote.host, remote.state_id);
         let owner: Arc<str> = Arc::from(remote.host.as_str());
         self.clients.insert(link, ClientLink { remote, relay, owner: owner.clone() });
-        self.engine(now, Input::ClientUp { link, owner, restarted }, out);
+        self.run_engine(now, Input::ClientUp { link, owner, restarted }, out);
     }
 
     fn client_down(&mut self, now: Micros, link: LinkId, out: &mut Vec<SessionOutput>) {
@@ -553,11 +569,12 @@
         }
         let first = Request { link, ticket: 0 };
         let last = Request { link, ticket: u64::MAX };
-        let gone: Vec<_> = self.tickets.range(first..=last).map(|(request, _)| *request).collect();
-        for request in gone {
-            self.tickets.remove(&request);
+        let removed: Vec<_> =
+            self.pending_requests.range(first..=last).map(|(request, _)| *request).collect();
+        for request in removed {
+            self.pending_requests.remove(&request);
         }
-        self.engine(now, Input::ClientDown(link), out);
+        self.run_engine(now, Input::ClientDown(link), out);
     }
 
     fn client_request(&mut self, now: Micros, link: LinkId, message: Message, out: &mut Vec<SessionOutput>) {
@@ -565,8 +582,8 @@
         let request = Request { link, ticket: self.next_ticket };
         self.next_ticket += 1;
         let message = Arc::new(message);
-        let waited = self.input_delay();
-        let input = match read_request(&self.table, client, request, waited, &message) {
+        let input_delay = self.input_delay();
+        let input = match read_request(&self.classifier, client, request, input_delay, &message) {
             Ok(input) => input,
             Err(fault) => {
                 self.faults += 1;
@@ -577,10 +594,10 @@
         };
         let payload = match &input {
             Input::Offered(offer) => offer.payload.clone(),
-            _ => Payload { request: message, name: None, span: Span::none() },
+            _ => Payload { request: message, caller_reference: None, span: Span::none() },
         };
-        self.tickets.insert(request, (payload.request, payload.span));
-        self.engine(now, input, out);
+        self.pending_requests.insert(request, (payload.request, payload.span));
+        self.run_engine(now, input, out);
     }
 
     // --- servers ---
@@ -600,7 +617,7 @@
             (RequestKind::SetUp, None) => Input::Established { attempt, report: load::read(message) },
             (RequestKind::SetUp, Some(end)) => Input::Ended { attempt, end },
         };
-        self.engine(now, input, out);
+        self.run_engine(now, input, out);
     }
 
     fn server_request(
@@ -611,7 +628,7 @@
         out: &mut Vec<SessionOutput>,
     ) {
         let session = message.text(dict::SESSION_ID).unwrap_or("");
-        let attempt = self.attempt_of(session);
+        let attempt = self.attempt_for_session(session);
         let (code, attempt) = match (message.header.code, attempt) {
             (code::ABORT_SESSION, Some(attempt)) => (result::SUCCESS, Some(attempt)),
             (code::ABORT_SESSION, None) => (result::UNKNOWN_SESSION_ID, None),
@@ -622,68 +639,70 @@
             .with(Avp::text(dict::ORIGIN_REALM, &self.realm));
         out.push(SessionOutput::Reply { server, message: answer });
         if let Some(attempt) = attempt {
-            self.engine(now, Input::Cut { attempt, report: load::read(message) }, out);
+            self.run_engine(now, Input::Cut { attempt, report: load::read(message) }, out);
         }
     }
 
-    /// Session-Id towards servers: this host, this boot, the attempt (RFC 6733, section 8.8).
-    fn session_of(&self, attempt: AttemptId) -> String {
-        format!("{};{}", self.process, attempt.0)
+    /// Session-Id towards servers: host, process identity and attempt (RFC 6733, section 8.8).
+    fn attempt_session_id(&self, attempt: AttemptId) -> String {
+        format!("{};{}", self.session_prefix, attempt.0)
     }
 
-    fn attempt_of(&self, session: &str) -> Option<AttemptId> {
-        let (process, attempt) = session.rsplit_once(';')?;
-        (process == self.process).then_some(AttemptId(attempt.parse().ok()?))
+    fn attempt_for_session(&self, session: &str) -> Option<AttemptId> {
+        let (prefix, attempt) = session.rsplit_once(';')?;
+        (prefix == self.session_prefix).then_some(AttemptId(attempt.parse().ok()?))
     }
 
     // --- trunks ---
 
-    fn trunk_link(&mut self, now: Micros, point: u32, up: bool, out: &mut Vec<SessionOutput>) {
+    fn set_trunk_link(&mut self, now: Micros, point: u32, up: bool, out: &mut Vec<SessionOutput>) {
         let Some(server) = self.trunk.server_at(point) else { return };
         if up {
-            self.trunk.reachable(now, point, true);
-            // Whether its processor restarted is not told by a link: it may be cold.
-            self.link(now, server, LinkState::Up(Process::Unknown), out);
-            // What the engine gave up while the far end was out of reach still has its circuit at both ends.
+            self.trunk.set_reachable(now, point, true);
+            // The link does not show whether the far end restarted, so it may need a warm-up.
+            self.set_server_link(now, server, LinkState::Up(Process::Unknown), out);
+            // Attempts that the engine dropped while the far end was unreachable still hold a circuit at both
+            // ends.
             for (attempt, server) in self.trunk.attempts() {
                 if !self.engine.has_attempt(attempt) {
                     self.trunk.release(now, attempt, server);
                 }
             }
         } else {
-            self.link(now, server, LinkState::Down, out);
-            self.trunk.reachable(now, point, false);
+            self.set_server_link(now, server, LinkState::Down, out);
+            self.trunk.set_reachable(now, point, false);
         }
     }
 
-    fn trunk_news(&mut self, now: Micros, news: News, out: &mut Vec<SessionOutput>) {
-        let input = match news {
-            News::Stands(attempt, report) => Input::Established { attempt, report },
-            News::Ended(attempt, end) => Input::Ended { attempt, end },
-            News::Over(attempt, report) => Input::Cut { attempt, report },
-            News::Released(attempt, report) => Input::ReleaseDone { attempt, report },
-            News::Offered(offered) => Input::Offered(self.offer_of_trunk(&offered)),
-            News::Left(call, far, request) => {
-                Input::Released { session: self.session_of_trunk(self.trunk.host(far), call), request }
+    fn handle_trunk_event(&mut self, now: Micros, event: TrunkEvent, out: &mut Vec<SessionOutput>) {
+        let input = match event {
+            TrunkEvent::Established(attempt, report) => Input::Established { attempt, report },
+            TrunkEvent::Ended(attempt, end) => Input::Ended { attempt, end },
+            TrunkEvent::Cut(attempt, report) => Input::Cut { attempt, report },
+            TrunkEvent::Released(attempt, report) => Input::ReleaseDone { attempt, report },
+            TrunkEvent::Incoming(call) => Input::Offered(self.incoming_offer(&call)),
+            TrunkEvent::Cleared(call, far, request) => {
+                Input::Released { session: self.incoming_session(self.trunk.host(far), call), request }
             }
         };
-        self.engine(now, input, out);
+        self.run_engine(now, input, out);
     }
 
-    /// A name that is this process's own: what a far end says of its calls may repeat.
-    fn session_of_trunk(&self, owner: Arc<str>, call: CallKey) -> Session {
-        Session { owner, id: Arc::from(format!("{};{}", self.boot, call.0)) }
+    /// Session of an incoming trunk call. The id is generated here, because references of far ends may
+    /// repeat.
+    fn incoming_session(&self, owner: Arc<str>, call: CallKey) -> Session {
+        Session { owner, id: Arc::from(format!("{};{}", self.identity, call.0)) }
     }
 
-    /// A far end's call, said as a client's would be.
-    fn offer_of_trunk(&self, offered: &Offered) -> Offer<Payload> {
-        let Offered { call, request, far, number, reference, what } = offered;
-        let session = self.session_of_trunk(self.trunk.host(*far), *call);
-        let class = self.table.class(what.class);
+    /// Offer for an incoming trunk call, with the CCR that a Diameter client would send.
+    fn incoming_offer(&self, incoming: &IncomingCall) -> Offer<Payload> {
+        let IncomingCall { call, request, far_end, number, reference, config } = incoming;
+        let session = self.incoming_session(self.trunk.host(*far_end), *call);
+        let class = self.classifier.class(config.class);
         let ends = Endpoints {
             origin_host: &self.host,
             origin_realm: &self.realm,
-            destination_realm: self.table.first_realm(),
+            destination_realm: self.classifier.first_realm(),
             destination_host: None,
         };
         let mut message = credit::request(ends, &session.id, class.0, RequestType::Initial, 0);
@@ -694,31 +713,33 @@
         Offer {
             session,
             request: *request,
-            class: what.class,
-            tenant: what.publisher,
+            class: config.class,
+            tenant: config.publisher,
             number: number_of(number),
             first_choice: None,
             caller_timeout: class.1.saturating_sub(self.input_delay()),
             redial: None,
             was_dropped: false,
             retransmission: Retransmission::First,
-            payload: Payload { request: Arc::new(message), name: reference.clone(), span },
+            payload: Payload { request: Arc::new(message), caller_reference: reference.clone(), span },
         }
     }
 
-    /// What an IAM says of a set-up: the number, and both names of it for who reads the far end's records.
-    fn seizure(&self, attempt: AttemptId, session: &Session, payload: &Payload) -> Setup {
+    /// Contents of the IAM of a set-up: the number, and the ids of both sessions for correlation with the
+    /// records of the far end.
+    fn trunk_setup(&self, attempt: AttemptId, session: &Session, payload: &Payload) -> Setup {
         let called = payload.request.text(dict::CALLED_STATION_ID).unwrap_or("");
-        let number = called.bytes().filter(u8::is_ascii_digit).take(DIGITS_MAX).map(|digit| digit - b'0');
+        let number =
+            called.bytes().filter(u8::is_ascii_digit).take(MAX_NUMBER_DIGITS).map(|digit| digit - b'0');
         let mut reference =
-            format!("{} {}", self.session_of(attempt), name_of(session, payload)).into_bytes();
-        reference.truncate(REFERENCE_MAX);
+            format!("{} {}", self.attempt_session_id(attempt), correlation_id(session, payload)).into_bytes();
+        reference.truncate(MAX_REFERENCE_BYTES);
         Setup { number: number.collect(), reference: Arc::from(reference) }
     }
 
     // --- the engine ---
 
-    pub(crate) fn engine(&mut self, now: Micros, input: Input<Payload>, out: &mut Vec<SessionOutput>) {
+    pub(crate) fn run_engine(&mut self, now: Micros, input: Input<Payload>, out: &mut Vec<SessionOutput>) {
         let mut outputs = std::mem::take(&mut self.outputs);
         outputs.clear();
         if input == Input::Tick {
@@ -727,23 +748,23 @@
             self.engine.apply(now, input, &mut outputs);
         }
         for output in outputs.drain(..) {
-            self.carry_out(now, output, out);
+            self.apply_output(now, output, out);
         }
         self.outputs = outputs;
     }
 
-    fn carry_out(&mut self, now: Micros, output: Output<Payload>, out: &mut Vec<SessionOutput>) {
+    fn apply_output(&mut self, now: Micros, output: Output<Payload>, out: &mut Vec<SessionOutput>) {
         match output {
             Output::SetUp { attempt, server, call, index, session, payload, .. }
-                if self.trunk.leads_to(server) =>
+                if self.trunk.is_far_end(server) =>
             {
                 payload.span.in_scope(|| debug!(call, index, server, attempt = attempt.0, "seize"));
-                let setup = self.seizure(attempt, &session, &payload);
-                // Circuits that are kept back are for calls that come here first.
-                let claim = if index == 0 { RouteChoice::First } else { RouteChoice::Overflow };
-                self.trunk.set_up(now, attempt, server, setup, claim);
+                let setup = self.trunk_setup(attempt, &session, &payload);
+                // Reserved circuits are for calls whose first attempt this is.
+                let choice = if index == 0 { RouteChoice::First } else { RouteChoice::Overflow };
+                self.trunk.set_up(now, attempt, server, setup, choice);
             }
-            Output::Release { attempt, server, .. } if self.trunk.leads_to(server) => {
+            Output::Release { attempt, server, .. } if self.trunk.is_far_end(server) => {
                 self.trunk.release(now, attempt, server);
             }
             Output::SetUp { attempt, server, call, index, class, session, payload, .. } => {
@@ -758,7 +779,7 @@
                 });
             }
             Output::Release { attempt, server, class } => {
-                let message = self.ccr(attempt, server, class, &self.fixed.termination);
+                let message = self.ccr(attempt, server, class, &self.constant_avps.termination);
                 out.push(SessionOutput::ToServer {
                     server,
                     attempt,
@@ -767,36 +788,40 @@
                     at: now,
                 });
             }
-            Output::Answer { request, session: _, answer } => match self.trunk.asked_by(request) {
+            Output::Answer { request, session: _, answer } => match self.trunk.call_for_request(request) {
                 Some(call) => self.trunk.answer(now, call, release_cause(answer)),
                 None => self.answer(request, answer, out),
             },
             Output::AnswerRelease { request, result, .. } => {
-                if let Some((link, id)) = self.text.waiting.remove(&request) {
-                    return self.text.steps.push_back(Step::Told(link, id, Told::Released(result)));
+                if let Some((link, id)) = self.text.pending_requests.remove(&request) {
+                    return self.text.steps.push_back(Step::Completed(
+                        link,
+                        id,
+                        EngineReply::Released(result),
+                    ));
                 }
                 let code = match result {
                     ReleaseResult::Done => result::SUCCESS,
                     ReleaseResult::Unknown => result::UNKNOWN_SESSION_ID,
                 };
-                if let Some((asked, _)) = self.tickets.remove(&request) {
-                    let message = credit::answer_with_origin(&asked, code, &self.origin);
+                if let Some((original, _)) = self.pending_requests.remove(&request) {
+                    let message = credit::answer_with_origin(&original, code, &self.origin);
                     out.push(SessionOutput::ToClient { link: request.link, message });
                 }
             }
             Output::Dropped(request) => {
-                self.text.waiting.remove(&request);
-                self.tickets.remove(&request);
+                self.text.pending_requests.remove(&request);
+                self.pending_requests.remove(&request);
             }
             Output::Cut { link, session, class: _ } => {
-                if let Some(call) = self.trunk.call_of(link, &session.id) {
+                if let Some(call) = self.trunk.call_for_session(link, &session.id) {
                     return self.trunk.cut(now, call);
                 }
                 if self.text.clients.contains_key(&link) {
                     return self.text.steps.push_back(Step::Cut(link, session));
                 }
                 let Some(client) = self.clients.get(&link) else { return };
-                // A relay's callers are behind it: a Session-Id begins with its origin's name.
+                // Behind a relay, the destination is the origin host, with which a Session-Id begins.
                 let origin = session.id.split(';').next().filter(|_| client.relay);
                 let ends = Endpoints {
                     origin_host: &self.host,
@@ -806,23 +831,23 @@
                 };
                 out.push(SessionOutput::ToClient { link, message: credit::abort(ends, &session.id) });
             }
-            // Callers here are told by their links, and no call is taken over.
+            // Callers learn this from their links, and no call is taken over from another front.
             Output::Cleared { .. } | Output::Adopted { .. } => {}
             Output::SendToPeer { to, payload } => out.push(SessionOutput::ToFront { to, payload }),
-            // Lists are pushed: there is nothing to subscribe to.
+            // Server lists are pushed, so no subscription is needed.
             Output::Subscribe => {}
             Output::Log(text) => tracing::info!("{text}"),
         }
     }
 
     fn answer(&mut self, request: Request, answer: Final, out: &mut Vec<SessionOutput>) {
-        if let Some((link, id)) = self.text.waiting.remove(&request) {
-            return self.text.steps.push_back(Step::Told(link, id, Told::Answer(answer)));
+        if let Some((link, id)) = self.text.pending_requests.remove(&request) {
+            return self.text.steps.push_back(Step::Completed(link, id, EngineReply::Answer(answer)));
         }
-        let Some((asked, span)) = self.tickets.remove(&request) else { return };
+        let Some((original, span)) = self.pending_requests.remove(&request) else { return };
         let (code, text) = result_code(answer);
         span.in_scope(|| debug!(code, "final answer"));
-        let mut message = credit::answer_with_origin(&asked, code, &self.origin);
+        let mut message = credit::answer_with_origin(&original, code, &self.origin);
         message.avps.extend(text.map(|text| Avp::text(dict::ERROR_MESSAGE, text)));
         if let Final::Refused { retry_after, .. } = answer {
             if retry_after > 0 {
@@ -832,20 +857,22 @@
         out.push(SessionOutput::ToClient { link: request.link, message });
     }
 
-    /// A CCR with what RFC 8506, section 3.1 wants in it.
-    fn ccr(&self, attempt: AttemptId, server: ServerId, class: usize, kind: &[Avp]) -> Message {
+    /// A CCR with the AVPs that RFC 8506, section 3.1 requires.
+    fn ccr(&self, attempt: AttemptId, server: ServerId, class: usize, type_avps: &[Avp]) -> Message {
         let mut message = Message::request(code::CREDIT_CONTROL, credit::APPLICATION);
-        message.avps.reserve(USUAL);
-        message.push(Avp::new(dict::SESSION_ID, self.session_of(attempt).into_bytes()));
+        message.avps.reserve(TYPICAL_AVP_COUNT);
+        message.push(Avp::new(dict::SESSION_ID, self.attempt_session_id(attempt).into_bytes()));
         message.avps.extend(self.origin.iter().cloned());
-        message.avps.extend(self.servers.get(&server).into_iter().flat_map(|far| far.to.iter().cloned()));
-        message.push(self.fixed.application.clone());
-        message.avps.extend(self.contexts.get(class).cloned());
-        message.avps.extend(kind.iter().cloned());
+        message.avps.extend(
+            self.servers.get(&server).into_iter().flat_map(|destination| destination.avps.iter().cloned()),
+        );
+        message.push(self.constant_avps.application.clone());
+        message.avps.extend(self.service_contexts.get(class).cloned());
+        message.avps.extend(type_avps.iter().cloned());
         message
     }
 
-    /// A set-up for a server: a session of its own, what the caller said of the call, where it came from.
+    /// A set-up for a server: a new session, the end-to-end AVPs of the caller's CCR and the route.
     fn set_up(
         &self,
         attempt: AttemptId,
@@ -854,29 +881,29 @@
         session: &Session,
         payload: &Payload,
     ) -> Message {
-        let asked = &payload.request;
-        let mut message = self.ccr(attempt, server, class, &self.fixed.initial);
-        message
-            .avps
-            .extend(asked.avps.iter().filter(|a| a.vendor != 0 || !OF_ONE_HOP.contains(&a.code)).cloned());
+        let original = &payload.request;
+        let mut message = self.ccr(attempt, server, class, &self.constant_avps.initial);
+        message.avps.extend(
+            original.avps.iter().filter(|a| a.vendor != 0 || !HOP_SPECIFIC_AVPS.contains(&a.code)).cloned(),
+        );
         message.push(Avp::text(dict::ROUTE_RECORD, &session.owner));
-        message.push(Avp::new(dict::CC_CORRELATION_ID, name_of(session, payload).into_bytes()));
-        message.push(self.fixed.features.clone());
+        message.push(Avp::new(dict::CC_CORRELATION_ID, correlation_id(session, payload).into_bytes()));
+        message.push(self.constant_avps.features.clone());
         message
     }
 }
 
-/// A call's name at both ends: its owner, and the caller's own name for it.
-fn name_of(session: &Session, payload: &Payload) -> String {
-    format!("{}|{}", session.owner, payload.name.as_ref().unwrap_or(&session.id))
+/// CC-Correlation-Id of a call: its owner and the caller's reference for it.
+fn correlation_id(session: &Session, payload: &Payload) -> String {
+    format!("{}|{}", session.owner, payload.caller_reference.as_ref().unwrap_or(&session.id))
 }
 
-/// What a client's request asks of the engine.
+/// Converts a client's request to an input of the engine.
 fn read_request(
-    table: &CallClassifier,
+    classifier: &CallClassifier,
     client: &ClientLink,
     request: Request,
-    waited: Micros,
+    input_delay: Micros,
     message: &Arc<Message>,
 ) -> Result<Input<Payload>, Fault> {
     if message.header.code != code::CREDIT_CONTROL {
@@ -887,21 +914,21 @@
         let text = format!("{} speaks for {}, and is no relay", client.remote.host, ccr.origin_host);
         return Err(Fault::new(result::UNKNOWN_PEER, text));
     }
-    // The owner is the peer that shows the session, and the peer is known by its connection: no other client
-    // can release it. A Session-Id begins with its origin's name, so relayed ones do not collide.
+    // The owner of a session is the peer on whose connection it arrived, so no other client can release it.
+    // Relayed sessions do not collide, since a Session-Id begins with the name of its origin.
     let session = Session { owner: client.owner.clone(), id: Arc::from(ccr.session) };
     match ccr.request_type {
         RequestType::Initial => {
-            let facts = table.facts(message, &ccr)?;
+            let attributes = classifier.classify(message, &ccr)?;
             let span = debug_span!("call", session = ccr.session);
             Ok(Input::Offered(Offer {
                 session,
                 request,
-                class: facts.class,
-                tenant: facts.tenant,
-                number: facts.number,
-                first_choice: facts.first_choice,
-                caller_timeout: facts.gives_up.saturating_sub(waited),
+                class: attributes.class,
+                tenant: attributes.tenant,
+                number: attributes.number,
+                first_choice: attributes.first_choice,
+                caller_timeout: attributes.caller_timeout.saturating_sub(input_delay),
                 redial: None,
                 was_dropped: false,
                 retransmission: if message.header.flags.retransmitted {
@@ -909,7 +936,7 @@
                 } else {
                     Retransmission::First
                 },
-                payload: Payload { request: message.clone(), name: None, span },
+                payload: Payload { request: message.clone(), caller_reference: None, span },
             }))
         }
         RequestType::Termination => Ok(Input::Released { session, request }),
--- a/crates/desk/src/text.rs
+++ b/crates/desk/src/text.rs
@@ -1,7 +1,7 @@
-//! H.248 text commands as calls: transactions run command by command, a context is a call, its trunk termination
-//! the way to a server (RFC 3525).
+//! State of H.248 text commands (RFC 3525): transactions are executed command by command, a context
+//! represents a call and its trunk termination the leg to a server.
 //!
-//! What is kept here is bounded by configured clients, their known transactions and the engine's own calls.
+//! State is bounded by the configured clients, their open transactions and the calls of the engine.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -15,34 +15,36 @@
     ReplyBody, Style, Transaction,
 };
 
-/// Transactions that run at once over all clients, and that wait of each.
-const TURNS: (usize, usize) = (20_000, 1_000);
-/// Longest reply: what fits a datagram.
-const REPLY_MAX: usize = 60_000;
-/// A client that was silent for so long may be replaced by another that claims its MId.
-const SILENT: Micros = 60_000_000;
-/// Least time between two words of overload to one client (H.248.11).
-const OVERLOAD_EVERY: Micros = 100_000;
+/// Transactions that run concurrently, over all clients.
+const MAX_RUNNING_TRANSACTIONS: usize = 20_000;
+/// Transactions that one client may have queued.
+const MAX_QUEUED_PER_CLIENT: usize = 1_000;
+/// Longest reply in bytes: one that fits a datagram.
+const MAX_REPLY_BYTES: usize = 60_000;
+/// Idle time in microseconds after which another address may take over a client's MId.
+const CLIENT_IDLE_TIME: Micros = 60_000_000;
+/// Least time between two overload notifications to one client, in microseconds (H.248.11).
+const OVERLOAD_NOTIFY_INTERVAL: Micros = 100_000;
 
-/// A client that may speak, by its MId.
+/// A client admitted by its MId.
 #[derive(Debug)]
 pub(crate) struct Client {
     pub(crate) mid: Arc<str>,
     pub(crate) realm: String,
-    /// Registered by ServiceChange.
+    /// Whether it registered by ServiceChange.
     pub(crate) registered: bool,
-    /// It leaves: nothing new is taken.
-    pub(crate) leaving: bool,
-    /// It leaves in grace: by then what it still has is released.
-    pub(crate) leaves_at: Option<Micros>,
+    /// Leaving by a graceful ServiceChange: new calls are refused.
+    pub(crate) draining: bool,
+    /// End of the graceful period, when its remaining calls are released.
+    pub(crate) drain_deadline: Option<Micros>,
     pub(crate) exchange: Exchange,
-    pub(crate) heard_at: Micros,
-    /// It asked for `ocp/mg_overload`, with this RequestID.
-    pub(crate) overload: Option<String>,
-    pub(crate) overload_told: Option<Micros>,
+    pub(crate) last_received_at: Micros,
+    /// RequestID under which it subscribed to `ocp/mg_overload`.
+    pub(crate) overload_request: Option<String>,
+    pub(crate) overload_notified_at: Option<Micros>,
 }
 
-/// A transaction being run.
+/// A transaction in execution.
 #[derive(Debug)]
 pub(crate) struct Job {
     pub(crate) link: LinkId,
@@ -50,56 +52,56 @@
     pub(crate) commands: VecDeque<Command>,
     pub(crate) context: Context,
     pub(crate) replies: Vec<ActionReply>,
-    pub(crate) began: Micros,
-    /// When the last caller of its set-ups gives up; 0 without one.
-    pub(crate) wanted_until: Micros,
-    /// The command that waits for the engine.
-    pub(crate) waits: Option<(Command, u32)>,
+    pub(crate) started_at: Micros,
+    /// Latest caller timeout among its set-ups; 0 if it has none.
+    pub(crate) caller_deadline: Micros,
+    /// The command that awaits the engine, with its context.
+    pub(crate) pending: Option<(Command, u32)>,
 }
 
-/// A call as its client knows it.
+/// A call as its client sees it.
 #[derive(Debug, Clone)]
-pub(crate) struct Entry {
+pub(crate) struct TextCall {
     pub(crate) session: Session,
     pub(crate) since: Micros,
-    pub(crate) stands: bool,
+    pub(crate) established: bool,
 }
 
-/// What the engine said to a command that waited.
+/// The engine's reply to a pending command.
 #[derive(Debug, Clone, Copy)]
-pub(crate) enum Told {
+pub(crate) enum EngineReply {
     Answer(Final),
     Released(ReleaseResult),
 }
 
-/// What is to be done next, outside the engine's own turn.
+/// A step that is queued while the engine runs.
 #[derive(Debug)]
 pub(crate) enum Step {
-    /// Go on with a transaction.
+    /// Continue a transaction.
     Run(LinkId, u32),
-    /// A command that waited was answered.
-    Told(LinkId, u32, Told),
+    /// The engine replied to a pending command.
+    Completed(LinkId, u32, EngineReply),
     /// A call was cut.
     Cut(LinkId, Session),
 }
 
-/// The text side of the desk.
+/// The H.248 part of the session layer.
 #[derive(Debug)]
-pub(crate) struct Text {
+pub(crate) struct TextState {
     pub(crate) mid: String,
     pub(crate) allowed: BTreeMap<String, String>,
     pub(crate) clients: BTreeMap<LinkId, Client>,
     pub(crate) by_mid: BTreeMap<String, LinkId>,
     pub(crate) jobs: BTreeMap<(LinkId, u32), Job>,
-    pub(crate) waiting: BTreeMap<Request, (LinkId, u32)>,
-    pub(crate) contexts: BTreeMap<(LinkId, u32), Entry>,
+    pub(crate) pending_requests: BTreeMap<Request, (LinkId, u32)>,
+    pub(crate) contexts: BTreeMap<(LinkId, u32), TextCall>,
     pub(crate) ids: IdAllocator,
-    pub(crate) turns: FairQueue<LinkId, (LinkId, u32)>,
+    pub(crate) queue: FairQueue<LinkId, (LinkId, u32)>,
     pub(crate) steps: VecDeque<Step>,
     pub(crate) seed: u64,
 }
 
-impl Text {
+impl TextState {
     pub(crate) fn new(config: &Config, seed: u64) -> Self {
         Self {
             mid: format!("<{}>", config.host),
@@ -107,16 +109,16 @@
             clients: BTreeMap::new(),
             by_mid: BTreeMap::new(),
             jobs: BTreeMap::new(),
-            waiting: BTreeMap::new(),
+            pending_requests: BTreeMap::new(),
             contexts: BTreeMap::new(),
             ids: IdAllocator::after(0),
-            turns: FairQueue::new(TURNS.0, TURNS.1),
+            queue: FairQueue::new(MAX_RUNNING_TRANSACTIONS, MAX_QUEUED_PER_CLIENT),
             steps: VecDeque::new(),
             seed,
         }
     }
 
-    /// Whether a client may speak by this link; it is bound to its MId by its first message.
+    /// Checks that a client may use this link. The first message binds the link to the client's MId.
     pub(crate) fn admit(
         &mut self,
         now: Micros,
@@ -128,16 +130,16 @@
             if *client.mid != *mid {
                 return Err(ErrorDescriptor::new(code::UNAUTHORIZED, "this address speaks for another"));
             }
-            client.heard_at = now;
+            client.last_received_at = now;
             return Ok(());
         }
-        // "*" stands for any client: an operator's choice, for closed networks and demonstrations.
+        // "*" in the configuration admits any client, for closed networks and demonstrations.
         let Some(realm) = self.allowed.get(mid).or_else(|| self.allowed.get("*")) else {
             return Err(ErrorDescriptor::new(code::UNAUTHORIZED, "not known here"));
         };
         if let Some(other) = self.by_mid.get(mid).and_then(|link| self.clients.get(link)) {
-            // Guards against one client that takes another's place: the first to speak keeps it while it does.
-            if now < other.heard_at.saturating_add(SILENT) {
+            // A client cannot take over the MId of another that is active.
+            if now < other.last_received_at.saturating_add(CLIENT_IDLE_TIME) {
                 return Err(ErrorDescriptor::new(
                     code::UNAUTHORIZED,
                     "another address speaks for this client",
@@ -149,65 +151,66 @@
             mid: Arc::from(mid),
             realm: realm.clone(),
             registered: false,
-            leaving: false,
-            leaves_at: None,
+            draining: false,
+            drain_deadline: None,
             exchange: Exchange::new(settings, self.seed ^ link.0),
-            heard_at: now,
-            overload: None,
-            overload_told: None,
+            last_received_at: now,
+            overload_request: None,
+            overload_notified_at: None,
         };
         self.clients.insert(link, client);
         self.by_mid.insert(mid.to_owned(), link);
         Ok(())
     }
 
-    /// The context of a call's session.
-    pub(crate) fn context_of(&self, link: LinkId, session: &Session) -> Option<u32> {
+    /// The context of the call with this session.
+    pub(crate) fn context_for_session(&self, link: LinkId, session: &Session) -> Option<u32> {
         let mut of_link = self.contexts.range((link, 0)..=(link, u32::MAX));
-        // A session ends with its context's id.
+        // A session id ends with the context id.
         let id = session.id.rsplit(';').next().and_then(|id| id.parse::<u32>().ok());
         match id {
             Some(id) => self.contexts.get(&(link, id)).filter(|e| e.session == *session).map(|_| id),
-            None => of_link.find(|(_, entry)| entry.session == *session).map(|((_, id), _)| *id),
+            None => of_link.find(|(_, call)| call.session == *session).map(|((_, id), _)| *id),
         }
     }
 
+    /// Allocates a context id that the client does not use.
     pub(crate) fn new_context(&mut self, link: LinkId) -> u32 {
         let contexts = &self.contexts;
-        // The highest two ids mean choose and all.
+        // The two highest ids mean CHOOSE and ALL.
         self.ids.next(|id| id >= 0xffff_fffe || contexts.contains_key(&(link, id)))
     }
 
-    /// A message of this end, as text.
+    /// Encodes a message with this front's MId.
     pub(crate) fn message(&self, transaction: Transaction) -> String {
         let body = baydrift_h248::Body::Transactions(vec![transaction]);
         Message { version: 1, mid: self.mid.clone(), body }.write(Style::Compact)
     }
 
-    /// A whole transaction's reply.
+    /// Encodes the reply to a transaction; one that exceeds [`MAX_REPLY_BYTES`] becomes an error.
     pub(crate) fn reply(&self, id: u32, immediate_ack: bool, body: ReplyBody) -> Arc<str> {
         let text = self.message(Transaction::Reply { id, immediate_ack, body });
-        if text.len() <= REPLY_MAX {
+        if text.len() <= MAX_REPLY_BYTES {
             return text.into();
         }
         let error = ErrorDescriptor::new(code::TOO_BIG, "the reply does not fit a datagram");
         self.message(Transaction::Reply { id, immediate_ack, body: ReplyBody::Error(error) }).into()
     }
 
-    /// Whether a client is due a word of overload, and which RequestID it is sent under.
+    /// The RequestID for an overload notification, if the client subscribed and one is due.
     pub(crate) fn overload_due(&mut self, now: Micros, link: LinkId) -> Option<String> {
         let client = self.clients.get_mut(&link)?;
-        let request = client.overload.clone()?;
-        if client.overload_told.is_some_and(|at| now < at.saturating_add(OVERLOAD_EVERY)) {
+        let request = client.overload_request.clone()?;
+        if client.overload_notified_at.is_some_and(|at| now < at.saturating_add(OVERLOAD_NOTIFY_INTERVAL)) {
             return None;
         }
-        client.overload_told = Some(now);
+        client.overload_notified_at = Some(now);
         Some(request)
     }
 
-    /// A client is gone, with all that it had asked for and all its contexts.
+    /// Removes a client with its transactions and contexts.
     pub(crate) fn drop_client(&mut self, link: LinkId) {
-        self.forget_work(link);
+        self.discard_work(link);
         if let Some(client) = self.clients.remove(&link) {
             if self.by_mid.get(&*client.mid) == Some(&link) {
                 self.by_mid.remove(&*client.mid);
@@ -215,39 +218,39 @@
         }
     }
 
-    /// A client restarted: what it had asked for is of no use to it.
-    pub(crate) fn forget_work(&mut self, link: LinkId) {
-        let waited = self.turns.remove_queued(&link);
+    /// Discards the transactions, pending requests and contexts of a client, as after its restart.
+    pub(crate) fn discard_work(&mut self, link: LinkId) {
+        let queued = self.queue.remove_queued(&link);
         let jobs: Vec<_> = self.jobs.keys().copied().filter(|key| key.0 == link).collect();
         for key in jobs {
             self.jobs.remove(&key);
-            // What only waited holds no turn.
-            let ran = !waited.contains(&key);
-            if let Some((_, (link, id))) = ran.then(|| self.turns.finish(&link)).flatten() {
+            // A transaction that was only queued holds no slot.
+            let was_running = !queued.contains(&key);
+            if let Some((_, (link, id))) = was_running.then(|| self.queue.finish(&link)).flatten() {
                 self.steps.push_back(Step::Run(link, id));
             }
         }
-        self.waiting.retain(|_, key| key.0 != link);
+        self.pending_requests.retain(|_, key| key.0 != link);
         self.contexts.retain(|key, _| key.0 != link);
     }
 }
 
 impl Job {
-    pub(crate) fn new(link: LinkId, actions: Vec<Action>, began: Micros) -> Self {
+    pub(crate) fn new(link: LinkId, actions: Vec<Action>, started_at: Micros) -> Self {
         Self {
             link,
             actions: actions.into(),
             commands: VecDeque::new(),
             context: Context::Null,
             replies: Vec::new(),
-            began,
-            wanted_until: 0,
-            waits: None,
+            started_at,
+            caller_deadline: 0,
+            pending: None,
         }
     }
 
-    /// Adds a command's reply to its action's.
-    pub(crate) fn put(&mut self, kind: CommandKind, termination: &str, descriptors: Vec<Item>) {
+    /// Appends the reply to a command to that of its action.
+    pub(crate) fn push_reply(&mut self, kind: CommandKind, termination: &str, descriptors: Vec<Item>) {
         let context = self.context;
         if let Some(action) = self.replies.last_mut() {
             action.context = context;
@@ -255,12 +258,12 @@
         }
     }
 
-    /// A command failed: unless it was optional the rest of the transaction is not run.
+    /// Records a failed command; unless it is optional, the rest of the transaction is skipped.
     pub(crate) fn fail(&mut self, command: &Command, error: ErrorDescriptor) {
         let text = error.text.replace('"', "'");
         let item =
             Item::new("Error").with(error.code.to_string()).grouping(vec![Item::new(format!("\"{text}\""))]);
-        self.put(command.kind, &command.termination, vec![item]);
+        self.push_reply(command.kind, &command.termination, vec![item]);
         if !command.optional {
             self.commands.clear();
             self.actions.clear();
@@ -268,7 +271,7 @@
     }
 }
 
-/// The text of a property of Media's LocalControl in a command: `bdc/ctx` and the like.
+/// The value of a property such as `bdc/ctx` in the LocalControl descriptor of a command's Media.
 pub(crate) fn property<'a>(command: &'a Command, name: &str) -> Option<&'a str> {
     let media = command.descriptors.iter().find(|item| item.is("Media", "M"))?;
     let stream = media.find("Stream", "ST").unwrap_or(media);
@@ -276,7 +279,7 @@
     control.items().iter().find(|item| item.name.eq_ignore_ascii_case(name))?.text()
 }
 
-/// The name of a trunk termination; `None` for a termination of the caller's own side.
+/// Whether a termination is a trunk, not one of the caller's side.
 pub(crate) fn is_trunk(termination: &str) -> bool {
     termination.split('/').next().is_some_and(|kind| kind.eq_ignore_ascii_case("trunk"))
 }
--- a/crates/desk/src/trunk.rs
+++ b/crates/desk/src/trunk.rs
@@ -1,10 +1,12 @@
-//! Calls over trunk groups: set-ups that seize circuits, and circuits that far ends seize, which are calls like others.
+//! Calls over trunk groups: set-ups that seize circuits, and calls that far ends offer by seizing circuits.
 //!
-//! This counter owns the exchange's [`SignallingPoint`] and what it knows of its calls. It turns what becomes of circuits into
-//! [`News`], in words of its own; the desk hands those to the engine. It decides nothing: which group, what an end
-//! means and what is reported are [`baydrift_trunk::route`]'s, all else the engine's.
+//! [`TrunkSide`] owns the [`SignallingPoint`] and the state of its calls. It turns circuit events into
+//! [`TrunkEvent`]s, which the session layer passes to the engine. It makes no decisions:
+//! [`baydrift_trunk::route`] selects the group, interprets how a call ended and builds reports; the engine
+//! decides everything else.
 //!
-//! What grows is bounded by circuits: a call holds one, and an attempt is known here while it holds one.
+//! State is bounded by the number of circuits: each call holds one, and an attempt is kept only while it
+//! holds one.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -22,42 +24,43 @@
 };
 use tracing::{debug, warn};
 
-/// Links of far ends, apart from all others'.
-const LINKS: u64 = 1 << 48;
+/// First link id of far ends; keeps them distinct from the links of other clients.
+const FAR_END_LINK_BASE: u64 = 1 << 48;
 
-/// What became of circuits, for the engine.
+/// An event on a circuit, for the engine.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) enum News {
-    /// A set-up stands.
-    Stands(AttemptId, Report),
-    /// A set-up ended.
+pub(crate) enum TrunkEvent {
+    /// A set-up was answered.
+    Established(AttemptId, Report),
+    /// A set-up ended unanswered.
     Ended(AttemptId, AttemptEnd),
-    /// A call that stood is over.
-    Over(AttemptId, Report),
-    /// The far end has nothing of an attempt any more.
+    /// An established call ended.
+    Cut(AttemptId, Report),
+    /// The far end has released an attempt.
     Released(AttemptId, Report),
     /// A far end offers a call.
-    Offered(Box<Offered>),
-    /// A far end is done with a call that it offered.
-    Left(CallKey, usize, Request),
+    Incoming(Box<IncomingCall>),
+    /// A far end cleared a call that it had offered: the call, the index of the far end, and the request.
+    Cleared(CallKey, usize, Request),
 }
 
 /// A call that a far end offers.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) struct Offered {
+pub(crate) struct IncomingCall {
     pub(crate) call: CallKey,
     pub(crate) request: Request,
-    /// The far end's place among all.
-    pub(crate) far: usize,
-    /// Digits called, as text.
+    /// Index of the far end.
+    pub(crate) far_end: usize,
+    /// Called digits, as text.
     pub(crate) number: String,
-    /// The far end's own name for it, where it tells one.
+    /// The far end's reference for the call, if it sent one.
     pub(crate) reference: Option<Arc<str>>,
-    pub(crate) what: Incoming,
+    /// Class and publisher of calls from this far end.
+    pub(crate) config: Incoming,
 }
 
 #[derive(Debug)]
-struct Far {
+struct FarEnd {
     host: Arc<str>,
     number: ServerId,
     point: u32,
@@ -65,52 +68,52 @@
     incoming: Option<Incoming>,
 }
 
-/// A set-up that has, or is looking for, a circuit.
+/// A set-up that holds or seeks a circuit.
 #[derive(Debug)]
 struct Attempt {
     far: usize,
     setup: Setup,
-    claim: RouteChoice,
+    choice: RouteChoice,
     tried: Vec<GroupId>,
-    stands: bool,
+    established: bool,
 }
 
 /// A trunk group, for operators.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TrunkGroupView {
-    /// Its far end's name.
+    /// Host name of its far end.
     pub far_end: Arc<str>,
-    /// Its far end's point code.
+    /// Point code of its far end.
     pub point: u32,
-    /// Its own name.
+    /// Its configured name.
     pub name: String,
-    /// Its place.
+    /// Its index among all groups.
     pub id: GroupId,
-    /// What it is like.
+    /// Its current state.
     pub view: GroupView,
 }
 
-/// See the module's page.
+/// The trunk part of the session layer.
 #[derive(Debug)]
 pub(crate) struct TrunkSide {
-    office: SignallingPoint,
-    fars: Vec<Far>,
-    /// The far end of each group.
-    of_group: Vec<usize>,
+    signalling_point: SignallingPoint,
+    far_ends: Vec<FarEnd>,
+    /// Index of the far end of each group.
+    group_far_ends: Vec<usize>,
     names: Vec<String>,
     attempts: BTreeMap<AttemptId, Attempt>,
-    /// Releases that the far end has not completed, by far end and circuit.
+    /// Releases that the far end has not completed, by far end, group and circuit.
     releasing: BTreeMap<(usize, GroupId, u16), AttemptId>,
-    /// Incoming calls, and their far end.
+    /// Incoming calls, with the index of their far end.
     incoming: BTreeMap<CallKey, usize>,
-    tickets: u64,
-    done: (Vec<Data>, Vec<Output>),
+    last_clear_ticket: u64,
+    buffers: (Vec<Data>, Vec<Output>),
     pub(crate) packets: Vec<Data>,
-    pub(crate) news: VecDeque<News>,
+    pub(crate) events: VecDeque<TrunkEvent>,
 }
 
-/// One who holds no circuits has nothing that could be wrong with them.
-fn office(config: &Config) -> SignallingPoint {
+/// Builds the signalling point from the configuration; without valid trunk groups it has none.
+fn build_signalling_point(config: &Config) -> SignallingPoint {
     let own = config.point.unwrap_or(0);
     let groups =
         || config.far_ends.iter().flat_map(|far| far.groups.iter().map(move |group| (far.point, group)));
@@ -118,13 +121,13 @@
     let places =
         groups().map(|(point, g)| (point, g.spec.first..g.spec.first.saturating_add(g.spec.circuits)));
     let (timers, audit) = (TimerSettings::default(), AuditSettings::default());
-    // The configuration's checks leave nothing that is refused here.
+    // The configuration check already rejects whatever would fail here.
     match Trunks::new(specs, timers, audit) {
         Ok(trunks) => SignallingPoint::new(own, places.collect(), trunks),
         Err((place, error)) => {
             warn!(place, %error, "trunk groups are out of use");
-            let none =
-                Trunks::new(Vec::new(), timers, audit).unwrap_or_else(|_| unreachable!("no group is wrong"));
+            let none = Trunks::new(Vec::new(), timers, audit)
+                .unwrap_or_else(|_| unreachable!("an empty list of groups is valid"));
             SignallingPoint::new(own, Vec::new(), none)
         }
     }
@@ -132,92 +135,93 @@
 
 impl TrunkSide {
     pub(crate) fn new(config: &Config) -> Self {
-        let (mut fars, mut of_group) = (Vec::new(), Vec::new());
+        let (mut far_ends, mut group_far_ends) = (Vec::new(), Vec::new());
         for far in &config.far_ends {
-            let first = of_group.len() as u16;
-            of_group.extend(far.groups.iter().map(|_| fars.len()));
-            fars.push(Far {
+            let first = group_far_ends.len() as u16;
+            group_far_ends.extend(far.groups.iter().map(|_| far_ends.len()));
+            far_ends.push(FarEnd {
                 host: Arc::from(far.host.as_str()),
                 number: u64::from(far.number),
                 point: far.point,
-                groups: (first..of_group.len() as u16).map(GroupId).collect(),
+                groups: (first..group_far_ends.len() as u16).map(GroupId).collect(),
                 incoming: far.incoming,
             });
         }
         let names = config.far_ends.iter().flat_map(|far| far.groups.iter().map(|group| group.name.clone()));
         let mut side = Self {
             names: names.collect(),
-            office: office(config),
-            fars,
-            of_group,
+            signalling_point: build_signalling_point(config),
+            far_ends,
+            group_far_ends,
             attempts: BTreeMap::new(),
             releasing: BTreeMap::new(),
             incoming: BTreeMap::new(),
-            tickets: 0,
-            done: Default::default(),
+            last_clear_ticket: 0,
+            buffers: Default::default(),
             packets: Vec::new(),
-            news: VecDeque::new(),
+            events: VecDeque::new(),
         };
-        // Links come up later; until then nothing is seized. What far ends hold of a former process is reset then.
-        for place in 0..side.fars.len() {
-            let point = side.fars[place].point;
-            side.office.set_reachable(0, point, false, &mut side.done);
-            for group in side.fars[place].groups.clone() {
-                side.office.reset(0, group, &mut side.done);
+        // Links come up later; until then no circuit is seized. The resets clear circuits that far ends still
+        // hold for an earlier process.
+        for place in 0..side.far_ends.len() {
+            let point = side.far_ends[place].point;
+            side.signalling_point.set_reachable(0, point, false, &mut side.buffers);
+            for group in side.far_ends[place].groups.clone() {
+                side.signalling_point.reset(0, group, &mut side.buffers);
             }
         }
-        side.done = Default::default();
+        side.buffers = Default::default();
         side
     }
 
-    pub(crate) fn office(&self) -> &SignallingPoint {
-        &self.office
+    pub(crate) fn signalling_point(&self) -> &SignallingPoint {
+        &self.signalling_point
     }
 
-    /// All groups, with their names and those of their far ends.
+    /// All trunk groups, with their names and those of their far ends.
     pub(crate) fn groups(&self) -> Vec<TrunkGroupView> {
         let group = |(place, name): (usize, &String)| {
-            let (id, far) = (GroupId(place as u16), self.fars.get(*self.of_group.get(place)?)?);
-            let view = self.office.trunks().group_view(id)?;
+            let (id, far) = (GroupId(place as u16), self.far_ends.get(*self.group_far_ends.get(place)?)?);
+            let view = self.signalling_point.trunks().group_view(id)?;
             Some(TrunkGroupView { far_end: far.host.clone(), point: far.point, name: name.clone(), id, view })
         };
         self.names.iter().enumerate().filter_map(group).collect()
     }
 
-    /// The links under which the engine knows far ends, with their names.
+    /// The links that represent far ends at the engine, with their host names.
     pub(crate) fn links(&self) -> impl Iterator<Item = (LinkId, Arc<str>)> + '_ {
-        self.fars.iter().enumerate().map(|(place, far)| (link_of(place), far.host.clone()))
+        self.far_ends.iter().enumerate().map(|(place, far)| (far_end_link(place), far.host.clone()))
     }
 
-    fn place_of(&self, server: ServerId) -> Option<usize> {
-        self.fars.iter().position(|far| far.number == server)
+    fn far_end_index(&self, server: ServerId) -> Option<usize> {
+        self.far_ends.iter().position(|far| far.number == server)
     }
 
-    pub(crate) fn leads_to(&self, server: ServerId) -> bool {
-        self.place_of(server).is_some()
+    pub(crate) fn is_far_end(&self, server: ServerId) -> bool {
+        self.far_end_index(server).is_some()
     }
 
     /// The server with a point code.
     pub(crate) fn server_at(&self, point: u32) -> Option<ServerId> {
-        self.fars.iter().find(|far| far.point == point).map(|far| far.number)
+        self.far_ends.iter().find(|far| far.point == point).map(|far| far.number)
     }
 
-    /// The incoming call of a link and a session id that ends with its key.
-    pub(crate) fn call_of(&self, link: LinkId, session: &str) -> Option<CallKey> {
+    /// The incoming call of a link, by a session id that ends with the call key.
+    pub(crate) fn call_for_session(&self, link: LinkId, session: &str) -> Option<CallKey> {
         let call = CallKey(session.rsplit(';').next()?.parse().ok()?);
-        self.incoming.get(&call).filter(|far| link_of(**far) == link).map(|_| call)
+        self.incoming.get(&call).filter(|far| far_end_link(**far) == link).map(|_| call)
     }
 
     fn usages(&self, far: usize) -> Vec<(GroupId, Usage)> {
-        let groups = self.fars.get(far).into_iter().flat_map(|far| &far.groups);
-        groups.filter_map(|group| Some((*group, self.office.trunks().usage(*group)?))).collect()
+        let groups = self.far_ends.get(far).into_iter().flat_map(|far| &far.groups);
+        groups.filter_map(|group| Some((*group, self.signalling_point.trunks().usage(*group)?))).collect()
     }
 
     fn report(&self, far: usize) -> Report {
         far_end_report(&self.usages(far))
     }
 
-    // --- the engine's wishes ---
+    // --- requests of the engine ---
 
     /// Seizes a circuit for a set-up.
     pub(crate) fn set_up(
@@ -226,14 +230,14 @@
         attempt: AttemptId,
         server: ServerId,
         setup: Setup,
-        claim: RouteChoice,
+        choice: RouteChoice,
     ) {
-        let Some(far) = self.place_of(server) else { return };
-        self.attempts.insert(attempt, Attempt { far, setup, claim, tried: Vec::new(), stands: false });
+        let Some(far) = self.far_end_index(server) else { return };
+        self.attempts.insert(attempt, Attempt { far, setup, choice, tried: Vec::new(), established: false });
         self.try_next(now, attempt, End::NoCircuit);
     }
 
-    /// The next group, or the end of it, which was the last one's.
+    /// Tries the next group; when none is left, the attempt ends with the end on the last group.
     fn try_next(&mut self, now: Micros, id: AttemptId, last: End) {
         let Some(far) = self.attempts.get(&id).map(|attempt| attempt.far) else { return };
         let usages = self.usages(far);
@@ -241,178 +245,193 @@
         match next_group(&usages, &attempt.tried) {
             Some(group) => {
                 attempt.tried.push(group);
-                let (setup, claim) = (attempt.setup.clone(), attempt.claim);
-                self.office.seize(now, CallKey(id.0), group, setup, claim, &mut self.done);
-                self.settle(now);
+                let (setup, choice) = (attempt.setup.clone(), attempt.choice);
+                self.signalling_point.seize(now, CallKey(id.0), group, setup, choice, &mut self.buffers);
+                self.process_outputs(now);
             }
-            None => self.end(id, last),
+            None => self.end_attempt(id, last),
         }
     }
 
-    fn end(&mut self, id: AttemptId, end: End) {
+    fn end_attempt(&mut self, id: AttemptId, end: End) {
         let Some(attempt) = self.attempts.remove(&id) else { return };
         let (far, report) = (attempt.far, self.report(attempt.far));
         let (outcome, note) = outcome_of(end);
-        debug!(attempt = id.0, far = &*self.fars[far].host, ?end, "trunk call ended");
-        self.news.push_back(if attempt.stands {
-            News::Over(id, report)
+        debug!(attempt = id.0, far = &*self.far_ends[far].host, ?end, "trunk call ended");
+        self.events.push_back(if attempt.established {
+            TrunkEvent::Cut(id, report)
         } else {
-            News::Ended(id, AttemptEnd { outcome, note, report })
+            TrunkEvent::Ended(id, AttemptEnd { outcome, note, report })
         });
     }
 
-    /// Releases an attempt. It is done once the circuit is free again: until the RLC the far end may hold the call.
+    /// Releases an attempt. The release completes once the circuit is free: until the RLC the far end may
+    /// still hold the call.
     pub(crate) fn release(&mut self, now: Micros, id: AttemptId, server: ServerId) {
-        let Some(far) = self.place_of(server) else { return };
+        let Some(far) = self.far_end_index(server) else { return };
         self.attempts.remove(&id);
-        match self.office.trunks().circuit_of(CallKey(id.0)) {
+        match self.signalling_point.trunks().circuit_of(CallKey(id.0)) {
             Some((group, cic)) => {
                 self.releasing.insert((far, group, cic), id);
-                self.office.release(now, CallKey(id.0), cause::NORMAL_CLEARING, &mut self.done);
-                self.settle(now);
+                self.signalling_point.release(now, CallKey(id.0), cause::NORMAL_CLEARING, &mut self.buffers);
+                self.process_outputs(now);
             }
-            None => self.news.push_back(News::Released(id, self.report(far))),
+            None => self.events.push_back(TrunkEvent::Released(id, self.report(far))),
         }
     }
 
-    /// An incoming call has its answer.
+    /// Sends the final answer to an incoming call; `cause` is `None` when it is established.
     pub(crate) fn answer(&mut self, now: Micros, call: CallKey, cause: Option<u8>) {
         match cause {
-            None => self.office.answer(call, &mut self.done),
+            None => self.signalling_point.answer(call, &mut self.buffers),
             Some(cause) => self.drop_incoming(now, call, cause),
         }
-        self.settle(now);
+        self.process_outputs(now);
     }
 
-    /// An incoming call that stood was cut.
+    /// Releases an established incoming call that was cut.
     pub(crate) fn cut(&mut self, now: Micros, call: CallKey) {
         self.drop_incoming(now, call, cause::TEMPORARY_FAILURE);
-        self.settle(now);
+        self.process_outputs(now);
     }
 
     fn drop_incoming(&mut self, now: Micros, call: CallKey, cause: u8) {
         self.incoming.remove(&call);
-        self.office.release(now, call, cause, &mut self.done);
+        self.signalling_point.release(now, call, cause, &mut self.buffers);
     }
 
     /// The incoming call that a request belongs to.
-    pub(crate) fn asked_by(&self, request: Request) -> Option<CallKey> {
+    pub(crate) fn call_for_request(&self, request: Request) -> Option<CallKey> {
         let call = CallKey(request.ticket);
-        self.incoming.get(&call).filter(|far| link_of(**far) == request.link).map(|_| call)
+        self.incoming.get(&call).filter(|far| far_end_link(**far) == request.link).map(|_| call)
     }
 
     // --- the far ends ---
 
-    pub(crate) fn heard(&mut self, now: Micros, data: &Data) -> bool {
-        let taken = self.office.handle_packet(now, data, &mut self.done);
-        if let Err(error) = &taken {
-            debug!(from = data.opc, %error, "packet turned down");
+    /// Handles a packet; returns whether it was valid.
+    pub(crate) fn handle_packet(&mut self, now: Micros, data: &Data) -> bool {
+        let result = self.signalling_point.handle_packet(now, data, &mut self.buffers);
+        if let Err(error) = &result {
+            debug!(from = data.opc, %error, "packet rejected");
         }
-        self.settle(now);
-        self.completed(data.opc);
-        taken.is_ok()
+        self.process_outputs(now);
+        self.collect_releases(data.opc);
+        result.is_ok()
     }
 
-    /// Set-ups that hold a circuit, or look for one.
+    /// Set-ups that hold or seek a circuit.
     pub(crate) fn attempts(&self) -> Vec<(AttemptId, ServerId)> {
-        self.attempts.iter().map(|(id, attempt)| (*id, self.fars[attempt.far].number)).collect()
+        self.attempts.iter().map(|(id, attempt)| (*id, self.far_ends[attempt.far].number)).collect()
     }
 
-    pub(crate) fn reachable(&mut self, now: Micros, point: u32, reachable: bool) {
-        self.office.set_reachable(now, point, reachable, &mut self.done);
-        self.settle(now);
+    pub(crate) fn set_reachable(&mut self, now: Micros, point: u32, reachable: bool) {
+        self.signalling_point.set_reachable(now, point, reachable, &mut self.buffers);
+        self.process_outputs(now);
     }
 
     pub(crate) fn next_wake(&self) -> Option<Micros> {
-        self.office.next_wake().filter(|_| !self.fars.is_empty())
+        self.signalling_point.next_wake().filter(|_| !self.far_ends.is_empty())
     }
 
     pub(crate) fn tick(&mut self, now: Micros) {
-        self.office.tick(now, &mut self.done);
-        self.settle(now);
+        self.signalling_point.tick(now, &mut self.buffers);
+        self.process_outputs(now);
     }
 
-    /// Sees to what the office has done.
-    fn settle(&mut self, now: Micros) {
+    /// Processes the outputs of the signalling point until none are left.
+    fn process_outputs(&mut self, now: Micros) {
         loop {
-            let (packets, outputs) = std::mem::take(&mut self.done);
+            let (packets, outputs) = std::mem::take(&mut self.buffers);
             self.packets.extend(packets);
             if outputs.is_empty() {
                 break;
             }
-            outputs.into_iter().for_each(|output| self.output(now, output));
+            outputs.into_iter().for_each(|output| self.handle_output(now, output));
         }
     }
 
-    /// Releases that a far end has completed just now.
-    fn completed(&mut self, point: u32) {
-        let Some(far) = self.fars.iter().position(|far| far.point == point) else { return };
-        let trunks = self.office.trunks();
-        let changing = |group, cic| trunks.view(group, cic).map(|view| view.state.processing);
-        let of_far = (far, GroupId(0), 0)..=(far, GroupId(u16::MAX), u16::MAX);
-        let over = self.releasing.range(of_far);
-        let over = over.filter(|((_, group, cic), _)| changing(*group, *cic) != Some(Processing::Transient));
-        let over: Vec<_> = over.map(|(key, _)| *key).collect();
-        for key in over {
+    /// Reports the releases that the far end with this point code has completed.
+    fn collect_releases(&mut self, point: u32) {
+        let Some(far) = self.far_ends.iter().position(|far| far.point == point) else { return };
+        let trunks = self.signalling_point.trunks();
+        let processing = |group, cic| trunks.view(group, cic).map(|view| view.state.processing);
+        let keys = (far, GroupId(0), 0)..=(far, GroupId(u16::MAX), u16::MAX);
+        let completed = self.releasing.range(keys);
+        let completed =
+            completed.filter(|((_, group, cic), _)| processing(*group, *cic) != Some(Processing::Transient));
+        let completed: Vec<_> = completed.map(|(key, _)| *key).collect();
+        for key in completed {
             if let Some(id) = self.releasing.remove(&key) {
-                self.news.push_back(News::Released(id, self.report(far)));
+                self.events.push_back(TrunkEvent::Released(id, self.report(far)));
             }
         }
     }
 
-    fn output(&mut self, now: Micros, output: Output) {
+    fn handle_output(&mut self, now: Micros, output: Output) {
         match output {
             Output::Send { .. } | Output::Accepted(_) => {}
             Output::Answered(call) => {
                 let id = AttemptId(call.0);
                 let Some(attempt) = self.attempts.get_mut(&id) else { return };
-                attempt.stands = true;
+                attempt.established = true;
                 let far = attempt.far;
-                self.news.push_back(News::Stands(id, self.report(far)));
+                self.events.push_back(TrunkEvent::Established(id, self.report(far)));
             }
-            Output::Ended(call, _) if call.is_incoming() => self.left(call),
+            Output::Ended(call, _) if call.is_incoming() => self.incoming_cleared(call),
             Output::Ended(call, end) if may_try_next_group(end) => self.try_next(now, AttemptId(call.0), end),
-            Output::Ended(call, end) => self.end(AttemptId(call.0), end),
-            Output::Incoming { call, group, setup } => self.seized(now, call, group, &setup),
+            Output::Ended(call, end) => self.end_attempt(AttemptId(call.0), end),
+            Output::Incoming { call, group, setup } => self.incoming_seizure(now, call, group, &setup),
             Output::Report { group, cic, what } => {
-                let far = self.of_group.get(usize::from(group.0)).and_then(|far| self.fars.get(*far));
+                let far =
+                    self.group_far_ends.get(usize::from(group.0)).and_then(|far| self.far_ends.get(*far));
                 let far = far.map_or("", |far| &*far.host);
                 match what {
-                    Maintenance::Stuck => warn!(far, group = group.0, cic, "circuit was stuck, and is reset"),
+                    Maintenance::Stuck => warn!(far, group = group.0, cic, "stuck circuit reset"),
                     what => warn!(far, group = group.0, cic, ?what, "circuit"),
                 }
             }
         }
     }
 
-    fn seized(&mut self, now: Micros, call: CallKey, group: GroupId, setup: &Setup) {
-        let Some(far) = self.of_group.get(usize::from(group.0)).copied() else { return };
-        let Some(what) = self.fars[far].incoming else {
-            return self.office.release(now, call, cause::SWITCHING_CONGESTION, &mut self.done);
+    fn incoming_seizure(&mut self, now: Micros, call: CallKey, group: GroupId, setup: &Setup) {
+        let Some(far) = self.group_far_ends.get(usize::from(group.0)).copied() else { return };
+        let Some(config) = self.far_ends[far].incoming else {
+            return self.signalling_point.release(now, call, cause::SWITCHING_CONGESTION, &mut self.buffers);
         };
         self.incoming.insert(call, far);
-        // Taken: the far end's T7 stops, and its caller's patience is what counts from now on.
-        self.office.accept(call, &mut self.done);
+        // The ACM stops the far end's T7; from here on the caller timeout applies.
+        self.signalling_point.accept(call, &mut self.buffers);
         let number =
             setup.number.iter().filter(|digit| **digit < 10).map(|digit| char::from(b'0' + digit)).collect();
         let reference = std::str::from_utf8(&setup.reference).ok().filter(|text| !text.is_empty());
-        let request = Request { link: link_of(far), ticket: call.0 };
+        let request = Request { link: far_end_link(far), ticket: call.0 };
         let reference = reference.map(Arc::from);
-        self.news.push_back(News::Offered(Box::new(Offered { call, request, far, number, reference, what })));
+        self.events.push_back(TrunkEvent::Incoming(Box::new(IncomingCall {
+            call,
+            request,
+            far_end: far,
+            number,
+            reference,
+            config,
+        })));
     }
 
-    fn left(&mut self, call: CallKey) {
+    fn incoming_cleared(&mut self, call: CallKey) {
         let Some(far) = self.incoming.remove(&call) else { return };
-        self.tickets += 1;
-        // A ticket of no call: the answer to this goes nowhere.
-        self.news.push_back(News::Left(call, far, Request { link: link_of(far), ticket: self.tickets }));
+        self.last_clear_ticket += 1;
+        // This ticket belongs to no call, so the answer to the request is dropped.
+        self.events.push_back(TrunkEvent::Cleared(
+            call,
+            far,
+            Request { link: far_end_link(far), ticket: self.last_clear_ticket },
+        ));
     }
 
     pub(crate) fn host(&self, far: usize) -> Arc<str> {
-        self.fars.get(far).map_or_else(|| Arc::from(""), |far| far.host.clone())
+        self.far_ends.get(far).map_or_else(|| Arc::from(""), |far| far.host.clone())
     }
 }
 
-fn link_of(far: usize) -> LinkId {
-    LinkId(LINKS + far as u64)
+fn far_end_link(far: usize) -> LinkId {
+    LinkId(FAR_END_LINK_BASE + far as u64)
 }
--- a/crates/desk/tests/desk.rs
+++ b/crates/desk/tests/desk.rs
@@ -82,15 +82,18 @@
 
 #[test]
 fn the_table_alone_says_what_a_request_is() {
-    let table = CallClassifier::new(&config());
+    let classifier = CallClassifier::new(&config());
     let facts = |change: &dyn Fn(&mut Message)| {
         let mut message = ccr("c1.test;1", RequestType::Initial);
         change(&mut message);
         let read = Ccr::read(&message).expect("complete");
-        table.facts(&message, &read).map_err(|fault| fault.code)
+        classifier.classify(&message, &read).map_err(|fault| fault.code)
     };
     let plain = facts(&|_| {}).unwrap();
-    assert_eq!((plain.class, plain.tenant, plain.first_choice, plain.gives_up), (1, 0, Some(1), 2_000_000));
+    assert_eq!(
+        (plain.class, plain.tenant, plain.first_choice, plain.caller_timeout),
+        (1, 0, Some(1), 2_000_000)
+    );
     let subscribed = |data: &str| {
         Avp::group(dict::SUBSCRIPTION_ID, &[Avp::u32(dict::SUBSCRIPTION_ID_TYPE, 4), Avp::text(444, data)])
     };
