--- a/crates/desk/tests/differential.rs
+++ b/crates/desk/tests/differential.rs
@@ -1,5 +1,5 @@
-//! The same calls once by Diameter and once by H.248 text, on equal servers in virtual time: the same final
-//! answer, call by call.
+//! Differential test in virtual time: the same calls by Diameter and by H.248 text, on equal servers, get the
+//! same final answers.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
 const S: u64 = 1_000_000;
 const LINK: LinkId = LinkId(1);
 
-fn desk(seed: u64) -> SessionLayer {
+fn session_layer(seed: u64) -> SessionLayer {
     let text = r#"
 front "f.test" realm="test" { listen "127.0.0.1:0"; serves "core.test"; }
 class "grid" { context "grid@test"; gives-up "3s"; aim "2s"; worth 1; }
@@ -33,7 +33,7 @@
     SessionLayer::new(&config, ProcessIdentity::numbered(9), seed).expect("good settings")
 }
 
-/// A small generator: what a call is depends on its number alone.
+/// Deterministic generator: the attributes of a call depend only on its number.
 fn draw(n: u64, salt: u64) -> u64 {
     let mut x = n.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ salt.wrapping_mul(0xd1b5_4a32_d192_ed03);
     x ^= x >> 31;
@@ -60,13 +60,14 @@
     }
 }
 
-/// Servers of one line each: so many set-ups a second, refusal past a wait, one slow and one silent for a while.
+/// Servers with one circuit each that process set-ups one by one and refuse them beyond a queueing time. One
+/// is slow and one silent for a period.
 struct Servers {
     free_at: [u64; 3],
 }
 
 impl Servers {
-    /// When a set-up is answered, and how; `None` when it never is.
+    /// Time and Result-Code of the answer to a set-up, and its queueing time; `None` if it is not answered.
     fn set_up(&mut self, now: u64, server: usize) -> Option<(u64, u32, u64)> {
         if server == 2 && (6 * S..9 * S).contains(&now) {
             return None;
@@ -81,19 +82,19 @@
     }
 }
 
-/// Final answers by call.
-fn play(calls: u64, by_text: bool, seed: u64) -> (BTreeMap<u64, u32>, usize) {
-    let mut desk = desk(seed);
+/// Runs the calls; returns the Result-Code of each call and the number of set-ups.
+fn run(calls: u64, by_text: bool, seed: u64) -> (BTreeMap<u64, u32>, usize) {
+    let mut session_layer = session_layer(seed);
     let (mut now, mut out) = (0u64, Vec::new());
     for server in 0..3 {
-        desk.handle(now, SessionInput::ServerUp { server, state_id: Some(1) }, &mut out);
+        session_layer.handle(now, SessionInput::ServerUp { server, state_id: Some(1) }, &mut out);
     }
     if by_text {
         let bytes = b"!/1 <c.test> T=4000000{C=-{SC=ROOT{SV{MT=RS}}}}".to_vec();
-        desk.handle(now, SessionInput::Text { link: LINK, reliable: true, bytes }, &mut out);
+        session_layer.handle(now, SessionInput::Text { link: LINK, reliable: true, bytes }, &mut out);
     } else {
         let remote = Remote { host: "c.test".into(), realm: "test".into(), state_id: None };
-        desk.handle(
+        session_layer.handle(
             now,
             SessionInput::ClientUp { link: LINK, client: AdmittedClient { remote, relay: false } },
             &mut out,
@@ -101,19 +102,19 @@
     }
     let mut servers = Servers { free_at: [0; 3] };
     let mut due: BTreeMap<(u64, u64), SessionInput> = BTreeMap::new();
-    let (mut answers, mut set_ups, mut order) = (BTreeMap::new(), 0, 0u64);
+    let (mut answers, mut set_ups, mut sequence) = (BTreeMap::new(), 0, 0u64);
     for n in 0..calls {
         due.insert((call(n).at, n), if by_text { text_of(n) } else { request_of(n) });
     }
     let end = call(calls).at + 5 * S;
     while now < end {
         out.clear();
-        let next = due.keys().next().map_or(end, |key| key.0).min(desk.next_wake().unwrap_or(end));
+        let next = due.keys().next().map_or(end, |key| key.0).min(session_layer.next_wake().unwrap_or(end));
         now = now.max(next.min(end));
         if let Some(entry) = due.first_entry().filter(|entry| entry.key().0 <= now) {
-            desk.handle(now, entry.remove(), &mut out);
+            session_layer.handle(now, entry.remove(), &mut out);
         }
-        desk.handle(now, SessionInput::Tick, &mut out);
+        session_layer.handle(now, SessionInput::Tick, &mut out);
         for output in std::mem::take(&mut out) {
             match output {
                 SessionOutput::ToServer { server, attempt, kind, message, .. } => {
@@ -129,9 +130,9 @@
                     let report =
                         baydrift::interface::Report { wait_s: Some(wait as f64 / 1e6), ..Default::default() };
                     load::write(&report, "s", 1, &mut message);
-                    order += 1;
+                    sequence += 1;
                     let input = SessionInput::ServerAnswer { server, attempt, kind, message };
-                    due.insert((at, 1 << 40 | order), input);
+                    due.insert((at, 1 << 40 | sequence), input);
                 }
                 SessionOutput::ToClient { message, .. } => {
                     let n = message
@@ -182,9 +183,11 @@
     SessionInput::Text { link: LINK, reliable: true, bytes: text.into_bytes() }
 }
 
-/// Replies to set-ups: the call's number, and the code that Diameter has for the answer.
+/// Replies to set-ups: the number of the call, and the Result-Code equivalent to the answer.
 fn answers_of(text: &str) -> Vec<(u64, u32)> {
-    let Body::Transactions(all) = parse(text).expect("ours").body else { return Vec::new() };
+    let Body::Transactions(all) = parse(text).expect("message of the session layer").body else {
+        return Vec::new();
+    };
     let mut found = Vec::new();
     for transaction in all {
         let Transaction::Reply { id, body: ReplyBody::Actions(actions), .. } = transaction else { continue };
@@ -204,16 +207,16 @@
 }
 
 #[test]
-fn both_protocols_give_each_call_the_same_answer() {
+fn both_protocols_give_equal_answers() {
     for seed in 1..=4 {
         let calls = 1_000;
-        let (by_diameter, set_ups) = play(calls, false, seed);
-        let (by_text, text_set_ups) = play(calls, true, seed);
+        let (by_diameter, set_ups) = run(calls, false, seed);
+        let (by_text, text_set_ups) = run(calls, true, seed);
         assert_eq!(by_diameter.len() as u64, calls);
         let differ: Vec<_> = by_diameter.iter().filter(|(n, code)| by_text.get(n) != Some(code)).collect();
         assert!(differ.is_empty(), "seed {seed}: {} differ, first {:?}", differ.len(), differ.first());
         assert_eq!(set_ups, text_set_ups);
-        // The day is one that refuses, repeats and times out: equal answers say something.
+        // The load causes refusals, retries and time-outs, so that the comparison is meaningful.
         let of = |code| by_diameter.values().filter(|c| **c == code).count();
         assert!(
             of(result::SUCCESS) > 300 && of(result::TOO_BUSY) > 20 && set_ups as u64 != calls,
--- a/crates/desk/tests/desk.rs
+++ b/crates/desk/tests/session_layer.rs
@@ -1,4 +1,4 @@
-//! The desk without sockets: what requests mean, who may connect, and what answers are.
+//! The session layer without sockets: classification of requests, admission of clients, and answers.
 
 use baydrift::interface::{Note, Outcome, ServerState};
 use baydrift_call::{AttemptId, Final, LinkId, Refusal};
@@ -39,39 +39,43 @@
     message
 }
 
-struct World {
-    desk: SessionLayer,
+struct Harness {
+    session_layer: SessionLayer,
     now: u64,
 }
 
-impl World {
+impl Harness {
     fn new() -> Self {
-        let mut w = Self {
-            desk: SessionLayer::new(&config(), ProcessIdentity::numbered(9), 1).expect("good settings"),
+        let mut harness = Self {
+            session_layer: SessionLayer::new(&config(), ProcessIdentity::numbered(9), 1)
+                .expect("good settings"),
             now: 0,
         };
         for server in [0, 1] {
-            w.hear(SessionInput::ServerUp { server, state_id: Some(1) });
+            harness.handle(SessionInput::ServerUp { server, state_id: Some(1) });
         }
         let remote = Remote { host: "c1.test".into(), realm: "test".into(), state_id: Some(1) };
-        w.hear(SessionInput::ClientUp { link: LinkId(1), client: AdmittedClient { remote, relay: false } });
-        w
+        harness.handle(SessionInput::ClientUp {
+            link: LinkId(1),
+            client: AdmittedClient { remote, relay: false },
+        });
+        harness
     }
 
-    fn hear(&mut self, input: SessionInput) -> Vec<SessionOutput> {
+    fn handle(&mut self, input: SessionInput) -> Vec<SessionOutput> {
         self.now += 1_000;
         let mut out = Vec::new();
-        self.desk.handle(self.now, input, &mut out);
-        self.desk.handle(self.now, SessionInput::Tick, &mut out);
+        self.session_layer.handle(self.now, input, &mut out);
+        self.session_layer.handle(self.now, SessionInput::Tick, &mut out);
         out
     }
 
-    fn ask(&mut self, message: Message) -> Vec<SessionOutput> {
-        self.hear(SessionInput::ClientRequest { link: LinkId(1), message })
+    fn request(&mut self, message: Message) -> Vec<SessionOutput> {
+        self.handle(SessionInput::ClientRequest { link: LinkId(1), message })
     }
 
     fn set_up(&mut self, session: &str) -> (u64, AttemptId, Message) {
-        match &self.ask(ccr(session, RequestType::Initial))[..] {
+        match &self.request(ccr(session, RequestType::Initial))[..] {
             [SessionOutput::ToServer { server, attempt, kind: RequestKind::SetUp, message, .. }] => {
                 (*server, *attempt, message.clone())
             }
@@ -81,7 +85,7 @@
 }
 
 #[test]
-fn the_table_alone_says_what_a_request_is() {
+fn requests_are_classified_by_configuration() {
     let classifier = CallClassifier::new(&config());
     let facts = |change: &dyn Fn(&mut Message)| {
         let mut message = ccr("c1.test;1", RequestType::Initial);
@@ -115,7 +119,7 @@
 }
 
 #[test]
-fn each_result_code_has_its_meaning() {
+fn result_codes_map_to_outcomes() {
     let answer = |code| credit::answer(&ccr("s", RequestType::Initial), code, "s0.test", "core.test");
     assert_eq!(attempt_end(&answer(result::SUCCESS)), None);
     let cases = [
@@ -138,11 +142,11 @@
     assert_eq!(codes, [result::SUCCESS, result::TOO_BUSY, result::UNABLE_TO_COMPLY]);
 }
 
-/// A link to server 1 that is up.
+/// An established link to server 1.
 fn link_up(config: &Config) -> ServerLink {
-    let server = config.servers.iter().find(|server| server.number == 1).expect("it is configured");
-    let ours = local_capabilities(config, [127, 0, 0, 1].into(), 1);
-    let mut link = ServerLink::new(server, ours, config.watchdog, 1, 1);
+    let server = config.servers.iter().find(|server| server.number == 1).expect("server 1 is configured");
+    let capabilities = local_capabilities(config, [127, 0, 0, 1].into(), 1);
+    let mut link = ServerLink::new(server, capabilities, config.watchdog, 1, 1);
     let mut out = Vec::new();
     link.handle(0, PeerInput::Start, &mut out);
     link.handle(0, PeerInput::Connected, &mut out);
@@ -154,7 +158,7 @@
     let mut cea = Message::answer(&cer, result::SUCCESS)
         .with(Avp::text(dict::ORIGIN_HOST, "s1.test"))
         .with(Avp::text(dict::ORIGIN_REALM, "core.test"));
-    // The rest as the front said it of itself.
+    // The other AVPs are those of the front's own CER.
     let origin = [dict::ORIGIN_HOST, dict::ORIGIN_REALM];
     cea.avps.extend(cer.avps.iter().filter(|avp| !origin.contains(&avp.code)).cloned());
     link.handle(0, PeerInput::Received(Side::Initiator, Frame::Valid(cea)), &mut out);
@@ -162,37 +166,38 @@
     link
 }
 
-/// Guards against a set-up that goes out seconds late: the process stood still while it lay between desk and link.
+/// Guards against a set-up that is sent seconds late because the process stalled while it was queued between
+/// the session layer and its link.
 #[test]
-fn a_set_up_that_lay_through_a_standstill_is_not_sent_and_the_call_goes_on() {
-    let mut w = World::new();
+fn set_up_queued_during_a_stall_expires() {
+    let mut harness = Harness::new();
     let mut link = link_up(&config());
-    let (server, attempt, message) = w.set_up("c1.test;1");
+    let (server, attempt, message) = harness.set_up("c1.test;1");
     assert_eq!(server, 1);
     let request =
         |link: &mut ServerLink, now, kind| link.request(now, 1_000, (attempt, kind), message.clone());
     assert!(matches!(request(&mut link, 100_000, RequestKind::SetUp), SendDecision::Send(..)));
-    // What was set up is released however late.
+    // A release is sent however late it is.
     assert!(matches!(request(&mut link, 4_500_000, RequestKind::Release), SendDecision::Send(..)));
     let SendDecision::Expired(input) = request(&mut link, 102_000, RequestKind::SetUp) else {
-        panic!("it was sent")
+        panic!("the set-up was sent")
     };
     assert_eq!(input, SessionInput::SetUpNotSent(attempt));
-    // It never left: the call has another attempt at once, under a name of its own, and nothing is released.
-    let out = w.hear(input);
+    // The set-up was not sent: the call gets a new attempt with a new id at once, and nothing is released.
+    let out = harness.handle(input);
     let [SessionOutput::ToServer { attempt: next, kind: RequestKind::SetUp, .. }] = &out[..] else {
         panic!("{out:?}")
     };
     assert_ne!(*next, attempt);
-    // Told twice, or of an attempt that is over: nothing.
-    assert_eq!(w.hear(SessionInput::SetUpNotSent(attempt)), []);
+    // A repeated report, of an attempt that has ended, has no effect.
+    assert_eq!(harness.handle(SessionInput::SetUpNotSent(attempt)), []);
 }
 
 #[test]
-fn a_set_up_has_a_session_of_its_own_and_keeps_what_the_caller_said() {
-    let mut w = World::new();
+fn set_up_has_new_session_and_keeps_caller_avps() {
+    let mut harness = Harness::new();
     let extra = Avp { mandatory: false, ..Avp::vendor_specific(77, 5, vec![1, 2]) };
-    let out = w.ask(
+    let out = harness.request(
         ccr("c1.test;1", RequestType::Initial).with(extra.clone()).with(Avp::text(dict::ROUTE_RECORD, "p")),
     );
     let [SessionOutput::ToServer { server: 1, attempt, message, .. }] = &out[..] else { panic!("{out:?}") };
@@ -207,11 +212,16 @@
 }
 
 #[test]
-fn an_abort_finds_its_call_and_a_foreign_one_does_not() {
-    let mut w = World::new();
-    let (server, attempt, message) = w.set_up("c1.test;1");
+fn abort_matches_only_sessions_of_this_process() {
+    let mut harness = Harness::new();
+    let (server, attempt, message) = harness.set_up("c1.test;1");
     let cca = credit::answer(&message, result::SUCCESS, "s1.test", "core.test");
-    let out = w.hear(SessionInput::ServerAnswer { server, attempt, kind: RequestKind::SetUp, message: cca });
+    let out = harness.handle(SessionInput::ServerAnswer {
+        server,
+        attempt,
+        kind: RequestKind::SetUp,
+        message: cca,
+    });
     assert!(
         matches!(&out[..], [SessionOutput::ToClient { message, .. }] if message.result() == result::SUCCESS)
     );
@@ -233,32 +243,32 @@
     for foreign in ["f.test;9-8;1", "f.test;9;1", "other;9-9;1", "f.test;9-9;x", "", ";;;"] {
         let message = credit::abort(ends, foreign);
         assert_eq!(
-            codes(&w.hear(SessionInput::ServerRequest { server, message })),
+            codes(&harness.handle(SessionInput::ServerRequest { server, message })),
             [result::UNKNOWN_SESSION_ID]
         );
     }
     let message = credit::abort(ends, &format!("f.test;9-9;{}", attempt.0));
-    let out = w.hear(SessionInput::ServerRequest { server, message });
+    let out = harness.handle(SessionInput::ServerRequest { server, message });
     assert_eq!(codes(&out), [result::SUCCESS, code::ABORT_SESSION]);
-    assert_eq!(w.desk.held().calls, 0);
+    assert_eq!(harness.session_layer.held().calls, 0);
 }
 
 #[test]
-fn a_client_down_takes_its_tickets_along() {
-    let mut w = World::new();
-    w.set_up("c1.test;1");
-    assert_eq!(w.desk.held().tickets, 1);
-    // The same call asked for many times over: only so many requests wait.
+fn client_down_drops_its_pending_requests() {
+    let mut harness = Harness::new();
+    harness.set_up("c1.test;1");
+    assert_eq!(harness.session_layer.held().tickets, 1);
+    // The number of pending requests of one repeated call is bounded.
     for _ in 0..50 {
-        w.ask(ccr("c1.test;1", RequestType::Initial));
+        harness.request(ccr("c1.test;1", RequestType::Initial));
     }
-    assert!(w.desk.held().tickets <= 4, "{:?}", w.desk.held());
-    w.hear(SessionInput::ClientDown(LinkId(1)));
-    assert_eq!(w.desk.held().tickets, 0);
+    assert!(harness.session_layer.held().tickets <= 4, "{:?}", harness.session_layer.held());
+    harness.handle(SessionInput::ClientDown(LinkId(1)));
+    assert_eq!(harness.session_layer.held().tickets, 0);
 }
 
 #[test]
-fn doors_count_and_know_whom_to_let_in() {
+fn admission_checks_identity_and_limits() {
     let local = Local {
         host: "f.test".into(),
         realm: "test".into(),
@@ -278,46 +288,53 @@
             .with(Avp::text(dict::PRODUCT_NAME, "x"))
             .with(Avp::u32(dict::AUTH_APPLICATION_ID, 4))
     };
-    let mut doors = Admission::new(&config());
-    assert!(doors.accept(LinkId(1)) && doors.accept(LinkId(2)));
-    assert!(!doors.accept(LinkId(3)), "two are half-open");
+    let mut admission = Admission::new(&config());
+    assert!(admission.accept(LinkId(1)) && admission.accept(LinkId(2)));
+    assert!(!admission.accept(LinkId(3)), "the limit of two half-open connections is reached");
     let code = |result: Result<AdmittedClient, baydrift_diameter::Fault>| {
         result.map(|o| o.relay).map_err(|f| f.code)
     };
-    assert_eq!(code(doors.admit(LinkId(1), &cer("nobody", "test"), &local)), Err(result::UNKNOWN_PEER));
-    assert_eq!(code(doors.admit(LinkId(1), &cer("c1.test", "else"), &local)), Err(result::UNKNOWN_PEER));
-    assert_eq!(code(doors.admit(LinkId(1), &cer("c1.test", "test"), &local)), Ok(false));
-    assert_eq!(code(doors.admit(LinkId(2), &cer("c1.test", "test"), &local)), Err(result::UNABLE_TO_COMPLY));
-    assert_eq!(code(doors.admit(LinkId(2), &cer("relay.test", "test"), &local)), Ok(true));
-    assert!(doors.accept(LinkId(3)));
-    assert!(!doors.accept(LinkId(4)), "three in all");
-    (1..=4).for_each(|link| doors.close(LinkId(link)));
-    assert_eq!(doors.count(), (0, 0));
+    assert_eq!(code(admission.admit(LinkId(1), &cer("nobody", "test"), &local)), Err(result::UNKNOWN_PEER));
+    assert_eq!(code(admission.admit(LinkId(1), &cer("c1.test", "else"), &local)), Err(result::UNKNOWN_PEER));
+    assert_eq!(code(admission.admit(LinkId(1), &cer("c1.test", "test"), &local)), Ok(false));
+    assert_eq!(
+        code(admission.admit(LinkId(2), &cer("c1.test", "test"), &local)),
+        Err(result::UNABLE_TO_COMPLY)
+    );
+    assert_eq!(code(admission.admit(LinkId(2), &cer("relay.test", "test"), &local)), Ok(true));
+    assert!(admission.accept(LinkId(3)));
+    assert!(!admission.accept(LinkId(4)), "the limit of three connections is reached");
+    (1..=4).for_each(|link| admission.close(LinkId(link)));
+    assert_eq!(admission.count(), (0, 0));
 }
 
 #[test]
-fn a_list_is_taken_whole_or_not_at_all() {
-    let mut w = World::new();
+fn server_list_with_invalid_entry_is_rejected_whole() {
+    let mut harness = Harness::new();
     let mut push = |version, hosts: &[&str]| {
-        let line =
+        let entry =
             |host: &&str| PoolEntry { host: (*host).into(), state: ServerState::Draining, started_ago: None };
-        let list = PoolList { version, full: false, servers: hosts.iter().map(line).collect() };
-        w.desk.apply_pool_list(w.now, &list, &mut Vec::new())
+        let list = PoolList { version, full: false, servers: hosts.iter().map(entry).collect() };
+        harness.session_layer.apply_pool_list(harness.now, &list, &mut Vec::new())
     };
     assert_eq!(push(3, &["s0.test", "s9.test"]), Err(PoolError::Unknown("s9.test".into())));
     assert_eq!(push(3, &["s0.test", "s0.test"]), Err(PoolError::Duplicate("s0.test".into())));
     assert_eq!(push(3, &["s1.test"]), Ok(()));
     assert_eq!(push(3, &["s0.test"]), Err(PoolError::Outdated { got: 3, known: 3 }));
-    assert_eq!(w.set_up("c1.test;1").0, 0, "the first choice drains, the other never did");
+    assert_eq!(
+        harness.set_up("c1.test;1").0,
+        0,
+        "the first choice drains; the rejected list had no effect on the other"
+    );
 }
 
 #[test]
-fn transit_forgets_the_oldest_at_its_bound() {
-    let mut transit = OutstandingRequests::new(2);
-    (1..=3).for_each(|id| transit.sent(id, AttemptId(u64::from(id)), RequestKind::SetUp));
-    assert_eq!((transit.len(), transit.answered(1)), (2, None));
-    assert_eq!(transit.answered(3), Some((AttemptId(3), RequestKind::SetUp)));
-    assert_eq!(transit.answered(3), None);
-    transit.clear();
-    assert!(transit.is_empty());
+fn oldest_outstanding_request_is_dropped_at_capacity() {
+    let mut outstanding = OutstandingRequests::new(2);
+    (1..=3).for_each(|id| outstanding.sent(id, AttemptId(u64::from(id)), RequestKind::SetUp));
+    assert_eq!((outstanding.len(), outstanding.answered(1)), (2, None));
+    assert_eq!(outstanding.answered(3), Some((AttemptId(3), RequestKind::SetUp)));
+    assert_eq!(outstanding.answered(3), None);
+    outstanding.clear();
+    assert!(outstanding.is_empty());
 }
--- a/crates/desk/tests/trunk.rs
+++ b/crates/desk/tests/trunk.rs
@@ -1,4 +1,4 @@
-//! Calls over trunk groups at the desk: circuits seized for callers, and calls that far ends offer.
+//! Calls over trunk groups in the session layer: circuits seized for callers, and calls that far ends offer.
 
 use baydrift_call::LinkId;
 use baydrift_desk::{
@@ -12,7 +12,7 @@
 const OWN: u32 = 11;
 const FAR: u32 = 21;
 
-/// Two groups of two circuits lead to one far end; another server is reached by Diameter.
+/// Two groups of two circuits to one far end. [`SERVER`] adds a server that is reached by Diameter.
 const CONFIG: &str = r#"
 front "f.test" realm="test" { listen "127.0.0.1:0"; serves "core.test"; seed 1; }
 class "grid" { context "grid@test"; gives-up "3s"; }
@@ -27,26 +27,30 @@
 "#;
 const SERVER: &str = "server \"s0.test\" realm=\"core.test\" number=0 addr=\"127.0.0.1:1\"\n";
 
-struct World {
-    desk: SessionLayer,
+struct Harness {
+    session_layer: SessionLayer,
     now: u64,
 }
 
-impl World {
+impl Harness {
     fn new(config: &str) -> Self {
         let config = baydrift_config::parse("test", config).unwrap_or_else(|e| panic!("{:?}", e.problems));
-        let mut w = Self {
-            desk: SessionLayer::new(&config, ProcessIdentity::numbered(9), 1).expect("good settings"),
+        let mut harness = Self {
+            session_layer: SessionLayer::new(&config, ProcessIdentity::numbered(9), 1)
+                .expect("good settings"),
             now: 0,
         };
         let remote = Remote { host: "c1.test".into(), realm: "test".into(), state_id: Some(1) };
-        w.hear(SessionInput::ClientUp { link: LinkId(1), client: AdmittedClient { remote, relay: false } });
-        w
+        harness.handle(SessionInput::ClientUp {
+            link: LinkId(1),
+            client: AdmittedClient { remote, relay: false },
+        });
+        harness
     }
 
-    /// The signalling link comes up, and the far end answers the resets of a start.
-    fn up(&mut self) {
-        let out = self.hear(SessionInput::TrunkUp(FAR));
+    /// Brings the signalling link up; the far end acknowledges the initial resets.
+    fn link_up(&mut self) {
+        let out = self.handle(SessionInput::TrunkUp(FAR));
         let resets = signals(&out);
         assert_eq!(
             resets.iter().map(|s| (s.kind, s.cic)).collect::<Vec<_>>(),
@@ -56,25 +60,25 @@
             let range = reset.range().expect("a range");
             let status = vec![false; range.circuits()];
             let ack = Signal::with_range(Isup::Gra, reset.cic, &Range { range: range.range, status });
-            self.say(&ack);
+            self.send(&ack);
         }
     }
 
-    fn hear(&mut self, input: SessionInput) -> Vec<SessionOutput> {
+    fn handle(&mut self, input: SessionInput) -> Vec<SessionOutput> {
         self.now += 1_000;
         let mut out = Vec::new();
-        self.desk.handle(self.now, input, &mut out);
-        self.desk.handle(self.now, SessionInput::Tick, &mut out);
+        self.session_layer.handle(self.now, input, &mut out);
+        self.session_layer.handle(self.now, SessionInput::Tick, &mut out);
         out
     }
 
-    /// The far end says something.
-    fn say(&mut self, signal: &Signal) -> Vec<SessionOutput> {
+    /// Passes a signal from the far end.
+    fn send(&mut self, signal: &Signal) -> Vec<SessionOutput> {
         let message = signal.write().expect("it fits");
-        self.hear(SessionInput::TrunkPacket(Data { opc: FAR, dpc: OWN, sls: 0, message }))
+        self.handle(SessionInput::TrunkPacket(Data { opc: FAR, dpc: OWN, sls: 0, message }))
     }
 
-    fn ask(&mut self, session: &str, kind: RequestType) -> Vec<SessionOutput> {
+    fn request(&mut self, session: &str, kind: RequestType) -> Vec<SessionOutput> {
         let ends = Endpoints {
             origin_host: "c1.test",
             origin_realm: "gulf.test",
@@ -83,12 +87,12 @@
         };
         let mut message = credit::request(ends, session, "grid@test", kind, 0);
         message.push(Avp::text(dict::CALLED_STATION_ID, "5550123"));
-        self.hear(SessionInput::ClientRequest { link: LinkId(1), message })
+        self.handle(SessionInput::ClientRequest { link: LinkId(1), message })
     }
 
-    /// A set-up that goes out by an IAM.
+    /// Requests a call and returns the IAM of its set-up.
     fn seize(&mut self, session: &str) -> Signal {
-        let out = self.ask(session, RequestType::Initial);
+        let out = self.request(session, RequestType::Initial);
         match &signals(&out)[..] {
             [iam] if iam.kind == Isup::Iam => iam.clone(),
             other => panic!("{other:?}"),
@@ -96,7 +100,7 @@
     }
 
     fn free(&self) -> usize {
-        let trunks = self.desk.signalling_point().trunks();
+        let trunks = self.session_layer.signalling_point().trunks();
         (0..2).filter_map(|group| trunks.usage(GroupId(group))).map(|usage| usage.free).sum()
     }
 }
@@ -104,7 +108,7 @@
 fn signals(out: &[SessionOutput]) -> Vec<Signal> {
     let of = |out: &SessionOutput| match out {
         SessionOutput::ToFarEnd(data) if data.dpc == FAR => {
-            Some(Signal::read(&data.message).expect("our own"))
+            Some(Signal::read(&data.message).expect("signal of the session layer"))
         }
         _ => None,
     };
@@ -135,45 +139,49 @@
 }
 
 #[test]
-fn a_call_goes_out_by_a_circuit_and_its_release_frees_it() {
-    let mut w = World::new(CONFIG);
-    // Without a link no circuit is to be had: its caller is told before it gives up, and nothing is sent.
-    let mut early = w.ask("c1.test;0", RequestType::Initial);
+fn release_of_outgoing_call_frees_its_circuit() {
+    let mut harness = Harness::new(CONFIG);
+    // Without a link no circuit is available: the call is answered before the caller timeout, and no signal
+    // is sent.
+    let mut early = harness.request("c1.test;0", RequestType::Initial);
     for _ in 0..30 {
-        w.now += 100_000;
-        early.extend(w.hear(SessionInput::Tick));
+        harness.now += 100_000;
+        early.extend(harness.handle(SessionInput::Tick));
     }
     assert!(signals(&early).is_empty() && answers(&early).len() == 1, "{early:?}");
-    w.up();
-    assert_eq!(w.free(), 4);
-    let sent = w.seize("c1.test;1");
-    let told = sent.as_iam().expect("an IAM");
-    assert_eq!(told.called.digits, [5, 5, 5, 0, 1, 2, 3]);
-    let reference = String::from_utf8(told.reference).expect("text");
+    harness.link_up();
+    assert_eq!(harness.free(), 4);
+    let sent = harness.seize("c1.test;1");
+    let setup = sent.as_iam().expect("an IAM");
+    assert_eq!(setup.called.digits, [5, 5, 5, 0, 1, 2, 3]);
+    let reference = String::from_utf8(setup.reference).expect("text");
     assert!(reference.starts_with("f.test;9-9;") && reference.ends_with(" c1.test|c1.test;1"), "{reference}");
-    assert!(answers(&w.say(&Signal::acm(sent.cic))).is_empty());
-    assert_eq!(answers(&w.say(&Signal::new(Isup::Anm, sent.cic))), [2001]);
-    assert_eq!(w.free(), 3);
-    let out = w.ask("c1.test;1", RequestType::Termination);
+    assert!(answers(&harness.send(&Signal::acm(sent.cic))).is_empty());
+    assert_eq!(answers(&harness.send(&Signal::new(Isup::Anm, sent.cic))), [2001]);
+    assert_eq!(harness.free(), 3);
+    let out = harness.request("c1.test;1", RequestType::Termination);
     assert_eq!((kinds(&out), answers(&out)), (vec![Isup::Rel], vec![2001]));
-    assert_eq!(w.free(), 3);
-    w.say(&Signal::new(Isup::Rlc, sent.cic));
-    assert_eq!((w.free(), w.desk.held().calls, w.desk.held().orphans), (4, 0, 0));
+    assert_eq!(harness.free(), 3);
+    harness.send(&Signal::new(Isup::Rlc, sent.cic));
+    assert_eq!(
+        (harness.free(), harness.session_layer.held().calls, harness.session_layer.held().orphans),
+        (4, 0, 0)
+    );
 }
 
 #[test]
-fn a_far_end_without_free_circuits_is_no_line_and_the_call_goes_elsewhere() {
-    let mut w = World::new(&format!("{CONFIG}{SERVER}"));
-    w.up();
-    // All circuits are blocked from there: free lines are none, as the module is told.
+fn call_is_routed_elsewhere_without_free_circuits() {
+    let mut harness = Harness::new(&format!("{CONFIG}{SERVER}"));
+    harness.link_up();
+    // The far end blocks all circuits, so the engine gets a report of no free ones.
     for first in [1, 33] {
         let range = Range { range: 1, status: vec![true; 2] };
-        assert_eq!(kinds(&w.say(&Signal::with_range(Isup::Cgb, first, &range))), [Isup::Cgba]);
+        assert_eq!(kinds(&harness.send(&Signal::with_range(Isup::Cgb, first, &range))), [Isup::Cgba]);
     }
-    assert_eq!(w.free(), 0);
-    w.hear(SessionInput::ServerUp { server: 0, state_id: Some(1) });
+    assert_eq!(harness.free(), 0);
+    harness.handle(SessionInput::ServerUp { server: 0, state_id: Some(1) });
     for call in 0..20 {
-        let out = w.ask(&format!("c1.test;{call}"), RequestType::Initial);
+        let out = harness.request(&format!("c1.test;{call}"), RequestType::Initial);
         let by_diameter = |o: &SessionOutput| {
             matches!(o, SessionOutput::ToServer { server: 0, kind: RequestKind::SetUp, .. })
         };
@@ -182,49 +190,49 @@
 }
 
 #[test]
-fn a_refusal_by_its_cause_ends_the_attempt_and_frees_the_circuit() {
+fn refusal_ends_attempt_and_frees_circuit() {
     for why in [cause::USER_BUSY, cause::SWITCHING_CONGESTION, cause::NO_CIRCUIT, cause::UNALLOCATED] {
-        let mut w = World::new(CONFIG);
-        w.up();
-        let sent = w.seize("c1.test;1");
-        let out = w.say(&Signal::with_cause(Isup::Rel, sent.cic, why));
+        let mut harness = Harness::new(CONFIG);
+        harness.link_up();
+        let sent = harness.seize("c1.test;1");
+        let out = harness.send(&Signal::with_cause(Isup::Rel, sent.cic, why));
         assert_eq!(kinds(&out)[0], Isup::Rlc, "cause {why}");
-        // The far end has nothing of it any more: what is out now, if anything, is on a circuit of its own.
+        // The attempt is released at the far end; a further attempt, if any, holds a circuit of its own.
         let again = signals(&out).iter().filter(|signal| signal.kind == Isup::Iam).count();
-        assert!(again <= 1 && w.free() == 4 - again, "cause {why}");
+        assert!(again <= 1 && harness.free() == 4 - again, "cause {why}");
     }
 }
 
 #[test]
-fn a_call_that_yields_is_set_up_again_on_another_circuit_and_the_far_ends_is_taken() {
-    let mut w = World::new(CONFIG);
-    w.up();
-    // This end has the lower point code: the odd circuits are its own. Its own ones go first.
-    let own = [w.seize("c1.test;1"), w.seize("c1.test;2")];
+fn call_that_loses_a_dual_seizure_moves_to_another_circuit() {
+    let mut harness = Harness::new(CONFIG);
+    harness.link_up();
+    // This end has the lower point code, so it controls the odd circuits and selects them first.
+    let own = [harness.seize("c1.test;1"), harness.seize("c1.test;2")];
     assert!(own.iter().all(|sent| sent.cic % 2 == 1));
-    let even = w.seize("c1.test;3");
+    let even = harness.seize("c1.test;3");
     assert_eq!(even.cic % 2, 0);
-    // Both ends seized it; the far end controls it.
-    let out = w.say(&iam(even.cic, "their call"));
+    // Dual seizure of a circuit that the far end controls.
+    let out = harness.send(&iam(even.cic, "their call"));
     let again: Vec<_> = signals(&out).into_iter().filter(|signal| signal.kind == Isup::Iam).collect();
     assert_eq!(again.len(), 1);
     assert_ne!(again[0].cic, even.cic);
     assert_eq!(again[0].as_iam().map(|iam| iam.reference), even.as_iam().map(|iam| iam.reference));
-    // The other way round: ours goes on, and theirs is as if it had never been.
-    assert!(w.say(&iam(own[0].cic, "not taken")).is_empty());
-    assert_eq!(answers(&w.say(&Signal::new(Isup::Anm, own[0].cic))), [2001]);
+    // Dual seizure of a circuit that this end controls: its call continues, and the far end's IAM is ignored.
+    assert!(harness.send(&iam(own[0].cic, "not taken")).is_empty());
+    assert_eq!(answers(&harness.send(&Signal::new(Isup::Anm, own[0].cic))), [2001]);
 }
 
 #[test]
-fn a_far_ends_call_is_admitted_like_others_and_gets_one_answer() {
-    let mut w = World::new(&format!("{CONFIG}{SERVER}"));
-    w.up();
-    w.hear(SessionInput::ServerUp { server: 0, state_id: Some(1) });
+fn incoming_call_is_set_up_and_answered_once() {
+    let mut harness = Harness::new(&format!("{CONFIG}{SERVER}"));
+    harness.link_up();
+    harness.handle(SessionInput::ServerUp { server: 0, state_id: Some(1) });
     let mut taken = 0;
     for cic in [2, 34] {
-        let out = w.say(&iam(cic, "77"));
+        let out = harness.send(&iam(cic, "77"));
         assert_eq!(kinds(&out)[0], Isup::Acm);
-        let asked: Vec<(Message, _)> = out
+        let set_ups: Vec<(Message, _)> = out
             .iter()
             .filter_map(|o| match o {
                 SessionOutput::ToServer { server: 0, attempt, message, .. } => {
@@ -233,16 +241,20 @@
                 _ => None,
             })
             .collect();
-        let Some((request, attempt)) = asked.into_iter().next() else { continue };
+        let Some((request, attempt)) = set_ups.into_iter().next() else { continue };
         taken += 1;
         assert_eq!(request.text(dict::CC_CORRELATION_ID), Some("gw.test|77"));
         assert_eq!(request.text(dict::CALLED_STATION_ID), Some("555"));
         let message = credit::answer(&request, 2001, "s0.test", "core.test");
-        let out =
-            w.hear(SessionInput::ServerAnswer { server: 0, attempt, kind: RequestKind::SetUp, message });
+        let out = harness.handle(SessionInput::ServerAnswer {
+            server: 0,
+            attempt,
+            kind: RequestKind::SetUp,
+            message,
+        });
         assert_eq!(kinds(&out), [Isup::Anm]);
-        // Its caller is done: the server hears so.
-        let out = w.say(&Signal::with_cause(Isup::Rel, cic, cause::NORMAL_CLEARING));
+        // The far end clears the call: the server gets a release.
+        let out = harness.send(&Signal::with_cause(Isup::Rel, cic, cause::NORMAL_CLEARING));
         assert_eq!(kinds(&out), [Isup::Rlc]);
         let released =
             |o: &SessionOutput| matches!(o, SessionOutput::ToServer { kind: RequestKind::Release, .. });
@@ -252,62 +264,64 @@
 }
 
 #[test]
-fn a_far_ends_call_is_refused_with_a_cause_where_nothing_is_to_be_had() {
-    // The only way is back over the same groups, whose link is the only one: with all circuits taken by the far end
-    // there is no line for any call.
-    let mut w = World::new(CONFIG);
-    w.up();
+fn incoming_call_is_refused_with_a_cause_without_circuits() {
+    // The only route is back over the same groups; once the far end has seized all circuits, none is free.
+    let mut harness = Harness::new(CONFIG);
+    harness.link_up();
     let mut released = 0;
     for cic in [1, 2, 33, 34] {
-        let out = w.say(&iam(cic, "x"));
+        let out = harness.send(&iam(cic, "x"));
         released += signals(&out).iter().filter(|s| s.kind == Isup::Rel && s.cause().is_some()).count();
     }
     for _ in 0..400 {
-        w.now += 10_000;
-        released += signals(&w.hear(SessionInput::Tick)).iter().filter(|s| s.kind == Isup::Rel).count();
+        harness.now += 10_000;
+        released +=
+            signals(&harness.handle(SessionInput::Tick)).iter().filter(|s| s.kind == Isup::Rel).count();
     }
-    assert!(released > 0 && w.desk.held().in_set_up == 0);
-    // A far end that may offer no calls.
+    assert!(released > 0 && harness.session_layer.held().in_set_up == 0);
+    // A far end that is not allowed to offer calls.
     let closed = CONFIG.replace("    incoming class=\"grid\" publisher=\"gulf\"\n", "");
-    let mut w = World::new(&closed);
-    w.up();
-    let out = w.say(&iam(2, "x"));
+    let mut harness = Harness::new(&closed);
+    harness.link_up();
+    let out = harness.send(&iam(2, "x"));
     assert_eq!(signals(&out)[0].cause(), Some(cause::SWITCHING_CONGESTION));
-    assert_eq!(w.desk.held().calls, 0);
+    assert_eq!(harness.session_layer.held().calls, 0);
 }
 
 #[test]
-fn what_is_out_when_the_link_goes_is_released_when_it_is_back() {
-    let mut w = World::new(CONFIG);
-    w.up();
-    let seized = w.seize("c1.test;1");
-    let accepted = w.seize("c1.test;2");
-    w.say(&Signal::acm(accepted.cic));
-    w.hear(SessionInput::TrunkDown(FAR));
-    // Neither is out any more; whether the far end has them is not known.
-    assert_eq!(w.desk.held().in_set_up, 2);
-    w.now += 400_000;
-    w.hear(SessionInput::Tick);
-    let out = w.hear(SessionInput::TrunkUp(FAR));
+fn attempts_cut_off_by_link_failure_are_released_on_recovery() {
+    let mut harness = Harness::new(CONFIG);
+    harness.link_up();
+    let seized = harness.seize("c1.test;1");
+    let accepted = harness.seize("c1.test;2");
+    harness.send(&Signal::acm(accepted.cic));
+    harness.handle(SessionInput::TrunkDown(FAR));
+    // The calls remain in set-up; whether the far end still has the attempts is unknown.
+    assert_eq!(harness.session_layer.held().in_set_up, 2);
+    harness.now += 400_000;
+    harness.handle(SessionInput::Tick);
+    let out = harness.handle(SessionInput::TrunkUp(FAR));
     let released: std::collections::BTreeSet<_> =
         signals(&out).iter().filter(|s| s.kind == Isup::Rel).map(|s| s.cic).collect();
     assert_eq!(released, [seized.cic, accepted.cic].into());
 }
 
 #[test]
-fn packets_of_strangers_and_broken_ones_change_nothing() {
-    let mut w = World::new(CONFIG);
-    w.up();
+fn invalid_packets_have_no_effect() {
+    let mut harness = Harness::new(CONFIG);
+    harness.link_up();
     let good = iam(1, "x").write().expect("it fits");
     for (opc, dpc) in [(22, OWN), (FAR, 12)] {
-        assert!(w
-            .hear(SessionInput::TrunkPacket(Data { opc, dpc, sls: 0, message: good.clone() }))
+        assert!(harness
+            .handle(SessionInput::TrunkPacket(Data { opc, dpc, sls: 0, message: good.clone() }))
             .is_empty());
     }
     for end in 0..good.len() {
         let message = good[..end].to_vec();
-        assert!(w.hear(SessionInput::TrunkPacket(Data { opc: FAR, dpc: OWN, sls: 0, message })).is_empty());
+        assert!(harness
+            .handle(SessionInput::TrunkPacket(Data { opc: FAR, dpc: OWN, sls: 0, message }))
+            .is_empty());
     }
-    assert_eq!((w.free(), w.desk.held().calls), (4, 0));
-    assert_eq!(w.desk.faults(), 2 + good.len() as u64);
+    assert_eq!((harness.free(), harness.session_layer.held().calls), (4, 0));
+    assert_eq!(harness.session_layer.faults(), 2 + good.len() as u64);
 }
