--- a/crates/desk/tests/desk.rs
+++ b/crates/desk/tests/session_layer.rs
@@ -1,11 +1,12 @@
-//! The desk without sockets: what requests mean, who may connect, and what answers are.
+//! The session layer without sockets: classification of requests, admission of clients, and answers.
 
 use baydrift::interface::{Note, Outcome, ServerState};
 use baydrift_call::{AttemptId, Final, LinkId, Refusal};
 use baydrift_config::Config;
 use baydrift_desk::{
-    code_of, end_of, local, number_of, Asked, Boot, Desk, DeskInput, DeskOutput, Doors, Kind, LinkOutput,
-    Opened, PoolEntry, PoolError, PoolList, ServerLink, Table, Transit,
+    attempt_end, local_capabilities, number_of, result_code, Admission, AdmittedClient, CallClassifier,
+    LinkOutput, OutstandingRequests, PoolEntry, PoolError, PoolList, ProcessIdentity, RequestKind,
+    SendDecision, ServerLink, SessionInput, SessionLayer, SessionOutput,
 };
 use baydrift_diameter::credit::{self, Ccr, Endpoints, RequestType};
 use baydrift_diameter::{code, dict, load, result, Avp, Frame, Local, Message, PeerInput, Remote, Side};
@@ -38,37 +39,44 @@
     message
 }
 
-struct World {
-    desk: Desk,
+struct Harness {
+    session_layer: SessionLayer,
     now: u64,
 }
 
-impl World {
+impl Harness {
     fn new() -> Self {
-        let mut w = Self { desk: Desk::new(&config(), Boot::numbered(9), 1).expect("good settings"), now: 0 };
+        let mut harness = Self {
+            session_layer: SessionLayer::new(&config(), ProcessIdentity::numbered(9), 1)
+                .expect("good settings"),
+            now: 0,
+        };
         for server in [0, 1] {
-            w.hear(DeskInput::ServerUp { server, state_id: Some(1) });
+            harness.handle(SessionInput::ServerUp { server, state_id: Some(1) });
         }
         let remote = Remote { host: "c1.test".into(), realm: "test".into(), state_id: Some(1) };
-        w.hear(DeskInput::ClientUp { link: LinkId(1), opened: Opened { remote, relay: false } });
-        w
+        harness.handle(SessionInput::ClientUp {
+            link: LinkId(1),
+            client: AdmittedClient { remote, relay: false },
+        });
+        harness
     }
 
-    fn hear(&mut self, input: DeskInput) -> Vec<DeskOutput> {
+    fn handle(&mut self, input: SessionInput) -> Vec<SessionOutput> {
         self.now += 1_000;
         let mut out = Vec::new();
-        self.desk.hear(self.now, input, &mut out);
-        self.desk.hear(self.now, DeskInput::Tick, &mut out);
+        self.session_layer.handle(self.now, input, &mut out);
+        self.session_layer.handle(self.now, SessionInput::Tick, &mut out);
         out
     }
 
-    fn ask(&mut self, message: Message) -> Vec<DeskOutput> {
-        self.hear(DeskInput::ClientRequest { link: LinkId(1), message })
+    fn request(&mut self, message: Message) -> Vec<SessionOutput> {
+        self.handle(SessionInput::ClientRequest { link: LinkId(1), message })
     }
 
     fn set_up(&mut self, session: &str) -> (u64, AttemptId, Message) {
-        match &self.ask(ccr(session, RequestType::Initial))[..] {
-            [DeskOutput::ToServer { server, attempt, kind: Kind::SetUp, message, .. }] => {
+        match &self.request(ccr(session, RequestType::Initial))[..] {
+            [SessionOutput::ToServer { server, attempt, kind: RequestKind::SetUp, message, .. }] => {
                 (*server, *attempt, message.clone())
             }
             other => panic!("{other:?}"),
@@ -77,16 +85,19 @@
 }
 
 #[test]
-fn the_table_alone_says_what_a_request_is() {
-    let table = Table::new(&config());
+fn requests_are_classified_by_configuration() {
+    let classifier = CallClassifier::new(&config());
     let facts = |change: &dyn Fn(&mut Message)| {
         let mut message = ccr("c1.test;1", RequestType::Initial);
         change(&mut message);
         let read = Ccr::read(&message).expect("complete");
-        table.facts(&message, &read).map_err(|fault| fault.code)
+        classifier.classify(&message, &read).map_err(|fault| fault.code)
     };
     let plain = facts(&|_| {}).unwrap();
-    assert_eq!((plain.class, plain.tenant, plain.first_choice, plain.gives_up), (1, 0, Some(1), 2_000_000));
+    assert_eq!(
+        (plain.class, plain.tenant, plain.first_choice, plain.caller_timeout),
+        (1, 0, Some(1), 2_000_000)
+    );
     let subscribed = |data: &str| {
         Avp::group(dict::SUBSCRIPTION_ID, &[Avp::u32(dict::SUBSCRIPTION_ID_TYPE, 4), Avp::text(444, data)])
     };
@@ -108,9 +119,9 @@
 }
 
 #[test]
-fn each_result_code_has_its_meaning() {
+fn result_codes_map_to_outcomes() {
     let answer = |code| credit::answer(&ccr("s", RequestType::Initial), code, "s0.test", "core.test");
-    assert_eq!(end_of(&answer(result::SUCCESS)), None);
+    assert_eq!(attempt_end(&answer(result::SUCCESS)), None);
     let cases = [
         (result::TOO_BUSY, Outcome::Full, Note::ProcessorFull(2_500_000)),
         (result::RESOURCES_EXCEEDED, Outcome::Full, Note::NoLine),
@@ -123,19 +134,19 @@
         let mut message = answer(code);
         let report = baydrift::interface::Report { wait_s: Some(2.5), ..Default::default() };
         load::write(&report, "s0.test", 1, &mut message);
-        let end = end_of(&message).unwrap();
+        let end = attempt_end(&message).unwrap();
         assert_eq!((end.outcome, end.note, end.report.wait_s), (outcome, note, Some(2.5)), "{code}");
     }
     let refused = Final::Refused { retry_after: 0, why: Refusal::ByPolicy };
-    let codes = [Final::Established, refused, Final::Failed].map(|answer| code_of(answer).0);
+    let codes = [Final::Established, refused, Final::Failed].map(|answer| result_code(answer).0);
     assert_eq!(codes, [result::SUCCESS, result::TOO_BUSY, result::UNABLE_TO_COMPLY]);
 }
 
-/// A link to server 1 that is up.
+/// An established link to server 1.
 fn link_up(config: &Config) -> ServerLink {
-    let server = config.servers.iter().find(|server| server.number == 1).expect("it is configured");
-    let ours = local(config, [127, 0, 0, 1].into(), 1);
-    let mut link = ServerLink::new(server, ours, config.watchdog, 1, 1);
+    let server = config.servers.iter().find(|server| server.number == 1).expect("server 1 is configured");
+    let capabilities = local_capabilities(config, [127, 0, 0, 1].into(), 1);
+    let mut link = ServerLink::new(server, capabilities, config.watchdog, 1, 1);
     let mut out = Vec::new();
     link.handle(0, PeerInput::Start, &mut out);
     link.handle(0, PeerInput::Connected, &mut out);
@@ -147,7 +158,7 @@
     let mut cea = Message::answer(&cer, result::SUCCESS)
         .with(Avp::text(dict::ORIGIN_HOST, "s1.test"))
         .with(Avp::text(dict::ORIGIN_REALM, "core.test"));
-    // The rest as the front said it of itself.
+    // The other AVPs are those of the front's own CER.
     let origin = [dict::ORIGIN_HOST, dict::ORIGIN_REALM];
     cea.avps.extend(cer.avps.iter().filter(|avp| !origin.contains(&avp.code)).cloned());
     link.handle(0, PeerInput::Received(Side::Initiator, Frame::Valid(cea)), &mut out);
@@ -155,36 +166,41 @@
     link
 }
 
-/// Guards against a set-up that goes out seconds late: the process stood still while it lay between desk and link.
+/// Guards against a set-up that is sent seconds late because the process stalled while it was queued between
+/// the session layer and its link.
 #[test]
-fn a_set_up_that_lay_through_a_standstill_is_not_sent_and_the_call_goes_on() {
-    let mut w = World::new();
+fn set_up_queued_during_a_stall_expires() {
+    let mut harness = Harness::new();
     let mut link = link_up(&config());
-    let (server, attempt, message) = w.set_up("c1.test;1");
+    let (server, attempt, message) = harness.set_up("c1.test;1");
     assert_eq!(server, 1);
     let request =
         |link: &mut ServerLink, now, kind| link.request(now, 1_000, (attempt, kind), message.clone());
-    assert!(matches!(request(&mut link, 100_000, Kind::SetUp), Asked::Send(..)));
-    // What was set up is released however late.
-    assert!(matches!(request(&mut link, 4_500_000, Kind::Release), Asked::Send(..)));
-    let Asked::Stale(input) = request(&mut link, 102_000, Kind::SetUp) else { panic!("it was sent") };
-    assert_eq!(input, DeskInput::Unsent(attempt));
-    // It never left: the call has another attempt at once, under a name of its own, and nothing is released.
-    let out = w.hear(input);
-    let [DeskOutput::ToServer { attempt: next, kind: Kind::SetUp, .. }] = &out[..] else { panic!("{out:?}") };
+    assert!(matches!(request(&mut link, 100_000, RequestKind::SetUp), SendDecision::Send(..)));
+    // A release is sent however late it is.
+    assert!(matches!(request(&mut link, 4_500_000, RequestKind::Release), SendDecision::Send(..)));
+    let SendDecision::Expired(input) = request(&mut link, 102_000, RequestKind::SetUp) else {
+        panic!("the set-up was sent")
+    };
+    assert_eq!(input, SessionInput::SetUpNotSent(attempt));
+    // The set-up was not sent: the call gets a new attempt with a new id at once, and nothing is released.
+    let out = harness.handle(input);
+    let [SessionOutput::ToServer { attempt: next, kind: RequestKind::SetUp, .. }] = &out[..] else {
+        panic!("{out:?}")
+    };
     assert_ne!(*next, attempt);
-    // Told twice, or of an attempt that is over: nothing.
-    assert_eq!(w.hear(DeskInput::Unsent(attempt)), []);
+    // A repeated report, of an attempt that has ended, has no effect.
+    assert_eq!(harness.handle(SessionInput::SetUpNotSent(attempt)), []);
 }
 
 #[test]
-fn a_set_up_has_a_session_of_its_own_and_keeps_what_the_caller_said() {
-    let mut w = World::new();
+fn set_up_has_new_session_and_keeps_caller_avps() {
+    let mut harness = Harness::new();
     let extra = Avp { mandatory: false, ..Avp::vendor_specific(77, 5, vec![1, 2]) };
-    let out = w.ask(
+    let out = harness.request(
         ccr("c1.test;1", RequestType::Initial).with(extra.clone()).with(Avp::text(dict::ROUTE_RECORD, "p")),
     );
-    let [DeskOutput::ToServer { server: 1, attempt, message, .. }] = &out[..] else { panic!("{out:?}") };
+    let [SessionOutput::ToServer { server: 1, attempt, message, .. }] = &out[..] else { panic!("{out:?}") };
     assert_eq!(message.text(dict::SESSION_ID), Some(format!("f.test;9-9;{}", attempt.0).as_str()));
     assert_eq!(message.text(dict::DESTINATION_HOST), Some("s1.test"));
     assert_eq!(message.text(dict::CC_CORRELATION_ID), Some("c1.test|c1.test;1"));
@@ -196,13 +212,18 @@
 }
 
 #[test]
-fn an_abort_finds_its_call_and_a_foreign_one_does_not() {
-    let mut w = World::new();
-    let (server, attempt, message) = w.set_up("c1.test;1");
+fn abort_matches_only_sessions_of_this_process() {
+    let mut harness = Harness::new();
+    let (server, attempt, message) = harness.set_up("c1.test;1");
     let cca = credit::answer(&message, result::SUCCESS, "s1.test", "core.test");
-    let out = w.hear(DeskInput::ServerAnswer { server, attempt, kind: Kind::SetUp, message: cca });
+    let out = harness.handle(SessionInput::ServerAnswer {
+        server,
+        attempt,
+        kind: RequestKind::SetUp,
+        message: cca,
+    });
     assert!(
-        matches!(&out[..], [DeskOutput::ToClient { message, .. }] if message.result() == result::SUCCESS)
+        matches!(&out[..], [SessionOutput::ToClient { message, .. }] if message.result() == result::SUCCESS)
     );
     let ends = Endpoints {
         origin_host: "s1.test",
@@ -210,11 +231,11 @@
         destination_realm: "test",
         destination_host: None,
     };
-    let codes = |out: &[DeskOutput]| -> Vec<u32> {
+    let codes = |out: &[SessionOutput]| -> Vec<u32> {
         out.iter()
             .map(|o| match o {
-                DeskOutput::Reply { message, .. } => message.result(),
-                DeskOutput::ToClient { message, .. } => message.header.code,
+                SessionOutput::Reply { message, .. } => message.result(),
+                SessionOutput::ToClient { message, .. } => message.header.code,
                 other => panic!("{other:?}"),
             })
             .collect()
@@ -222,32 +243,32 @@
     for foreign in ["f.test;9-8;1", "f.test;9;1", "other;9-9;1", "f.test;9-9;x", "", ";;;"] {
         let message = credit::abort(ends, foreign);
         assert_eq!(
-            codes(&w.hear(DeskInput::ServerRequest { server, message })),
+            codes(&harness.handle(SessionInput::ServerRequest { server, message })),
             [result::UNKNOWN_SESSION_ID]
         );
     }
     let message = credit::abort(ends, &format!("f.test;9-9;{}", attempt.0));
-    let out = w.hear(DeskInput::ServerRequest { server, message });
+    let out = harness.handle(SessionInput::ServerRequest { server, message });
     assert_eq!(codes(&out), [result::SUCCESS, code::ABORT_SESSION]);
-    assert_eq!(w.desk.held().calls, 0);
+    assert_eq!(harness.session_layer.held().calls, 0);
 }
 
 #[test]
-fn a_client_down_takes_its_tickets_along() {
-    let mut w = World::new();
-    w.set_up("c1.test;1");
-    assert_eq!(w.desk.held().tickets, 1);
-    // The same call asked for many times over: only so many requests wait.
+fn client_down_drops_its_pending_requests() {
+    let mut harness = Harness::new();
+    harness.set_up("c1.test;1");
+    assert_eq!(harness.session_layer.held().tickets, 1);
+    // The number of pending requests of one repeated call is bounded.
     for _ in 0..50 {
-        w.ask(ccr("c1.test;1", RequestType::Initial));
+        harness.request(ccr("c1.test;1", RequestType::Initial));
     }
-    assert!(w.desk.held().tickets <= 4, "{:?}", w.desk.held());
-    w.hear(DeskInput::ClientDown(LinkId(1)));
-    assert_eq!(w.desk.held().tickets, 0);
+    assert!(harness.session_layer.held().tickets <= 4, "{:?}", harness.session_layer.held());
+    harness.handle(SessionInput::ClientDown(LinkId(1)));
+    assert_eq!(harness.session_layer.held().tickets, 0);
 }
 
 #[test]
-fn doors_count_and_know_whom_to_let_in() {
+fn admission_checks_identity_and_limits() {
     let local = Local {
         host: "f.test".into(),
         realm: "test".into(),
@@ -267,44 +288,53 @@
             .with(Avp::text(dict::PRODUCT_NAME, "x"))
             .with(Avp::u32(dict::AUTH_APPLICATION_ID, 4))
     };
-    let mut doors = Doors::new(&config());
-    assert!(doors.accept(LinkId(1)) && doors.accept(LinkId(2)));
-    assert!(!doors.accept(LinkId(3)), "two are half-open");
-    let code = |result: Result<Opened, baydrift_diameter::Fault>| result.map(|o| o.relay).map_err(|f| f.code);
-    assert_eq!(code(doors.greet(LinkId(1), &cer("nobody", "test"), &local)), Err(result::UNKNOWN_PEER));
-    assert_eq!(code(doors.greet(LinkId(1), &cer("c1.test", "else"), &local)), Err(result::UNKNOWN_PEER));
-    assert_eq!(code(doors.greet(LinkId(1), &cer("c1.test", "test"), &local)), Ok(false));
-    assert_eq!(code(doors.greet(LinkId(2), &cer("c1.test", "test"), &local)), Err(result::UNABLE_TO_COMPLY));
-    assert_eq!(code(doors.greet(LinkId(2), &cer("relay.test", "test"), &local)), Ok(true));
-    assert!(doors.accept(LinkId(3)));
-    assert!(!doors.accept(LinkId(4)), "three in all");
-    (1..=4).for_each(|link| doors.close(LinkId(link)));
-    assert_eq!(doors.count(), (0, 0));
+    let mut admission = Admission::new(&config());
+    assert!(admission.accept(LinkId(1)) && admission.accept(LinkId(2)));
+    assert!(!admission.accept(LinkId(3)), "the limit of two half-open connections is reached");
+    let code = |result: Result<AdmittedClient, baydrift_diameter::Fault>| {
+        result.map(|o| o.relay).map_err(|f| f.code)
+    };
+    assert_eq!(code(admission.admit(LinkId(1), &cer("nobody", "test"), &local)), Err(result::UNKNOWN_PEER));
+    assert_eq!(code(admission.admit(LinkId(1), &cer("c1.test", "else"), &local)), Err(result::UNKNOWN_PEER));
+    assert_eq!(code(admission.admit(LinkId(1), &cer("c1.test", "test"), &local)), Ok(false));
+    assert_eq!(
+        code(admission.admit(LinkId(2), &cer("c1.test", "test"), &local)),
+        Err(result::UNABLE_TO_COMPLY)
+    );
+    assert_eq!(code(admission.admit(LinkId(2), &cer("relay.test", "test"), &local)), Ok(true));
+    assert!(admission.accept(LinkId(3)));
+    assert!(!admission.accept(LinkId(4)), "the limit of three connections is reached");
+    (1..=4).for_each(|link| admission.close(LinkId(link)));
+    assert_eq!(admission.count(), (0, 0));
 }
 
 #[test]
-fn a_list_is_taken_whole_or_not_at_all() {
-    let mut w = World::new();
+fn server_list_with_invalid_entry_is_rejected_whole() {
+    let mut harness = Harness::new();
     let mut push = |version, hosts: &[&str]| {
-        let line =
+        let entry =
             |host: &&str| PoolEntry { host: (*host).into(), state: ServerState::Draining, started_ago: None };
-        let list = PoolList { version, full: false, servers: hosts.iter().map(line).collect() };
-        w.desk.pool(w.now, &list, &mut Vec::new())
+        let list = PoolList { version, full: false, servers: hosts.iter().map(entry).collect() };
+        harness.session_layer.apply_pool_list(harness.now, &list, &mut Vec::new())
     };
     assert_eq!(push(3, &["s0.test", "s9.test"]), Err(PoolError::Unknown("s9.test".into())));
-    assert_eq!(push(3, &["s0.test", "s0.test"]), Err(PoolError::Twice("s0.test".into())));
+    assert_eq!(push(3, &["s0.test", "s0.test"]), Err(PoolError::Duplicate("s0.test".into())));
     assert_eq!(push(3, &["s1.test"]), Ok(()));
-    assert_eq!(push(3, &["s0.test"]), Err(PoolError::Old { got: 3, known: 3 }));
-    assert_eq!(w.set_up("c1.test;1").0, 0, "the first choice drains, the other never did");
+    assert_eq!(push(3, &["s0.test"]), Err(PoolError::Outdated { got: 3, known: 3 }));
+    assert_eq!(
+        harness.set_up("c1.test;1").0,
+        0,
+        "the first choice drains; the rejected list had no effect on the other"
+    );
 }
 
 #[test]
-fn transit_forgets_the_oldest_at_its_bound() {
-    let mut transit = Transit::new(2);
-    (1..=3).for_each(|id| transit.sent(id, AttemptId(u64::from(id)), Kind::SetUp));
-    assert_eq!((transit.len(), transit.answered(1)), (2, None));
-    assert_eq!(transit.answered(3), Some((AttemptId(3), Kind::SetUp)));
-    assert_eq!(transit.answered(3), None);
-    transit.clear();
-    assert!(transit.is_empty());
+fn oldest_outstanding_request_is_dropped_at_capacity() {
+    let mut outstanding = OutstandingRequests::new(2);
+    (1..=3).for_each(|id| outstanding.sent(id, AttemptId(u64::from(id)), RequestKind::SetUp));
+    assert_eq!((outstanding.len(), outstanding.answered(1)), (2, None));
+    assert_eq!(outstanding.answered(3), Some((AttemptId(3), RequestKind::SetUp)));
+    assert_eq!(outstanding.answered(3), None);
+    outstanding.clear();
+    assert!(outstanding.is_empty());
 }
