--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -2,7 +2,7 @@
 
 use std::process::ExitCode;
 
-use baydrift_node::{coat, Config};
+use baydrift_node::{transport, Config};
 use miette::IntoDiagnostic;
 
 /// Exit code where configuration or environment is of no use.
@@ -12,7 +12,7 @@
 pub fn run(clock_off: i64) -> miette::Result<ExitCode> {
     // One core and little memory: one thread, and one that runs all.
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().into_diagnostic()?;
-    let node = async { coat::run(Config::path()?, clock_off).await };
+    let node = async { transport::run(Config::path()?, clock_off).await };
     Ok(match tokio::task::LocalSet::new().block_on(&runtime, node) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -2,11 +2,11 @@
 //! and the decision module in between.
 //!
 //! [`state`] holds everything that the node knows and decides nothing that the module decides; it does no I/O
-//! and reads no clock. [`coat`] puts it on sockets. [`config`] reads what the platform tells a front node at its
+//! and reads no clock. [`transport`] puts it on sockets. [`config`] reads what the platform tells a front node at its
 //! start.
 
-pub mod coat;
 pub mod config;
 pub mod state;
+pub mod transport;
 
 pub use config::{Config, ConfigError};
