--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,4 +1,4 @@
-//! What the platform tells a front node: the JSON file that `RELAY_CONFIG` names.
+//! The front node's configuration: the JSON file that `RELAY_CONFIG` names.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -9,7 +9,7 @@
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
-/// Why a configuration cannot be used.
+/// Why a configuration is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The variable that names the file is not set.
@@ -18,10 +18,10 @@
     /// The file cannot be read.
     #[error("RELAY_CONFIG: cannot read {0}: {1}")]
     Unreadable(String, std::io::Error),
-    /// It is no JSON, or lacks a key.
+    /// It is invalid JSON, or lacks a key.
     #[error("RELAY_CONFIG: {0}")]
     Json(#[from] serde_json::Error),
-    /// A key's value is of no use.
+    /// A key's value is invalid.
     #[error("RELAY_CONFIG: key '{key}': {what}")]
     Key {
         /// The key.
@@ -29,13 +29,13 @@
         /// What is wrong.
         what: String,
     },
-    /// The settings lack something.
+    /// The settings cannot be parsed.
     #[error("RELAY_CONFIG: key 'settings': {0}")]
     Settings(#[from] baydrift::config::ConfigError),
-    /// The settings hold a figure that nothing sensible can be done with.
+    /// A value in the settings is out of range.
     #[error("RELAY_CONFIG: key 'settings': {0}")]
     Figures(#[from] baydrift::interface::SettingsError),
-    /// The list of the start cannot be read.
+    /// The initial server list is invalid.
     #[error("RELAY_CONFIG: key 'known': {0}")]
     Known(#[from] Fault),
 }
@@ -43,25 +43,25 @@
 /// A front node's configuration.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Its name.
+    /// The front node's name.
     pub name: String,
-    /// Where callers connect.
+    /// Address on which callers connect.
     pub listen: SocketAddr,
-    /// For chance.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// File descriptors that the process may hold.
+    /// Maximum number of file descriptors of the process.
     pub sockets: usize,
-    /// Where datagrams of other front nodes come in.
+    /// Address for datagrams from other front nodes.
     pub peer_listen: Option<SocketAddr>,
-    /// The front nodes' addresses by their numbers, the own one included.
+    /// Addresses of all front nodes by number, its own included.
     pub peers: Vec<SocketAddr>,
-    /// The name server.
+    /// Address of the name server.
     pub names: SocketAddr,
-    /// The list as of the start.
+    /// Initial server list.
     pub known: Fleet,
     /// The module's settings.
     pub settings: Settings,
-    /// Names and figures beside them.
+    /// Names and values of the site beside the settings.
     pub site: SiteConfig,
 }
 
@@ -85,26 +85,27 @@
     sockets: usize,
 }
 
-/// Fewer descriptors than this are of no use.
-const SOCKETS_LEAST: usize = 64;
-/// Where the settings tell no time for dials.
-const DIAL_TIMEOUT: Micros = 500_000;
+/// Minimum number of file descriptors.
+const SOCKETS_MIN: usize = 64;
+/// Dial timeout if the settings have none.
+const DEFAULT_DIAL_TIMEOUT: Micros = 500_000;
 
-fn address(key: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
-    text.parse().map_err(|_| ConfigError::Key { key, what: format!("'{text}' is no address and port") })
+fn parse_address(key: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
+    text.parse()
+        .map_err(|_| ConfigError::Key { key, what: format!("'{text}' is not an address with a port") })
 }
 
 impl Config {
-    /// How long a connection to a signalling server may take to come up.
+    /// Timeout for connecting to a signalling server.
     pub fn dial_timeout(&self) -> Micros {
         if self.site.dial_timeout == 0 {
-            DIAL_TIMEOUT
+            DEFAULT_DIAL_TIMEOUT
         } else {
             self.site.dial_timeout
         }
     }
 
-    /// The file that `RELAY_CONFIG` names.
+    /// Returns the path in `RELAY_CONFIG`.
     ///
     /// # Errors
     /// When the variable is not set.
@@ -112,16 +113,16 @@
         std::env::var_os("RELAY_CONFIG").map(PathBuf::from).ok_or(ConfigError::Unnamed)
     }
 
-    /// Reads a file.
+    /// Reads the configuration from a file.
     ///
     /// # Errors
-    /// Names the key that is missing or of no use.
+    /// When the file cannot be read, or a key is missing or invalid; the error names the key.
     pub fn load(path: &Path) -> Result<Self, ConfigError> {
         let unreadable = |e| ConfigError::Unreadable(path.display().to_string(), e);
         Self::read(&std::fs::read(path).map_err(unreadable)?)
     }
 
-    /// Reads the JSON text.
+    /// Parses the configuration from JSON text.
     ///
     /// # Errors
     /// As [`Config::load`].
@@ -129,22 +130,22 @@
         let raw: Raw = serde_json::from_slice(text)?;
         let seed = u64::from_str_radix(&raw.seed, 16).map_err(|_| ConfigError::Key {
             key: "seed",
-            what: format!("'{}' is no hex number", raw.seed),
+            what: format!("'{}' is not a hexadecimal number", raw.seed),
         })?;
-        if raw.limits.sockets < SOCKETS_LEAST {
-            let what = format!("{} are too few: {SOCKETS_LEAST} at least", raw.limits.sockets);
+        if raw.limits.sockets < SOCKETS_MIN {
+            let what = format!("{} is too small, minimum {SOCKETS_MIN}", raw.limits.sockets);
             return Err(ConfigError::Key { key: "limits.sockets", what });
         }
         let (settings, site) = baydrift::config::read(raw.settings.get().as_bytes())?;
         settings.check()?;
         Ok(Self {
             name: raw.name,
-            listen: address("listen", &raw.listen)?,
+            listen: parse_address("listen", &raw.listen)?,
             seed,
             sockets: raw.limits.sockets,
-            peer_listen: raw.peer_listen.map(|text| address("peer_listen", &text)).transpose()?,
-            peers: raw.peers.iter().map(|text| address("peers", text)).collect::<Result<_, _>>()?,
-            names: address("names", &raw.names)?,
+            peer_listen: raw.peer_listen.map(|text| parse_address("peer_listen", &text)).transpose()?,
+            peers: raw.peers.iter().map(|text| parse_address("peers", text)).collect::<Result<_, _>>()?,
+            names: parse_address("names", &raw.names)?,
             known: Fleet::from_known(raw.known)?,
             settings,
             site,
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,9 +1,9 @@
-//! The front node of the users' platform: their callers and signalling servers on one side each, the call engine
-//! and the decision module in between.
+//! The front node of the users' platform, between their callers and their signalling servers, with the call
+//! engine and the decision module inside.
 //!
-//! [`state`] holds everything that the node knows and decides nothing that the module decides; it does no I/O
-//! and reads no clock. [`transport`] puts it on sockets. [`config`] reads what the platform tells a front node at its
-//! start.
+//! [`state`] holds all state and leaves every routing decision to the module; it does no I/O and reads no
+//! clock. [`transport`] connects it to sockets. [`config`] reads the configuration that the platform passes
+//! to a front node at start.
 
 pub mod config;
 pub mod state;
--- a/crates/node/src/state/callers.rs
+++ b/crates/node/src/state/callers.rs
@@ -1,97 +1,102 @@
-//! Callers' connections: what is offered on them, and what is said back.
+//! Callers' connections: the set-ups and releases received on them, and the replies.
 //!
-//! No connection owns a call that stands. A connection's open set-ups end with it, its standing calls do not.
+//! A connection's unanswered set-ups end with it. Established calls belong to no connection and outlive it.
 
 use std::collections::BTreeSet;
 use std::net::IpAddr;
 
 use baydrift::interface::{Micros, Outcome};
-use baydrift_call::{CallStatus, Input as Moment, LinkId, Offer, Request, Retransmission};
+use baydrift_call::{CallStatus, Input as EngineInput, LinkId, Offer, Request, Retransmission};
 use baydrift_platform::list::server_id;
 use baydrift_platform::setup::SetUp;
 use baydrift_platform::{Cause, Code, Fault, Id, Kind, Message};
 use bytes::Bytes;
 
-use super::aged::Aged;
+use super::expiring::ExpiringQueue;
 use super::{wire, Caller, Node, Output, Payload};
 
-/// A connection that has brought nothing of use by then is closed: callers connect to say something, and one that
-/// says nothing, half a message or only what means nothing here is owed a close within 3 s.
-const USEFUL_WITHIN: Micros = 2_000_000;
-/// Messages that cannot be used before a connection is closed, lest it sends on at full speed.
-const FAULTS_MAX: u32 = 4;
-/// Bytes of set-ups without an answer. Guards against thousands with the longest descriptions, which would not fit
-/// into a small machine's memory: a usual one has some hundred bytes.
+/// Time within which a new connection must bring a useful message. One that sends nothing, an incomplete
+/// message or only irrelevant messages must be closed within 3 s.
+const FIRST_USE_TIMEOUT: Micros = 2_000_000;
+/// Number of invalid set-ups after which a connection is closed, so that it does not go on sending at full
+/// speed.
+const UNUSABLE_SET_UPS_MAX: u32 = 4;
+/// Maximum memory of unanswered set-ups, in bytes. Guards against thousands with descriptions of maximum
+/// length, which would exhaust a small machine's memory; a usual set-up has a few hundred bytes.
 const SET_UP_BYTES_MAX: usize = 6 << 20;
-/// Ends of calls that wait for a connection of their caller, and for how long: 8 s at most are allowed.
-pub(super) const OWED: (usize, Micros) = (1_000, 7_000_000);
+/// Maximum number of call ends that wait for a connection of their caller.
+pub(super) const UNDELIVERED_ENDS_MAX: usize = 1_000;
+/// How long a call end waits for a connection of its caller, which must be notified within 8 s.
+pub(super) const UNDELIVERED_ENDS_TTL: Micros = 7_000_000;
 
 /// One caller's connection.
 #[derive(Debug)]
 pub(super) struct Link {
     ip: IpAddr,
-    opened: Micros,
-    /// Its calls in set-up.
+    opened_at: Micros,
+    /// Calls in set-up on this connection.
     open: BTreeSet<Id>,
-    /// Calls that stand and were set up or named here.
-    standing: usize,
+    /// Number of established calls that were set up or announced on this connection.
+    established: usize,
+    /// It has brought a useful message.
     useful: bool,
-    faults: u32,
-    /// Part of a message has come, and no whole one since.
-    amid: bool,
+    invalid_set_ups: u32,
+    /// The last data received was an incomplete message.
+    partial: bool,
 }
 
 impl Link {
-    /// Whether the rest of a message is on its way.
-    pub(super) fn is_amid(&self) -> bool {
-        self.amid
+    /// Whether the rest of a message is still expected.
+    pub(super) fn has_partial_message(&self) -> bool {
+        self.partial
     }
 }
 
-/// Ends of calls whose caller has no connection just now.
-pub(super) type Owed = Aged<(IpAddr, Id, u8)>;
+/// Ends of calls whose caller has no connection at present: the caller's address, the call and the cause.
+pub(super) type UndeliveredEnds = ExpiringQueue<(IpAddr, Id, u8)>;
 
 impl Node {
     pub(super) fn caller_up(&mut self, link: LinkId, ip: IpAddr, out: &mut Vec<Output>) {
         if self.links.len() >= self.links_max {
-            // At the bound the oldest idle connection goes, so that callers still get in: first one that brought
-            // nothing yet, then one without calls, then one whose calls stand (their ends are told elsewhere).
+            // At the limit the oldest idle connection is closed, so that new callers are still accepted:
+            // preferably one without a useful message so far, then one without calls, then one with
+            // established calls only, whose ends can be delivered on another connection.
             let oldest = |fits: &dyn Fn(&Link) -> bool| {
                 let mut idle = self.links.iter().filter(|(_, link)| link.open.is_empty() && fits(link));
                 idle.next().map(|(id, _)| *id)
             };
-            let spare = oldest(&|link| !link.useful).or_else(|| oldest(&|link| link.standing == 0));
-            match spare.or_else(|| oldest(&|_| true)) {
+            let victim = oldest(&|link| !link.useful).or_else(|| oldest(&|link| link.established == 0));
+            match victim.or_else(|| oldest(&|_| true)) {
                 Some(old) => self.close_caller(old, out),
                 None => return out.push(Output::CloseCaller(link)),
             }
         }
-        let fresh = Link {
+        let new_link = Link {
             ip,
-            opened: self.now,
+            opened_at: self.now,
             open: BTreeSet::new(),
-            standing: 0,
+            established: 0,
             useful: false,
-            faults: 0,
-            amid: false,
+            invalid_set_ups: 0,
+            partial: false,
         };
-        self.links.insert(link, fresh);
-        for (_, call, cause) in self.owed.take(self.now, |(whose, ..)| *whose == ip) {
+        self.links.insert(link, new_link);
+        for (_, call, cause) in self.undelivered_ends.take_matching(self.now, |(whose, ..)| *whose == ip) {
             write(out, link, &Message::release(call, cause));
         }
     }
 
-    pub(super) fn caller_said(&mut self, link: LinkId, message: Message, out: &mut Vec<Output>) {
+    pub(super) fn handle_caller_message(&mut self, link: LinkId, message: Message, out: &mut Vec<Output>) {
         let Some(own) = self.links.get_mut(&link) else { return };
-        own.amid = false;
+        own.partial = false;
         match message.kind {
             Kind::SetUp => {
-                if let Err(fault) = self.offered(link, &message, out) {
+                if let Err(fault) = self.handle_set_up(link, &message, out) {
                     tracing::debug!("set-up {}: {fault}", message.call);
-                    self.unusable(link, message.call, out);
+                    self.refuse_unusable(link, message.call, out);
                 }
             }
-            Kind::Release => self.released(link, message.call, out),
+            Kind::Release => self.handle_caller_release(link, message.call, out),
             Kind::Test => {
                 if let Some(link) = self.links.get_mut(&link) {
                     link.useful = true;
@@ -99,51 +104,52 @@
                 write(out, link, &Message::tested(message.call));
             }
             Kind::Progress | Kind::Heard => {}
-            // Only a front node or a signalling server sends these.
+            // Sent only by front nodes and signalling servers.
             Kind::Answer | Kind::Tested | Kind::State => self.close_caller(link, out),
         }
     }
 
-    fn offered(&mut self, link: LinkId, message: &Message, out: &mut Vec<Output>) -> Result<(), Fault> {
+    fn handle_set_up(&mut self, link: LinkId, message: &Message, out: &mut Vec<Output>) -> Result<(), Fault> {
         let call = message.call;
         let setup = SetUp::read(message, self.longest_wait)?;
-        let wrong = |code, what| Fault::Value { code, what };
+        let invalid = |code, what| Fault::Value { code, what };
         if call == Id::default() {
-            return Err(wrong(0, "no id"));
+            return Err(invalid(0, "the call id is all zeros"));
         }
         let class = self.site.classes.iter().position(|name| *name == setup.class);
-        let class = class.ok_or(wrong(Code::CLASS, "unknown class"))?;
+        let class = class.ok_or(invalid(Code::CLASS, "unknown class"))?;
         let tenant = match &setup.tenant {
             Some(name) => self.site.tenants.iter().position(|own| own == name),
             None => self.site.tenants.is_empty().then_some(0),
         };
-        let tenant = tenant.ok_or(wrong(Code::TENANT, "unknown tenant"))?;
+        let tenant = tenant.ok_or(invalid(Code::TENANT, "unknown tenant"))?;
         let session = self.session(call);
         if let Some(at) = &setup.at {
             let known = self.engine.call_status(&session);
             if known == Some(CallStatus::Established) || known.is_none() {
-                self.stands_already(link, call);
+                self.bind_established(link, call);
             }
             let server = server_id(at);
-            let over = self.servers.take_unnamed(self.now, server, call);
-            match (known, over) {
-                (None, Some(outcome)) => self.call_over(call, outcome, out),
-                (None, None) => self.engine(Moment::Adopted { session, class, server }, out),
+            let ended = self.servers.take_unclaimed_end(self.now, server, call);
+            match (known, ended) {
+                (None, Some(outcome)) => self.call_ended(call, outcome, out),
+                (None, None) => self.apply_to_engine(EngineInput::Adopted { session, class, server }, out),
                 _ => {}
             }
             return Ok(());
         }
         if setup.width < 1.0 || self.site.circuits_by_class.get(class).is_some_and(|most| setup.width > *most)
         {
-            return Err(wrong(Code::FIGURES, "width out of range"));
+            return Err(invalid(Code::FIGURES, "width out of range"));
         }
         match self.engine.call_status(&session) {
-            // Guards against an answer that two set-ups could claim: on one connection nobody can tell them apart.
+            // Guards against two set-ups with one id on one connection, whose answers could not be told
+            // apart.
             Some(CallStatus::InSetUp) if self.calls.get(&call).is_some_and(|own| own.link == link) => {
                 self.close_caller(link, out);
                 return Ok(());
             }
-            Some(_) => return Err(wrong(0, "the id is in use or was used")),
+            Some(_) => return Err(invalid(0, "the call id is in use or was used")),
             None => {}
         }
         if let Some(link) = self.links.get_mut(&link) {
@@ -153,9 +159,9 @@
         let ip = self.links.get(&link).map(|link| link.ip);
         let bytes = setup.description.len() + setup.class.len();
         self.set_up_bytes += bytes;
-        self.calls.insert(call, Caller { link, ip, stands: false, bytes });
+        self.calls.insert(call, Caller { link, ip, established: false, bytes });
         if self.set_up_bytes > SET_UP_BYTES_MAX {
-            self.tell_refused(call, true, out);
+            self.send_refusal(call, true, out);
             return Ok(());
         }
         let payload = Payload {
@@ -173,68 +179,75 @@
             caller_timeout: setup.wait,
             redial: self.site.marks_redials.then_some(setup.redial),
             was_dropped: setup.was_dropped,
-            // Each set-up has an id of its own, also a caller's second one.
+            // Each set-up has its own id, including a caller's repeated one.
             retransmission: Retransmission::First,
             payload,
         };
-        self.engine(Moment::Offered(offer), out);
+        self.apply_to_engine(EngineInput::Offered(offer), out);
         Ok(())
     }
 
-    /// A set-up that nothing can be done with.
-    fn unusable(&mut self, link: LinkId, call: Id, out: &mut Vec<Output>) {
+    /// Refuses an invalid set-up, and closes the connection after [`UNUSABLE_SET_UPS_MAX`] of them.
+    fn refuse_unusable(&mut self, link: LinkId, call: Id, out: &mut Vec<Output>) {
         self.counts.unusable += 1;
         write(out, link, &Message::release(call, Cause::INVALID));
         let Some(own) = self.links.get_mut(&link) else { return };
-        own.faults += 1;
-        if own.faults >= FAULTS_MAX {
+        own.invalid_set_ups += 1;
+        if own.invalid_set_ups >= UNUSABLE_SET_UPS_MAX {
             self.close_caller(link, out);
         }
     }
 
-    /// A caller names a call that stands: its end is told here from now on.
-    fn stands_already(&mut self, link: LinkId, call: Id) {
-        self.leave(call);
+    /// Handles a caller's announcement of an established call: its end is sent on this connection from now
+    /// on.
+    fn bind_established(&mut self, link: LinkId, call: Id) {
+        self.forget_call(call);
         let Some(own) = self.links.get_mut(&link) else { return };
         own.useful = true;
-        own.standing += 1;
-        self.calls.insert(call, Caller { link, ip: Some(own.ip), stands: true, bytes: 0 });
+        own.established += 1;
+        self.calls.insert(call, Caller { link, ip: Some(own.ip), established: true, bytes: 0 });
     }
 
-    /// A caller gives a set-up up, or releases a call that stands.
-    fn released(&mut self, link: LinkId, call: Id, out: &mut Vec<Output>) {
+    /// Handles a caller's release, which cancels a set-up or ends an established call.
+    fn handle_caller_release(&mut self, link: LinkId, call: Id, out: &mut Vec<Output>) {
         let Some(caller) = self.calls.get(&call).copied() else { return };
-        tracing::trace!("{call}: released by its caller, standing {}", caller.stands);
+        tracing::trace!("{call}: released by its caller, established {}", caller.established);
         if let Some(own) = self.links.get_mut(&link) {
-            own.useful |= caller.stands;
+            own.useful |= caller.established;
         }
-        // Forgotten before the engine hears of it: no answer is owed any more.
-        self.leave(call);
+        // Removed before the engine is notified: no answer is to be sent any more.
+        self.forget_call(call);
         let (session, request) = (self.session(call), Request { link, ticket: 0 });
-        self.engine(Moment::Released { session, request }, out);
+        self.apply_to_engine(EngineInput::Released { session, request }, out);
     }
 
-    /// A set-up that was taken back before it was looked at: no answer is owed, but its connection was of use.
+    /// Handles a set-up that was withdrawn before it was processed: it needs no answer, but it counts as a
+    /// useful message of its connection.
     pub(super) fn withdrawn(&mut self, link: LinkId) {
         if let Some(own) = self.links.get_mut(&link) {
-            (own.useful, own.amid) = (true, false);
+            (own.useful, own.partial) = (true, false);
         }
     }
 
-    /// Part of a message has come.
-    pub(super) fn caller_part(&mut self, link: LinkId) {
+    /// Records that an incomplete message was received.
+    pub(super) fn caller_partial(&mut self, link: LinkId) {
         if let Some(own) = self.links.get_mut(&link) {
-            own.amid = true;
+            own.partial = true;
         }
     }
 
     pub(super) fn caller_down(&mut self, link: LinkId, out: &mut Vec<Output>) {
         let Some(own) = self.links.remove(&link) else { return };
-        tracing::trace!("link {} down: {} open, {} stand", link.0, own.open.len(), own.standing);
+        tracing::trace!(
+            "link {} down: {} in set-up, {} established",
+            link.0,
+            own.open.len(),
+            own.established
+        );
         for call in own.open {
-            self.leave(call);
+            self.forget_call(call);
             let (session, request) = (self.session(call), Request { link, ticket: 0 });
-            self.engine(Moment::Released { session, request }, out);
+            self.apply_to_engine(EngineInput::Released { session, request }, out);
         }
     }
 
@@ -244,57 +257,58 @@
         self.caller_down(link, out);
     }
 
-    pub(super) fn tell_stands(&mut self, call: Id, description: Bytes, out: &mut Vec<Output>) {
+    pub(super) fn send_answer(&mut self, call: Id, description: Bytes, out: &mut Vec<Output>) {
         let Some(caller) = self.calls.get_mut(&call) else { return };
-        caller.stands = true;
+        caller.established = true;
         self.set_up_bytes -= std::mem::take(&mut caller.bytes);
         let link = caller.link;
         if let Some(own) = self.links.get_mut(&link) {
             own.open.remove(&call);
-            own.standing += 1;
+            own.established += 1;
         }
         write(out, link, &Message::new(Kind::Answer, call).with(Code::DESCRIPTION, description));
     }
 
-    pub(super) fn tell_refused(&mut self, call: Id, harmless: bool, out: &mut Vec<Output>) {
-        let Some(caller) = self.leave(call) else { return };
-        let cause = if harmless { Cause::NO_CIRCUIT } else { Cause::TEMPORARY };
+    pub(super) fn send_refusal(&mut self, call: Id, retry_is_safe: bool, out: &mut Vec<Output>) {
+        let Some(caller) = self.forget_call(call) else { return };
+        let cause = if retry_is_safe { Cause::NO_CIRCUIT } else { Cause::TEMPORARY };
         write(out, caller.link, &Message::release(call, cause));
     }
 
-    /// A call that stood is over: its caller hears it on the connection of its set-up, or else on the newest one
-    /// from the same address, or on the next.
-    pub(super) fn call_over(&mut self, call: Id, outcome: Outcome, out: &mut Vec<Output>) {
-        let Some(caller) = self.leave(call) else {
-            return tracing::trace!("{call}: over, and nobody to tell");
+    /// Sends the end of an established call to its caller: on the connection that the call was set up or
+    /// announced on, else on the newest one from the same address, else on the next one.
+    pub(super) fn call_ended(&mut self, call: Id, outcome: Outcome, out: &mut Vec<Output>) {
+        let Some(caller) = self.forget_call(call) else {
+            return tracing::trace!("{call}: ended, caller unknown");
         };
         let cause = if outcome == Outcome::Ok { Cause::NORMAL } else { Cause::TEMPORARY };
-        let near = |link: &Link| Some(link.ip) == caller.ip;
+        let same_ip = |link: &Link| Some(link.ip) == caller.ip;
         let own = self.links.contains_key(&caller.link).then_some(caller.link);
-        let link = own.or_else(|| self.links.iter().rev().find(|(_, l)| near(l)).map(|(id, _)| *id));
-        tracing::trace!("{call}: {outcome:?} told, own link {} now {link:?}", caller.link.0);
+        let link = own.or_else(|| self.links.iter().rev().find(|(_, l)| same_ip(l)).map(|(id, _)| *id));
+        tracing::trace!("{call}: ended with {outcome:?}, own link {}, sent on {link:?}", caller.link.0);
         match (link, caller.ip) {
             (Some(link), _) => write(out, link, &Message::release(call, cause)),
-            (None, Some(ip)) => self.owed.put(self.now, (ip, call, cause)),
+            (None, Some(ip)) => self.undelivered_ends.push(self.now, (ip, call, cause)),
             (None, None) => {}
         }
     }
 
-    /// Forgets where a call's caller is.
-    fn leave(&mut self, call: Id) -> Option<Caller> {
+    /// Removes a call from the tables.
+    fn forget_call(&mut self, call: Id) -> Option<Caller> {
         let caller = self.calls.remove(&call)?;
         self.set_up_bytes -= caller.bytes;
         if let Some(link) = self.links.get_mut(&caller.link) {
             link.open.remove(&call);
-            link.standing -= usize::from(caller.stands && link.standing > 0);
+            link.established -= usize::from(caller.established && link.established > 0);
         }
         Some(caller)
     }
 
-    pub(super) fn look_at_callers(&mut self, out: &mut Vec<Output>) {
-        let late = |link: &Link| !link.useful && self.now >= link.opened + USEFUL_WITHIN;
-        let late: Vec<_> = self.links.iter().filter(|(_, link)| late(link)).map(|(id, _)| *id).collect();
-        for link in late {
+    pub(super) fn check_callers(&mut self, out: &mut Vec<Output>) {
+        let is_unused = |link: &Link| !link.useful && self.now >= link.opened_at + FIRST_USE_TIMEOUT;
+        let unused: Vec<_> =
+            self.links.iter().filter(|(_, link)| is_unused(link)).map(|(id, _)| *id).collect();
+        for link in unused {
             self.close_caller(link, out);
         }
     }
--- /dev/null
+++ b/crates/node/src/state/discovery.rs
@@ -0,0 +1,86 @@
+//! Service discovery: schedules the queries to the name server and validates its answers.
+
+use baydrift::interface::Micros;
+use baydrift_platform::{names, Listed};
+use rand_core::{RngCore, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+
+/// Time from an answer to the next query, so that a change is known well within the permitted 1.5 s.
+const REFRESH_INTERVAL: Micros = 200_000;
+/// Time after which an unanswered query is repeated, since datagrams may be lost.
+const RETRY_AFTER: Micros = 150_000;
+/// Number of outstanding queries whose answers are still accepted, however late.
+const OUTSTANDING_MAX: usize = 4;
+/// Number of consecutive unanswered queries after which the next one is sent from a new port. Guards against
+/// a flow that is dropped for good while the name server is reachable (RFC 5452 recommends changing ports in
+/// any case).
+const QUERIES_PER_PORT: u32 = 4;
+
+/// Outstanding queries and the schedule of the next one.
+#[derive(Debug)]
+pub(super) struct Discovery {
+    rng: Pcg64Mcg,
+    outstanding: Vec<u16>,
+    due: Micros,
+    /// Queries since the last answer.
+    unanswered: u32,
+}
+
+impl Discovery {
+    pub(super) fn new(seed: u64) -> Self {
+        Self {
+            rng: Pcg64Mcg::seed_from_u64(seed ^ 0x6e61_6d65_7300),
+            outstanding: Vec::new(),
+            due: 0,
+            unanswered: 0,
+        }
+    }
+
+    pub(super) fn due(&self) -> Micros {
+        self.due
+    }
+
+    /// Returns the query that is due, if any, and whether it is to be sent from a new port.
+    pub(super) fn next_query(&mut self, now: Micros) -> Option<(Vec<u8>, bool)> {
+        if now < self.due {
+            return None;
+        }
+        self.due = now + RETRY_AFTER;
+        let id = self.rng.next_u32() as u16;
+        if self.outstanding.len() >= OUTSTANDING_MAX {
+            self.outstanding.remove(0);
+        }
+        self.outstanding.push(id);
+        let new_port = self.unanswered > 0 && self.unanswered % QUERIES_PER_PORT == 0;
+        self.unanswered = self.unanswered.wrapping_add(1);
+        Some((names::query(id).ok()?, new_port))
+    }
+
+    /// Returns the list in an answer to an outstanding query. Other datagrams are ignored: the next query is
+    /// sent when it is due.
+    pub(super) fn read_answer(&mut self, now: Micros, bytes: &[u8]) -> Option<Listed> {
+        let id = u16::from_be_bytes([*bytes.first()?, *bytes.get(1)?]);
+        if !self.outstanding.contains(&id) {
+            return None;
+        }
+        match names::read(bytes, id) {
+            Ok(listed) => {
+                self.outstanding.clear();
+                (self.due, self.unanswered) = (now + REFRESH_INTERVAL, 0);
+                Some(listed)
+            }
+            Err(fault) => {
+                tracing::debug!("discovery answer is invalid: {fault}");
+                self.outstanding.retain(|own| *own != id);
+                None
+            }
+        }
+    }
+
+    /// Discards the outstanding queries and makes the next one due at once, since the name server's address
+    /// changed.
+    pub(super) fn name_server_changed(&mut self, now: Micros) {
+        self.outstanding.clear();
+        (self.due, self.unanswered) = (now, 0);
+    }
+}
--- a/crates/node/src/state/mod.rs
+++ b/crates/node/src/state/mod.rs
@@ -1,16 +1,18 @@
-//! The front node's state: inputs with the time in, outputs out. No I/O, no clock, no chance but seeded.
+//! The front node's state machine: takes timestamped inputs and returns outputs. It does no I/O, reads no
+//! clock and draws random numbers only from a seeded generator.
 //!
-//! `callers` has callers' connections and what they offer, `servers` the signalling servers' connections and the
-//! attempts on them, `names` the asking of the name server. All that is decided comes from the call engine and
-//! the module behind it; here it is only brought to the right connection.
+//! `callers` holds callers' connections and the set-ups received on them, `servers` the connections to
+//! signalling servers and the attempts on them, `discovery` the queries to the name server. Every decision is
+//! made by the call engine and the decision module behind it; this module routes messages to and from the
+//! right connection.
 
-mod aged;
-mod belief;
+mod batch;
 mod callers;
-mod names;
+mod diagnostics;
+mod discovery;
+mod expiring;
+mod pool_limit;
 mod servers;
-mod spread;
-mod turn;
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -18,66 +20,73 @@
 
 use baydrift::interface::{ListKind, Micros, ServerId};
 use baydrift_call::{
-    AttemptId, Engine, EngineError, Final, Input as Moment, Limits, LinkId, Output as Order, Session,
+    AttemptId, Engine, EngineError, Final, Input as EngineInput, Limits, LinkId, Output as EngineOutput,
+    Session,
 };
 use baydrift_platform::{Fleet, Id, Message};
 use bytes::Bytes;
 
+pub use batch::sort_batch;
 pub use servers::ConnId;
-pub use turn::in_order;
 
 use crate::config::Config;
 
-/// Time between looks at connections that should have said something.
-const LOOK: Micros = 50_000;
-/// After SIGTERM new connections and set-ups are taken for so long, where there is time: the platform hands over within
-/// 0.6 s ...
-const HAND_OVER: Micros = 900_000;
-/// ... and may kill this long after the longest deadline has passed, which counts as so much at the most.
-const KILL_AFTER: (Micros, Micros) = (700_000, 3_000_000);
-/// What is still open is answered so long before that, and the last bytes leave ...
-const LAST_ANSWER: Micros = 300_000;
-/// ... while no more connections are taken for at least this long, in which what the kernel had taken is read.
-const LAST_LOOK: Micros = 100_000;
-/// Answered calls are remembered for so long, so that an id that is used again is refused.
-const MEMORY: (usize, Micros) = (4_096, 10_000_000);
-/// Calls held at once, in set-up or standing, whatever the settings allow: a few megabytes.
+/// Interval between checks of connections for timeouts.
+const CHECK_INTERVAL: Micros = 50_000;
+/// Time after SIGTERM during which new connections and set-ups are still accepted, where the deadline for the
+/// kill allows it. The platform redirects callers within 0.6 s.
+const ACCEPT_AFTER_STOP: Micros = 900_000;
+/// Time between the longest class deadline after SIGTERM and the earliest SIGKILL by the platform.
+const KILL_GRACE: Micros = 700_000;
+/// Upper bound of the class deadline that counts towards the time of the SIGKILL.
+const COUNTED_DEADLINE_MAX: Micros = 3_000_000;
+/// Time before the SIGKILL at which open set-ups are answered, so that the last bytes can still be sent.
+const FINAL_ANSWER_LEAD: Micros = 300_000;
+/// Minimum time between the end of accepting and the exit, in which connections from the kernel's accept
+/// queue are read.
+const POST_LISTEN_TIME: Micros = 100_000;
+/// Maximum number of answered calls that are remembered, so that a reused call id is refused.
+const ANSWER_CACHE_MAX: usize = 4_096;
+/// How long an answered call is remembered.
+const ANSWER_CACHE_TTL: Micros = 10_000_000;
+/// Maximum number of calls held at once, in set-up or established, whatever the settings allow: a few
+/// megabytes.
 const CALLS_MAX: u32 = 6_000;
-/// Calls in set-up of one connection.
-const PER_LINK_MAX: usize = 1_000;
+/// Maximum number of calls in set-up on one caller's connection.
+const SET_UPS_PER_LINK_MAX: usize = 1_000;
 
-/// What came.
+/// An event for the front node.
 #[derive(Debug)]
 pub enum Input {
     /// A caller connected.
     CallerUp(LinkId, IpAddr),
     /// A caller sent a message.
     FromCaller(LinkId, Message),
-    /// A caller asked for a call, and gave it up or left before that was looked at.
+    /// A caller sent a set-up, and released it or disconnected before it was processed.
     Withdrawn(LinkId),
-    /// Part of a caller's message has come.
-    CallerPart(LinkId),
-    /// A caller's connection ended, or what it sent cannot be read.
+    /// An incomplete message was received from a caller.
+    CallerPartial(LinkId),
+    /// A caller's connection ended, or its data cannot be parsed.
     CallerDown(LinkId),
     /// A connection to a signalling server is up.
     ServerUp(ConnId),
-    /// It never came up. `true`: it was refused, so nothing runs there.
+    /// A dial failed. `true`: the connection was refused, so no process is listening there.
     DialFailed(ConnId, bool),
     /// A signalling server sent a message.
     FromServer(ConnId, Message),
-    /// Part of a message has come.
-    Part(ConnId),
-    /// A connection that was up ended, or what came on it cannot be read.
+    /// An incomplete message was received from a signalling server.
+    ServerPartial(ConnId),
+    /// An established connection to a signalling server ended, or its data cannot be parsed.
     ServerDown(ConnId),
-    /// A datagram of the name server.
-    Names(Vec<u8>),
-    /// A datagram of another front node.
+    /// A datagram from the name server.
+    DiscoveryAnswer(Vec<u8>),
+    /// A datagram from another front node.
     Peer(u32, Vec<u8>),
-    /// The name server is at another address from now on.
-    Moved,
-    /// SIGTERM.
+    /// The name server's address has changed.
+    NameServerChanged,
+    /// SIGTERM was received.
     Stop,
-    /// Time has passed.
+    /// A timer is due.
     Tick,
 }
 
@@ -93,7 +102,7 @@
     }
 }
 
-/// What is to be done, in order.
+/// An action for the transport, to be executed in order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
     /// Write to a caller.
@@ -106,57 +115,57 @@
     ToServer(ConnId, Vec<u8>),
     /// Close a signalling server's connection, or stop dialling it.
     CloseServer(ConnId),
-    /// Ask the name server.
-    Ask {
-        /// The question.
+    /// Send a query to the name server.
+    Query {
+        /// The encoded query.
         query: Vec<u8>,
-        /// From another port: what went by the present one stays unanswered.
-        anew: bool,
+        /// Send it from a new port, since queries from the present one stay unanswered.
+        new_port: bool,
     },
-    /// A datagram for another front node.
+    /// Send a datagram to another front node.
     ToPeer(u32, Vec<u8>),
-    /// Take no new connections.
-    Deaf,
-    /// All is answered: end the process.
-    End,
+    /// Accept no new connections.
+    StopAccepting,
+    /// Every set-up is answered: end the process.
+    Exit,
 }
 
-/// Where the caller of a call is reached.
+/// The connection to which messages on a call are sent.
 #[derive(Debug, Clone, Copy)]
 struct Caller {
     link: LinkId,
     ip: Option<IpAddr>,
-    stands: bool,
-    /// What its set-up holds in memory until it is answered.
+    established: bool,
+    /// Memory held by its set-up until it is answered.
     bytes: usize,
 }
 
-/// A set-up on its way to a server, or standing there.
+/// An in-flight attempt at a signalling server, or the call established by it.
 #[derive(Debug)]
-struct Flight {
+struct Attempt {
     server: ServerId,
     call: Id,
-    /// The connection that it was written on; `None` while it waits for one.
+    /// The connection that its set-up was written on; `None` while it waits for one.
     conn: Option<ConnId>,
-    stands: bool,
-    /// When it was written, or taken over.
-    at: Micros,
-    /// Until it is written: the message.
-    unsent: Option<Unsent>,
+    established: bool,
+    /// When its set-up was written, or the call was adopted.
+    started_at: Micros,
+    /// The set-up, until it is written.
+    pending: Option<PendingSetUp>,
 }
 
 /// A set-up that waits for a connection.
 #[derive(Debug)]
-struct Unsent {
+struct PendingSetUp {
     payload: Payload,
-    since: Micros,
-    /// When the attempt is given up.
-    until: Micros,
-    /// When it is not worth beginning any more.
+    queued_at: Micros,
+    /// When the attempt times out.
+    timeout_at: Micros,
+    /// The latest time at which the attempt may start.
     begin_by: Micros,
 }
 
-/// What the engine keeps of an offer for us.
+/// The parts of an offer that the engine stores and returns with each attempt.
 #[derive(Debug, Clone, PartialEq)]
 struct Payload {
     class: Bytes,
@@ -167,13 +176,13 @@
 /// Counts for the log.
 #[derive(Debug, Default)]
 struct Counts {
-    /// Set-ups refused since they cannot be used.
+    /// Set-ups refused as invalid.
     unusable: u64,
     /// Callers' connections closed by this node.
     closed: u64,
-    /// Signalling servers' connections lost with set-ups on them.
+    /// Connections to signalling servers that broke with unanswered set-ups on them.
     broken: u64,
-    /// Processes of signalling servers taken for gone.
+    /// Signalling servers' processes that were considered dead.
     lost: u64,
 }
 
@@ -186,42 +195,42 @@
     owner: Arc<str>,
     fleet: Fleet,
     calls: BTreeMap<Id, Caller>,
-    /// Bytes of all set-ups that are not answered yet.
+    /// Memory held by all unanswered set-ups.
     set_up_bytes: usize,
     links: BTreeMap<LinkId, callers::Link>,
     links_max: usize,
-    owed: callers::Owed,
-    flights: BTreeMap<AttemptId, Flight>,
+    undelivered_ends: callers::UndeliveredEnds,
+    attempts: BTreeMap<AttemptId, Attempt>,
     servers: servers::Servers,
-    names: names::Names,
-    /// A connection that is not up by then has failed.
+    discovery: discovery::Discovery,
+    /// Time after which a dial has failed.
     dial_timeout: Micros,
-    /// The description on the answer that is being handled.
+    /// The session description of the answer that is being handled.
     answer: Option<Bytes>,
     stopped_at: Option<Micros>,
-    deaf_at: Option<Micros>,
-    looked_at: Micros,
+    accept_stopped_at: Option<Micros>,
+    checked_at: Micros,
     counts: Counts,
-    belief: belief::Seen,
+    attempt_counts: diagnostics::AttemptCounts,
 }
 
 impl Node {
-    /// A front node that has connected to nothing yet.
+    /// Creates a front node without connections.
     ///
     /// # Errors
-    /// When the settings hold a figure that nothing sensible can be done with.
+    /// When a setting is out of range.
     pub fn new(config: &Config) -> Result<Self, EngineError> {
         let max_open = if config.site.max_open == 0 { CALLS_MAX } else { config.site.max_open };
         let limits = Limits {
             calls: max_open.min(CALLS_MAX) as usize,
-            in_set_up_per_link: PER_LINK_MAX,
-            cached_answers: MEMORY.0,
-            cached_answer_ttl: MEMORY.1,
+            in_set_up_per_link: SET_UPS_PER_LINK_MAX,
+            cached_answers: ANSWER_CACHE_MAX,
+            cached_answer_ttl: ANSWER_CACHE_TTL,
             servers: baydrift_platform::list::SERVERS_MAX,
             drain_grace: config.site.grace,
             ..Limits::default()
         };
-        let bounds = servers::Bounds::of(config);
+        let conn_limits = servers::ConnLimits::of(config);
         Ok(Self {
             engine: Engine::new(config.settings.clone(), limits, config.seed)?,
             now: 0,
@@ -232,178 +241,196 @@
             calls: BTreeMap::new(),
             set_up_bytes: 0,
             links: BTreeMap::new(),
-            links_max: config.sockets - bounds.kept_back(),
-            owed: callers::Owed::new(callers::OWED),
-            flights: BTreeMap::new(),
-            servers: servers::Servers::new(bounds),
-            names: names::Names::new(config.seed),
+            links_max: config.sockets - conn_limits.reserved(),
+            undelivered_ends: callers::UndeliveredEnds::new((
+                callers::UNDELIVERED_ENDS_MAX,
+                callers::UNDELIVERED_ENDS_TTL,
+            )),
+            attempts: BTreeMap::new(),
+            servers: servers::Servers::new(conn_limits),
+            discovery: discovery::Discovery::new(config.seed),
             dial_timeout: config.dial_timeout(),
             answer: None,
             stopped_at: None,
-            deaf_at: None,
-            looked_at: 0,
+            accept_stopped_at: None,
+            checked_at: 0,
             counts: Counts::default(),
-            belief: belief::Seen::default(),
+            attempt_counts: diagnostics::AttemptCounts::default(),
         })
     }
 
-    /// Tells the module the list of the start and connects to what is ready.
+    /// Applies the server list of the configuration and dials the servers that are ready.
     pub fn start(&mut self, now: Micros, out: &mut Vec<Output>) {
         self.now = now;
-        self.told_list(out);
-        self.look(out);
+        self.apply_list(out);
+        self.run_checks(out);
     }
 
-    /// Takes one input and leaves what is due to a later [`Input::Tick`]: what has arrived is heard before
-    /// timers fire.
-    pub fn hear(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
+    /// Handles one input. Timers that are due wait for the next [`Input::Tick`], so that inputs that have
+    /// arrived are handled before timers fire.
+    pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
         match input {
             Input::CallerUp(link, ip) => self.caller_up(link, ip, out),
-            Input::FromCaller(link, message) => self.caller_said(link, message, out),
+            Input::FromCaller(link, message) => self.handle_caller_message(link, message, out),
             Input::Withdrawn(link) => self.withdrawn(link),
-            Input::CallerPart(link) => self.caller_part(link),
+            Input::CallerPartial(link) => self.caller_partial(link),
             Input::CallerDown(link) => self.caller_down(link, out),
             Input::ServerUp(conn) => self.server_up(conn, out),
             Input::DialFailed(conn, refused) => self.dial_failed(conn, refused, out),
-            Input::FromServer(conn, message) => self.server_said(conn, &message, out),
-            Input::Part(conn) => self.servers.part(conn, self.now),
+            Input::FromServer(conn, message) => self.handle_server_message(conn, &message, out),
+            Input::ServerPartial(conn) => self.servers.partial_message(conn, self.now),
             Input::ServerDown(conn) => self.server_down(conn, out),
-            Input::Names(bytes) => {
-                if let Some(listed) = self.names.read(self.now, &bytes) {
+            Input::DiscoveryAnswer(bytes) => {
+                if let Some(listed) = self.discovery.read_answer(self.now, &bytes) {
                     if self.fleet.take(listed) {
-                        self.told_list(out);
+                        self.apply_list(out);
                     }
                 }
             }
-            Input::Peer(from, payload) => self.engine(Moment::Peer { from, payload }, out),
-            Input::Moved => self.names.moved(self.now),
+            Input::Peer(from, payload) => self.apply_to_engine(EngineInput::Peer { from, payload }, out),
+            Input::NameServerChanged => self.discovery.name_server_changed(self.now),
             Input::Stop => {
                 self.stopped_at.get_or_insert(self.now);
             }
             Input::Tick => {
-                let mut orders = Vec::new();
-                self.engine.handle(self.now, Moment::Tick, &mut orders);
-                self.carry_out(orders, out);
-                self.look(out);
+                let mut outputs = Vec::new();
+                self.engine.handle(self.now, EngineInput::Tick, &mut outputs);
+                self.execute(outputs, out);
+                self.run_checks(out);
             }
         }
     }
 
-    /// When to come back with [`Input::Tick`] at the latest.
+    /// The time at which the next [`Input::Tick`] is due at the latest.
     pub fn next_wake(&self) -> Micros {
         let engine = self.engine.next_wake().unwrap_or(Micros::MAX);
-        engine.min(self.looked_at + LOOK).min(self.names.due())
+        engine.min(self.checked_at + CHECK_INTERVAL).min(self.discovery.due())
     }
 
-    /// Connections that callers may hold.
+    /// Maximum number of callers' connections.
     pub fn callers_max(&self) -> usize {
         self.links_max
     }
 
-    /// What is held: callers' connections, signalling servers' connections, calls in set-up, calls that stand,
-    /// answers remembered, timers.
-    pub fn held(&self) -> [usize; 6] {
+    /// Number of callers' connections, signalling servers' connections, calls in set-up, established calls,
+    /// cached answers and pending timers, in this order.
+    pub fn resource_counts(&self) -> [usize; 6] {
         let in_set_up = self.engine.calls_in_set_up();
-        let stand = self.calls.values().filter(|caller| caller.stands).count();
+        let established = self.calls.values().filter(|caller| caller.established).count();
         [
             self.links.len(),
-            self.servers.open(),
+            self.servers.conn_count(),
             in_set_up,
-            stand,
+            established,
             self.engine.cached_answers(),
             self.engine.pending_timers(),
         ]
     }
 
-    /// Looks at all that should have happened by now.
-    fn look(&mut self, out: &mut Vec<Output>) {
-        if let Some((query, anew)) = self.names.ask(self.now) {
-            out.push(Output::Ask { query, anew });
+    /// Sends a discovery query that is due, and checks connections and the shutdown once per
+    /// [`CHECK_INTERVAL`].
+    fn run_checks(&mut self, out: &mut Vec<Output>) {
+        if let Some((query, new_port)) = self.discovery.next_query(self.now) {
+            out.push(Output::Query { query, new_port });
         }
-        if self.now < self.looked_at + LOOK && self.looked_at > 0 {
+        if self.now < self.checked_at + CHECK_INTERVAL && self.checked_at > 0 {
             return;
         }
-        self.looked_at = self.now;
-        self.look_at_servers(out);
-        self.look_at_callers(out);
-        self.tell_beliefs();
-        self.look_at_the_end(out);
+        self.checked_at = self.now;
+        self.check_servers(out);
+        self.check_callers(out);
+        self.log_server_views();
+        self.check_shutdown(out);
     }
 
-    /// The end after SIGTERM: callers are taken for a while, what was taken is answered, what is owed to servers leaves.
-    fn look_at_the_end(&mut self, out: &mut Vec<Output>) {
+    /// Graceful shutdown after SIGTERM: accepts callers for a while, waits until accepted set-ups are
+    /// answered and pending releases are sent, then exits.
+    fn check_shutdown(&mut self, out: &mut Vec<Output>) {
         let Some(since) = self.stopped_at.map(|at| self.now.saturating_sub(at)) else { return };
-        let kill = KILL_AFTER.0 + self.longest_wait.min(KILL_AFTER.1);
-        let last_answer = kill - LAST_ANSWER;
-        if since >= HAND_OVER.min(last_answer - LAST_LOOK) && self.deaf_at.is_none() {
-            self.deaf_at = Some(self.now);
-            out.push(Output::Deaf);
+        let kill_at = KILL_GRACE + self.longest_wait.min(COUNTED_DEADLINE_MAX);
+        let last_answer = kill_at - FINAL_ANSWER_LEAD;
+        if since >= ACCEPT_AFTER_STOP.min(last_answer - POST_LISTEN_TIME) && self.accept_stopped_at.is_none()
+        {
+            self.accept_stopped_at = Some(self.now);
+            out.push(Output::StopAccepting);
         }
         if since >= last_answer {
-            self.engine(Moment::Stop, out);
+            self.apply_to_engine(EngineInput::Stop, out);
         }
-        let looked = self.deaf_at.is_some_and(|at| self.now >= at + LAST_LOOK);
-        let owing = self.links.values().any(callers::Link::is_amid) || self.servers.is_owing();
-        if looked && self.engine.calls_in_set_up() == 0 && (!owing || since >= last_answer) {
-            out.push(Output::End);
+        let queue_read = self.accept_stopped_at.is_some_and(|at| self.now >= at + POST_LISTEN_TIME);
+        let pending_work = self.links.values().any(callers::Link::has_partial_message)
+            || self.servers.has_pending_releases();
+        if queue_read && self.engine.calls_in_set_up() == 0 && (!pending_work || since >= last_answer) {
+            out.push(Output::Exit);
         }
     }
 
-    /// The list has changed, or is told for the first time.
-    fn told_list(&mut self, out: &mut Vec<Output>) {
-        // The engine takes links as up: whether a server can be reached is told by each attempt's own end, as
-        // the simulator does. A broken connection is not a drained server.
-        for server in self.servers.listed(self.now, &self.fleet) {
+    /// Applies a server list that is new or has changed.
+    fn apply_list(&mut self, out: &mut Vec<Output>) {
+        // The engine considers every link up: whether a server can be reached is reported by the end of each
+        // attempt, as in the simulator. A broken connection does not mean that the server drains.
+        for server in self.servers.apply_list(self.now, &self.fleet) {
             let state = baydrift_call::LinkState::Up(baydrift_call::Process::Same);
-            self.engine(Moment::ServerLink { server, state }, out);
+            self.apply_to_engine(EngineInput::ServerLink { server, state }, out);
         }
-        self.engine(Moment::List(ListKind::Full, self.fleet.entries()), out);
-        self.look_at_servers(out);
-        // A process that has started anew has forgotten the calls of the one before.
+        self.apply_to_engine(EngineInput::List(ListKind::Full, self.fleet.entries()), out);
+        self.check_servers(out);
+        // A restarted process does not know the calls of its predecessor.
         for (server, at) in self.servers.take_restarted() {
-            self.lose(server, at, out);
+            self.process_lost(server, at, out);
         }
     }
 
-    /// Hands the engine a moment and carries out what it orders.
-    fn engine(&mut self, moment: Moment<Payload>, out: &mut Vec<Output>) {
-        let mut orders = Vec::new();
-        self.engine.apply(self.now, moment, &mut orders);
-        self.carry_out(orders, out);
+    /// Passes an input to the engine and executes its outputs.
+    fn apply_to_engine(&mut self, input: EngineInput<Payload>, out: &mut Vec<Output>) {
+        let mut outputs = Vec::new();
+        self.engine.apply(self.now, input, &mut outputs);
+        self.execute(outputs, out);
     }
 
-    fn carry_out(&mut self, orders: Vec<Order<Payload>>, out: &mut Vec<Output>) {
-        for order in orders {
-            match order {
-                Order::SetUp { attempt, server, session, payload, timeout, begin_within, .. } => {
+    fn execute(&mut self, outputs: Vec<EngineOutput<Payload>>, out: &mut Vec<Output>) {
+        for output in outputs {
+            match output {
+                EngineOutput::SetUp { attempt, server, session, payload, timeout, begin_within, .. } => {
                     if let Some(call) = id_of(&session) {
-                        self.set_up(attempt, server, call, payload, (timeout, begin_within), out);
+                        self.start_attempt(attempt, server, call, payload, (timeout, begin_within), out);
                     }
                 }
-                Order::Release { attempt, .. } => self.release(attempt, out),
-                Order::Answer { session, answer, .. } => {
+                EngineOutput::Release { attempt, .. } => self.release_attempt(attempt, out),
+                EngineOutput::Answer { session, answer, .. } => {
                     if let Some(call) = id_of(&session) {
-                        self.answered(call, answer, out);
+                        self.call_answered(call, answer, out);
                     }
                 }
-                Order::Cleared { session, outcome } => {
+                EngineOutput::Cleared { session, outcome } => {
                     if let Some(call) = id_of(&session) {
-                        self.call_over(call, outcome, out);
+                        self.call_ended(call, outcome, out);
                     }
                 }
-                Order::Adopted { attempt, server, session } => {
+                EngineOutput::Adopted { attempt, server, session } => {
                     if let Some(call) = id_of(&session) {
-                        let at = self.now;
-                        let flight = Flight { server, call, conn: None, stands: true, at, unsent: None };
-                        self.servers.stands(at, server, call, attempt);
-                        self.flights.insert(attempt, flight);
+                        let now = self.now;
+                        let state = Attempt {
+                            server,
+                            call,
+                            conn: None,
+                            established: true,
+                            started_at: now,
+                            pending: None,
+                        };
+                        self.servers.add_established(now, server, call, attempt);
+                        self.attempts.insert(attempt, state);
                     }
                 }
-                Order::SendToPeer { to, payload } => out.push(Output::ToPeer(to, payload)),
-                Order::Log(text) => tracing::info!("{text}"),
-                // The list is polled, callers are told by their calls, and a name is never asked for twice.
-                Order::Subscribe | Order::Cut { .. } | Order::AnswerRelease { .. } | Order::Dropped(_) => {}
+                EngineOutput::SendToPeer { to, payload } => out.push(Output::ToPeer(to, payload)),
+                EngineOutput::Log(text) => tracing::info!("{text}"),
+                // The list is polled, callers learn of changes by their calls, and each call id is used only
+                // once.
+                EngineOutput::Subscribe
+                | EngineOutput::Cut { .. }
+                | EngineOutput::AnswerRelease { .. }
+                | EngineOutput::Dropped(_) => {}
             }
         }
     }
@@ -412,24 +439,27 @@
         Session { owner: self.owner.clone(), id: Arc::from(call.to_string()) }
     }
 
-    /// The final answer on its way to the caller.
-    fn answered(&mut self, call: Id, answer: Final, out: &mut Vec<Output>) {
+    /// Sends a call's final answer to its caller.
+    fn call_answered(&mut self, call: Id, answer: Final, out: &mut Vec<Output>) {
         match (answer, self.answer.take()) {
-            (Final::Established, Some(description)) => self.tell_stands(call, description, out),
-            (Final::Established, None) => self.tell_refused(call, false, out),
-            (Final::Refused { .. }, _) => self.tell_refused(call, true, out),
-            (Final::Failed, _) => self.tell_refused(call, false, out),
+            (Final::Established, Some(description)) => self.send_answer(call, description, out),
+            (Final::Established, None) => self.send_refusal(call, false, out),
+            (Final::Refused { .. }, _) => self.send_refusal(call, true, out),
+            (Final::Failed, _) => self.send_refusal(call, false, out),
         }
     }
 }
 
-/// A message's bytes. It was made here, and so is never too long but for a description that came too long.
+/// Encodes a message. Since it was built here, only a description that was received too long can make it too
+/// long.
 fn wire(message: &Message) -> Option<Vec<u8>> {
     let bytes = message.to_bytes();
-    bytes.inspect_err(|fault| tracing::warn!("{} is not written: {fault}", message.call)).ok()
+    bytes
+        .inspect_err(|fault| tracing::warn!("message for call {} cannot be encoded: {fault}", message.call))
+        .ok()
 }
 
-/// The wire's id of a call that the engine names.
+/// Converts the engine's session id to the call id on the wire.
 fn id_of(session: &Session) -> Option<Id> {
     u64::from_str_radix(&session.id, 16).ok().map(|id| Id(id.to_be_bytes()))
 }
--- a/crates/node/src/state/servers.rs
+++ b/crates/node/src/state/servers.rs
@@ -1,163 +1,174 @@
-//! The signalling servers: connections to each, attempts on them, and who is taken for dead.
+//! Signalling servers: the connections to each, the attempts on them, and detection of dead servers.
 //!
-//! What a server says is matched to the attempt: by the connection of its set-up until the call stands, by the
-//! server afterwards. A call comes to no connection a second time, so that a late word on an attempt that was
-//! given up is never taken for one on the next.
+//! Messages from a server are matched to an attempt by the connection of its set-up until the call is
+//! established, and by the server afterwards. A call never uses a connection twice, so that a late message on
+//! a released attempt is not matched to the next one.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt::Display;
 use std::net::SocketAddr;
 
 use baydrift::interface::{Micros, Note, Outcome, Report, ServerId, ServerState};
-use baydrift_call::{AttemptEnd, AttemptId, Input as Moment};
+use baydrift_call::{AttemptEnd, AttemptId, Input as EngineInput};
 use baydrift_platform::list::server_id;
 use baydrift_platform::{report, Cause, Code, Fault, Fleet, Id, Kind, Message};
 
-use super::aged::Aged;
-use super::spread::{Spread, MOST};
-use super::{wire, Flight, Node, Output, Payload, Unsent};
+use super::expiring::ExpiringQueue;
+use super::pool_limit::{PoolLimit, CONNS_PER_SERVER_MAX};
+use super::{wire, Attempt, Node, Output, Payload, PendingSetUp};
 use crate::config::Config;
 
-/// Descriptors for all that is no connection: listener, datagrams, signals, log, configuration.
-const OTHERS: usize = 24;
-/// A connection that has said nothing for so long is tested ...
-const TEST_AFTER: Micros = 1_000_000;
-/// ... and taken for dead when the test is unanswered for so long.
-const TEST_WITHIN: Micros = 1_000_000;
-/// The rest of a message must come within this: a message is small, and what waits behind it waits for nothing.
-const PART_WITHIN: Micros = 500_000;
-/// Pause after a failed dial; it doubles up to the second.
-const REDIAL: (Micros, Micros) = (100_000, 1_000_000);
-/// A server that cannot be reached for so long has lost its calls: their callers are owed word within 8 s.
-const LOST_AFTER: Micros = 3_500_000;
-/// And one that the list does not name, sooner: the list is never so far behind.
-const GONE_AFTER: Micros = 1_500_000;
-/// A connection remembers calls that are over on it for so long, and so many.
-const PAST: (usize, Micros) = (512, 20_000_000);
-/// Ends of calls that are not known here are kept, so many and for so long. Guards against a start of this process
-/// in the midst of calls: a server tells what is over on the first connection, and the caller names the call, as
-/// one that stands, only after it.
-const UNNAMED: (usize, Micros) = (1_024, 8_000_000);
-/// Releases that wait for a connection to their server.
-const OWED_MAX: usize = 1_000;
-
-/// One connection to a signalling server. Never used twice.
+/// File descriptors for other uses than TCP connections: listener, UDP sockets, signals, log, configuration.
+const RESERVED_DESCRIPTORS: usize = 24;
+/// Idle time after which a connection is health-checked with a ping.
+const PING_AFTER_IDLE: Micros = 1_000_000;
+/// Time after which a connection is considered dead when the ping is unanswered.
+const PING_TIMEOUT: Micros = 1_000_000;
+/// Time within which a partly received message must be complete: messages are small, and a stalled one blocks
+/// all that follow.
+const PARTIAL_MESSAGE_TIMEOUT: Micros = 500_000;
+/// Pause after the first failed dial; it doubles with each further failure.
+const REDIAL_PAUSE_MIN: Micros = 100_000;
+/// Maximum pause after a failed dial.
+const REDIAL_PAUSE_MAX: Micros = 1_000_000;
+/// Time after which the calls at an unreachable server are considered lost: callers must be notified within 8
+/// s.
+const UNREACHABLE_TIMEOUT: Micros = 3_500_000;
+/// The same for a server that is no longer on the list, which is never this far behind.
+const DELISTED_UNREACHABLE_TIMEOUT: Micros = 1_500_000;
+/// Maximum number of finished calls that a connection remembers.
+const FINISHED_CALLS_MAX: usize = 512;
+/// How long a connection remembers a finished call.
+const FINISHED_CALLS_TTL: Micros = 20_000_000;
+/// Maximum number of ends of unknown calls that are kept. Guards against a start of this process while calls
+/// are established: a server reports their ends on the first connection, possibly before the caller announces
+/// the call.
+const UNCLAIMED_ENDS_MAX: usize = 1_024;
+/// How long the end of an unknown call is kept.
+const UNCLAIMED_ENDS_TTL: Micros = 8_000_000;
+/// Maximum number of releases that wait for a connection to one server.
+const PENDING_RELEASES_MAX: usize = 1_000;
+
+/// Identifies a connection to a signalling server; never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConnId(pub u64);
 
-/// How many connections there may be.
+/// Limits on the number of connections to signalling servers.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Bounds {
-    all: usize,
-    /// To one server, as long as it has refused none.
-    spread: Spread,
+pub(super) struct ConnLimits {
+    total: usize,
+    /// Limit per server that has refused no connection yet.
+    pool_limit: PoolLimit,
 }
 
-impl Bounds {
-    /// Three eighths of the descriptors, since callers hold a third.
+impl ConnLimits {
+    /// Allows three eighths of the descriptors, since callers may hold a third.
     pub(super) fn of(config: &Config) -> Self {
-        Self { all: (config.sockets * 3 / 8).min(8 * MOST), spread: Spread::of_fleet(config.settings.fronts) }
+        Self {
+            total: (config.sockets * 3 / 8).min(8 * CONNS_PER_SERVER_MAX),
+            pool_limit: PoolLimit::for_fleet(config.settings.fronts),
+        }
     }
 
-    /// Descriptors that callers may not have.
-    pub(super) fn kept_back(self) -> usize {
-        self.all + OTHERS
+    /// Number of descriptors that are not available to callers.
+    pub(super) fn reserved(self) -> usize {
+        self.total + RESERVED_DESCRIPTORS
     }
 }
 
 #[derive(Debug)]
 struct Conn {
     server: ServerId,
-    /// Where it was dialled.
+    /// The address that was dialled.
     address: SocketAddr,
     up: bool,
-    /// Set-ups without their answer.
-    open: BTreeMap<Id, AttemptId>,
-    /// Calls that are over on it.
-    past: Aged<Id>,
-    heard_at: Micros,
-    tested_at: Option<Micros>,
-    part_since: Option<Micros>,
+    /// Unanswered set-ups.
+    unanswered: BTreeMap<Id, AttemptId>,
+    /// Calls that finished on this connection.
+    finished: ExpiringQueue<Id>,
+    received_at: Micros,
+    pinged_at: Option<Micros>,
+    partial_since: Option<Micros>,
 }
 
 impl Conn {
-    fn is_over(&self, call: Id) -> bool {
-        self.past.any(|past| *past == call)
+    fn has_finished(&self, call: Id) -> bool {
+        self.finished.any(|finished| *finished == call)
     }
 }
 
 #[derive(Debug, Default)]
 struct Server {
     address: Option<SocketAddr>,
-    /// `None`: it is on the list no longer.
+    /// State on the server list; `None` once the server is off the list.
     listed: Option<ServerState>,
     started_at: Option<Micros>,
     conns: BTreeSet<ConnId>,
-    /// Calls that stand there.
-    standing: BTreeMap<Id, AttemptId>,
-    /// Set-ups that wait for a connection.
+    /// Calls established at this server.
+    established: BTreeMap<Id, AttemptId>,
+    /// Attempts whose set-ups wait for a connection.
     waiting: VecDeque<AttemptId>,
-    /// Releases that wait for one.
-    owed: VecDeque<Id>,
-    failures: u32,
-    /// How many connections it is worth; `None` until it refuses one.
-    spread: Option<Spread>,
+    /// Calls whose releases wait for a connection.
+    pending_releases: VecDeque<Id>,
+    dial_failures: u32,
+    /// Limit on its connections; `None` until it refuses one.
+    pool_limit: Option<PoolLimit>,
     dial_at: Micros,
-    /// Since when no connection is up.
+    /// Start of the time without an established connection.
     down_since: Option<Micros>,
-    /// A connection broke and none was opened since.
-    renew: bool,
+    /// A connection broke and no replacement was dialled since.
+    replace_broken: bool,
 }
 
 impl Server {
-    /// A release waits for the next connection.
-    fn owe(&mut self, call: Id) {
-        if self.owed.len() >= OWED_MAX {
-            self.owed.pop_front();
+    /// Queues a release for the next connection; beyond the limit the oldest is dropped.
+    fn queue_release(&mut self, call: Id) {
+        if self.pending_releases.len() >= PENDING_RELEASES_MAX {
+            self.pending_releases.pop_front();
         }
-        self.owed.push_back(call);
+        self.pending_releases.push_back(call);
     }
 }
 
-/// All signalling servers.
+/// All signalling servers and the connections to them.
 #[derive(Debug)]
 pub(super) struct Servers {
-    known: BTreeMap<ServerId, Server>,
+    by_id: BTreeMap<ServerId, Server>,
     conns: BTreeMap<ConnId, Conn>,
     next_conn: u64,
-    bounds: Bounds,
+    conn_limits: ConnLimits,
     restarted: Vec<(ServerId, Micros)>,
-    /// Ends of calls that no caller has named here yet.
-    unnamed: Aged<(ServerId, Id, Outcome)>,
+    /// Ends of calls that no caller has announced yet.
+    unclaimed_ends: ExpiringQueue<(ServerId, Id, Outcome)>,
 }
 
 impl Servers {
-    pub(super) fn new(bounds: Bounds) -> Self {
+    pub(super) fn new(conn_limits: ConnLimits) -> Self {
         Self {
-            known: BTreeMap::new(),
+            by_id: BTreeMap::new(),
             conns: BTreeMap::new(),
             next_conn: 1,
-            bounds,
+            conn_limits,
             restarted: Vec::new(),
-            unnamed: Aged::new(UNNAMED),
+            unclaimed_ends: ExpiringQueue::new((UNCLAIMED_ENDS_MAX, UNCLAIMED_ENDS_TTL)),
         }
     }
 
-    pub(super) fn open(&self) -> usize {
+    pub(super) fn conn_count(&self) -> usize {
         self.conns.len()
     }
 
-    /// Takes the list; the servers that are new on it.
-    pub(super) fn listed(&mut self, now: Micros, fleet: &Fleet) -> Vec<ServerId> {
-        let mut fresh = Vec::new();
-        for server in self.known.values_mut() {
+    /// Applies the server list and returns the servers that are new on it.
+    pub(super) fn apply_list(&mut self, now: Micros, fleet: &Fleet) -> Vec<ServerId> {
+        let mut added = Vec::new();
+        for server in self.by_id.values_mut() {
             server.listed = None;
         }
         for line in fleet.lines() {
             let id = server_id(&line.name);
             tracing::debug!("listed: {} {id:x} {:?} {}", line.name, line.state, line.address);
-            let server = self.known.entry(id).or_insert_with(|| {
-                fresh.push(id);
+            let server = self.by_id.entry(id).or_insert_with(|| {
+                added.push(id);
                 Server { started_at: line.started_at, down_since: Some(now), ..Server::default() }
             });
             if let Some(at) = line.started_at.filter(|_| server.started_at != line.started_at) {
@@ -168,129 +179,138 @@
                 (server.address, server.dial_at) = (Some(line.address), now);
             }
         }
-        // Guards against a new server at the address of one that is gone: whatever answers there now knows none of
-        // the old one's calls, and a dial that succeeds proves nothing.
+        // Guards against a new server at the address of a removed one: it knows none of the old server's
+        // calls, so a successful dial says nothing about them.
         let taken: BTreeSet<_> = fleet.lines().map(|line| line.address).collect();
-        for (id, server) in self.known.iter_mut().filter(|(_, server)| server.listed.is_none()) {
+        for (id, server) in self.by_id.iter_mut().filter(|(_, server)| server.listed.is_none()) {
             if server.address.is_some_and(|address| taken.contains(&address)) {
                 server.address = None;
-                server.owed.clear();
+                server.pending_releases.clear();
                 self.restarted.push((*id, Micros::MAX));
             }
         }
-        fresh
+        added
     }
 
-    /// Servers whose process the list showed to be another than before, and since when.
+    /// Takes the servers whose process has restarted according to the list, with the start time of the new
+    /// process.
     pub(super) fn take_restarted(&mut self) -> Vec<(ServerId, Micros)> {
         std::mem::take(&mut self.restarted)
     }
 
-    /// Whether a release waits for a connection to its server.
-    pub(super) fn is_owing(&self) -> bool {
-        self.known.values().any(|server| server.listed.is_some() && !server.owed.is_empty())
+    /// Whether a release waits for a connection to a listed server.
+    pub(super) fn has_pending_releases(&self) -> bool {
+        self.by_id.values().any(|server| server.listed.is_some() && !server.pending_releases.is_empty())
     }
 
-    /// A call stands at a server, which need not be on the list.
-    pub(super) fn stands(&mut self, now: Micros, server: ServerId, call: Id, attempt: AttemptId) {
-        let fresh = || Server { down_since: Some(now), ..Server::default() };
-        self.known.entry(server).or_insert_with(fresh).standing.insert(call, attempt);
+    /// Records an established call at a server, which need not be on the list.
+    pub(super) fn add_established(&mut self, now: Micros, server: ServerId, call: Id, attempt: AttemptId) {
+        let new_server = || Server { down_since: Some(now), ..Server::default() };
+        self.by_id.entry(server).or_insert_with(new_server).established.insert(call, attempt);
     }
 
-    /// How a call ended whose caller names it only now.
-    pub(super) fn take_unnamed(&mut self, now: Micros, server: ServerId, call: Id) -> Option<Outcome> {
-        let ends = self.unnamed.take(now, |(at, id, _)| (*at, *id) == (server, call));
+    /// Takes the outcome of a call that ended before its caller announced it.
+    pub(super) fn take_unclaimed_end(&mut self, now: Micros, server: ServerId, call: Id) -> Option<Outcome> {
+        let ends = self.unclaimed_ends.take_matching(now, |(at, id, _)| (*at, *id) == (server, call));
         ends.first().map(|(.., outcome)| *outcome)
     }
 
-    /// Part of a message has come.
-    pub(super) fn part(&mut self, conn: ConnId, now: Micros) {
+    /// Starts the timeout for the rest of a partly received message.
+    pub(super) fn partial_message(&mut self, conn: ConnId, now: Micros) {
         if let Some(conn) = self.conns.get_mut(&conn) {
-            conn.part_since.get_or_insert(now);
+            conn.partial_since.get_or_insert(now);
         }
     }
 
-    fn up(&self, server: ServerId) -> impl Iterator<Item = (ConnId, &Conn)> {
-        let ids = self.known.get(&server).into_iter().flat_map(|server| &server.conns);
+    fn up_conns(&self, server: ServerId) -> impl Iterator<Item = (ConnId, &Conn)> {
+        let ids = self.by_id.get(&server).into_iter().flat_map(|server| &server.conns);
         ids.filter_map(|id| Some((*id, self.conns.get(id)?))).filter(|(_, conn)| conn.up)
     }
 
-    /// The connection for a set-up: the one with the fewest open, and never one that the call was on already.
-    fn choose(&self, server: ServerId, call: Id) -> Option<ConnId> {
-        let free = self.up(server).filter(|(_, conn)| !conn.is_over(call) && !conn.open.contains_key(&call));
-        free.min_by_key(|(id, conn)| (conn.open.len(), *id)).map(|(id, _)| id)
+    /// Chooses the connection for a set-up: the one with the fewest unanswered set-ups that this call has not
+    /// used yet.
+    fn conn_for_set_up(&self, server: ServerId, call: Id) -> Option<ConnId> {
+        let free = self
+            .up_conns(server)
+            .filter(|(_, conn)| !conn.has_finished(call) && !conn.unanswered.contains_key(&call));
+        free.min_by_key(|(id, conn)| (conn.unanswered.len(), *id)).map(|(id, _)| id)
     }
 
-    fn any_up(&self, server: ServerId) -> Option<ConnId> {
-        self.up(server).next().map(|(id, _)| id)
+    fn any_up_conn(&self, server: ServerId) -> Option<ConnId> {
+        self.up_conns(server).next().map(|(id, _)| id)
     }
 
-    /// Whether a set-up waits though connections are up: its call was on each of them. Guards against a second attempt
-    /// at the same server that waits for a connection which nobody dials.
-    fn is_stuck(&self, server: &Server) -> bool {
+    /// Whether a set-up waits although connections are up, since its call has used each of them. Guards
+    /// against a second attempt at the same server that waits for a connection that is never dialled.
+    fn needs_extra_conn(&self, server: &Server) -> bool {
         let up = server.conns.iter().any(|id| self.conns.get(id).is_some_and(|conn| conn.up));
-        up && !server.waiting.is_empty() && server.conns.len() < 2 * MOST
+        up && !server.waiting.is_empty() && server.conns.len() < 2 * CONNS_PER_SERVER_MAX
     }
 
-    /// How many connections a server should have now.
-    fn wanted(&self, now: Micros, server: &Server) -> usize {
-        let open = server.conns.iter().filter_map(|id| self.conns.get(id)).map(|conn| conn.open.len());
-        let busy = open.sum::<usize>() + server.waiting.len();
+    /// Number of connections that a server should have now.
+    fn target_conns(&self, now: Micros, server: &Server) -> usize {
+        let unanswered =
+            server.conns.iter().filter_map(|id| self.conns.get(id)).map(|conn| conn.unanswered.len());
+        let busy = unanswered.sum::<usize>() + server.waiting.len();
         match server.listed {
             Some(ServerState::Ready) => {
-                let share = self.bounds.all / self.known.len().max(1);
-                let spread = server.spread.unwrap_or(self.bounds.spread);
-                spread.wanted(now, busy, share)
+                let share = self.conn_limits.total / self.by_id.len().max(1);
+                let pool_limit = server.pool_limit.unwrap_or(self.conn_limits.pool_limit);
+                pool_limit.target(now, busy, share)
             }
-            // Whatever answers there now is not the process that is gone.
+            // A process that answers there now is not the removed server.
             None => 0,
-            // What stands or is owed there is told on any connection, or on the next.
-            Some(_) => usize::from(busy > 0 || !server.standing.is_empty() || !server.owed.is_empty()),
+            // Ends of established calls and pending releases need one connection.
+            Some(_) => {
+                usize::from(busy > 0 || !server.established.is_empty() || !server.pending_releases.is_empty())
+            }
         }
     }
 
-    /// Dials what is missing; with `at_once` the pause after a failure is cut short, for a set-up that waits.
+    /// Dials the missing connections. `at_once` skips the pause after a failed dial, for a waiting set-up.
     fn dial(&mut self, now: Micros, id: ServerId, at_once: bool, out: &mut Vec<Output>) {
-        let Some(server) = self.known.get(&id) else { return };
+        let Some(server) = self.by_id.get(&id) else { return };
         let dialling = server.conns.iter().any(|conn| self.conns.get(conn).is_some_and(|conn| !conn.up));
         let due = now >= server.dial_at || at_once && !dialling;
-        let room = self.conns.len() < self.bounds.all || server.conns.is_empty();
-        let wanted = if server.failures > 0 { 1 } else { self.wanted(now, server) };
-        // Guards against ends of calls that went down with a connection: their server tells them again, but only on
-        // the next connection that is opened, and no set-up may need one for long.
-        let renewed = usize::from(server.renew && server.listed.is_some() && server.conns.len() < 2 * MOST);
-        let renewed = renewed.max(usize::from(!dialling && self.is_stuck(server)));
-        let missing = wanted.saturating_sub(server.conns.len()).max(renewed).min(2);
+        let room = self.conns.len() < self.conn_limits.total || server.conns.is_empty();
+        let target = if server.dial_failures > 0 { 1 } else { self.target_conns(now, server) };
+        // Guards against ends of calls that were lost with a connection: their server repeats them only on
+        // the next connection that is opened, and it may be long until a set-up needs one.
+        let replacements = usize::from(
+            server.replace_broken && server.listed.is_some() && server.conns.len() < 2 * CONNS_PER_SERVER_MAX,
+        );
+        let replacements = replacements.max(usize::from(!dialling && self.needs_extra_conn(server)));
+        let missing = target.saturating_sub(server.conns.len()).max(replacements).min(2);
         let Some(address) = server.address.filter(|_| due && room) else { return };
         for _ in 0..missing {
             let conn = ConnId(self.next_conn);
             self.next_conn += 1;
-            let fresh = Conn {
+            let new_conn = Conn {
                 server: id,
                 address,
                 up: false,
-                open: BTreeMap::new(),
-                past: Aged::new(PAST),
-                heard_at: now,
-                tested_at: None,
-                part_since: None,
+                unanswered: BTreeMap::new(),
+                finished: ExpiringQueue::new((FINISHED_CALLS_MAX, FINISHED_CALLS_TTL)),
+                received_at: now,
+                pinged_at: None,
+                partial_since: None,
             };
-            self.conns.insert(conn, fresh);
-            if let Some(server) = self.known.get_mut(&id) {
+            self.conns.insert(conn, new_conn);
+            if let Some(server) = self.by_id.get_mut(&id) {
                 server.conns.insert(conn);
-                server.renew = false;
+                server.replace_broken = false;
             }
             out.push(Output::Dial(conn, address));
         }
     }
 
-    /// Forgets a connection.
+    /// Removes a connection from the tables.
     fn remove(&mut self, now: Micros, id: ConnId) -> Option<Conn> {
         let conn = self.conns.remove(&id)?;
-        let none_up = self.any_up(conn.server).is_none();
-        if let Some(server) = self.known.get_mut(&conn.server) {
+        let none_up = self.any_up_conn(conn.server).is_none();
+        if let Some(server) = self.by_id.get_mut(&conn.server) {
             server.conns.remove(&id);
-            server.renew |= conn.up;
+            server.replace_broken |= conn.up;
             if none_up {
                 server.down_since.get_or_insert(now);
             }
@@ -300,8 +320,8 @@
 }
 
 impl Node {
-    /// The engine sets a call up: on a connection that is up, or on the next one within the dial's time.
-    pub(super) fn set_up(
+    /// Starts an attempt on an established connection, or queues it for the next one within the dial timeout.
+    pub(super) fn start_attempt(
         &mut self,
         attempt: AttemptId,
         server: ServerId,
@@ -310,15 +330,22 @@
         (timeout, begin_within): (Micros, Micros),
         out: &mut Vec<Output>,
     ) {
-        let (since, until) = (self.now, self.now + timeout);
-        let begin_by = self.now.saturating_add(begin_within).min(until);
-        let unsent = Unsent { payload, since, until, begin_by };
-        let flight = Flight { server, call, conn: None, stands: false, at: self.now, unsent: Some(unsent) };
-        self.flights.insert(attempt, flight);
-        match self.servers.choose(server, call) {
+        let (queued_at, timeout_at) = (self.now, self.now + timeout);
+        let begin_by = self.now.saturating_add(begin_within).min(timeout_at);
+        let pending = PendingSetUp { payload, queued_at, timeout_at, begin_by };
+        let state = Attempt {
+            server,
+            call,
+            conn: None,
+            established: false,
+            started_at: self.now,
+            pending: Some(pending),
+        };
+        self.attempts.insert(attempt, state);
+        match self.servers.conn_for_set_up(server, call) {
             Some(conn) => self.write_set_up(attempt, conn, out),
             None => {
-                if let Some(server) = self.servers.known.get_mut(&server) {
+                if let Some(server) = self.servers.by_id.get_mut(&server) {
                     server.waiting.push_back(attempt);
                 }
             }
@@ -327,10 +354,10 @@
     }
 
     fn write_set_up(&mut self, attempt: AttemptId, conn: ConnId, out: &mut Vec<Output>) {
-        let Some(flight) = self.flights.get_mut(&attempt) else { return };
-        let Some(Unsent { payload, until, .. }) = flight.unsent.take() else { return };
-        let left_ms = until.saturating_sub(self.now).max(1_000) / 1_000;
-        let mut message = Message::new(Kind::SetUp, flight.call)
+        let Some(state) = self.attempts.get_mut(&attempt) else { return };
+        let Some(PendingSetUp { payload, timeout_at, .. }) = state.pending.take() else { return };
+        let left_ms = timeout_at.saturating_sub(self.now).max(1_000) / 1_000;
+        let mut message = Message::new(Kind::SetUp, state.call)
             .with(Code::CLASS, payload.class)
             .with(Code::WAIT, left_ms.to_string());
         if let Some(number) = payload.number {
@@ -338,82 +365,83 @@
         }
         message = message.with(Code::DESCRIPTION, payload.description);
         let Some(bytes) = wire(&message) else {
-            return self.end(attempt, AttemptEnd::plain(Outcome::Moot), out);
+            return self.end_attempt(attempt, AttemptEnd::plain(Outcome::Moot), out);
         };
-        flight.conn = Some(conn);
-        flight.at = self.now;
-        tracing::trace!("{} at {:x}: set-up on {}", flight.call, flight.server, conn.0);
-        self.belief.sent(flight.server);
+        state.conn = Some(conn);
+        state.started_at = self.now;
+        tracing::trace!("{} at {:x}: set-up on {}", state.call, state.server, conn.0);
+        self.attempt_counts.record_sent(state.server);
         if let Some(conn) = self.servers.conns.get_mut(&conn) {
-            conn.open.insert(flight.call, attempt);
+            conn.unanswered.insert(state.call, attempt);
         }
         out.push(Output::ToServer(conn, bytes));
     }
 
-    /// An attempt is given up, or a call that stands is released.
-    pub(super) fn release(&mut self, attempt: AttemptId, out: &mut Vec<Output>) {
-        let Some(flight) = self.flights.remove(&attempt) else { return };
-        let Flight { server, call, conn, stands, unsent, .. } = flight;
-        tracing::trace!("{call} at {server:x}: released, standing {stands}");
-        if !stands && unsent.is_none() {
-            self.belief.ended(server, Outcome::Timeout);
+    /// Cancels an attempt, or releases the call established by it.
+    pub(super) fn release_attempt(&mut self, attempt: AttemptId, out: &mut Vec<Output>) {
+        let Some(state) = self.attempts.remove(&attempt) else { return };
+        let Attempt { server, call, conn, established, pending, .. } = state;
+        tracing::trace!("{call} at {server:x}: released, established {established}");
+        if !established && pending.is_none() {
+            self.attempt_counts.record_ended(server, Outcome::Timeout);
         }
-        let home = conn.filter(|conn| self.servers.conns.get(conn).is_some_and(|conn| conn.up));
-        if unsent.is_some() {
-            if let Some(server) = self.servers.known.get_mut(&server) {
+        let own_conn = conn.filter(|conn| self.servers.conns.get(conn).is_some_and(|conn| conn.up));
+        if pending.is_some() {
+            if let Some(server) = self.servers.by_id.get_mut(&server) {
                 server.waiting.retain(|other| *other != attempt);
             }
             return;
         }
-        if !stands {
-            // Without its connection the set-up has ended with that.
-            let Some(conn) = home else { return };
+        if !established {
+            // A set-up whose connection is closed has ended with it.
+            let Some(conn) = own_conn else { return };
             if let Some(conn) = self.servers.conns.get_mut(&conn) {
-                conn.open.remove(&call);
-                conn.past.put(self.now, call);
+                conn.unanswered.remove(&call);
+                conn.finished.push(self.now, call);
             }
             return write(out, conn, &Message::release(call, Cause::NORMAL));
         }
-        let any = home.or_else(|| self.servers.any_up(server));
-        let Some(known) = self.servers.known.get_mut(&server) else { return };
-        known.standing.remove(&call);
+        let any = own_conn.or_else(|| self.servers.any_up_conn(server));
+        let Some(known) = self.servers.by_id.get_mut(&server) else { return };
+        known.established.remove(&call);
         match any {
             Some(conn) => write(out, conn, &Message::release(call, Cause::NORMAL)),
-            None => known.owe(call),
+            None => known.queue_release(call),
         }
     }
 
-    /// An attempt has ended without standing.
-    fn end(&mut self, attempt: AttemptId, end: AttemptEnd, out: &mut Vec<Output>) {
-        // Forgotten first: nothing is left at the server that a release would end.
-        if let Some(flight) = self.flights.remove(&attempt) {
-            tracing::trace!("{} at {:x}: {:?} {:?}", flight.call, flight.server, end.outcome, end.note);
-            self.belief.ended(flight.server, end.outcome);
+    /// Reports to the engine an attempt that ended without establishing its call.
+    fn end_attempt(&mut self, attempt: AttemptId, end: AttemptEnd, out: &mut Vec<Output>) {
+        // Removed first: the server holds nothing that the engine's release would end.
+        if let Some(state) = self.attempts.remove(&attempt) {
+            tracing::trace!("{} at {:x}: {:?} {:?}", state.call, state.server, end.outcome, end.note);
+            self.attempt_counts.record_ended(state.server, end.outcome);
         }
-        self.engine(Moment::Ended { attempt, end }, out);
+        self.apply_to_engine(EngineInput::Ended { attempt, end }, out);
     }
 
     pub(super) fn server_up(&mut self, id: ConnId, out: &mut Vec<Output>) {
         let now = self.now;
         let Some(conn) = self.servers.conns.get_mut(&id) else { return out.push(Output::CloseServer(id)) };
-        (conn.up, conn.heard_at) = (true, now);
+        (conn.up, conn.received_at) = (true, now);
         tracing::debug!("{:x}: connection {} up", conn.server, id.0);
-        let of = conn.server;
-        let Some(server) = self.servers.known.get_mut(&of) else { return };
-        (server.failures, server.down_since) = (0, None);
-        let (waiting, owed) = (std::mem::take(&mut server.waiting), std::mem::take(&mut server.owed));
+        let owner = conn.server;
+        let Some(server) = self.servers.by_id.get_mut(&owner) else { return };
+        (server.dial_failures, server.down_since) = (0, None);
+        let (waiting, releases) =
+            (std::mem::take(&mut server.waiting), std::mem::take(&mut server.pending_releases));
         let ready = server.listed == Some(ServerState::Ready);
-        for call in owed {
+        for call in releases {
             write(out, id, &Message::release(call, Cause::NORMAL));
         }
         for attempt in waiting {
-            // Checked again at the moment of writing: the server's drain may have been told meanwhile, and the time in
-            // which the set-up was of use may have passed.
-            let unsent = self.flights.get(&attempt).and_then(|flight| flight.unsent.as_ref());
-            if ready && unsent.is_some_and(|unsent| now < unsent.begin_by) {
+            // Checked again before writing: the server may have announced its drain meanwhile, and the latest
+            // start time of the attempt may have passed.
+            let pending = self.attempts.get(&attempt).and_then(|state| state.pending.as_ref());
+            if ready && pending.is_some_and(|pending| now < pending.begin_by) {
                 self.write_set_up(attempt, id, out);
             } else {
-                self.end(attempt, AttemptEnd::plain(Outcome::Moot), out);
+                self.end_attempt(attempt, AttemptEnd::plain(Outcome::Moot), out);
             }
         }
     }
@@ -422,76 +450,90 @@
         let now = self.now;
         let Some(conn) = self.servers.remove(now, id) else { return };
         tracing::debug!("{:x}: connection {} not up, refused {refused}", conn.server, id.0);
-        let up = self.servers.up(conn.server).count();
-        let spread = self.servers.bounds.spread;
-        let Some(server) = self.servers.known.get_mut(&conn.server) else { return };
+        let up = self.servers.up_conns(conn.server).count();
+        let pool_limit = self.servers.conn_limits.pool_limit;
+        let Some(server) = self.servers.by_id.get_mut(&conn.server) else { return };
         if up > 0 {
-            // It serves, and takes no more.
-            server.spread.get_or_insert(spread).refused(now, up);
+            // The server works but accepts no further connection.
+            server.pool_limit.get_or_insert(pool_limit).record_refusal(now, up);
         }
-        server.dial_at = now + (REDIAL.0 << server.failures.min(8)).min(REDIAL.1);
-        server.failures += 1;
+        server.dial_at = now + (REDIAL_PAUSE_MIN << server.dial_failures.min(8)).min(REDIAL_PAUSE_MAX);
+        server.dial_failures += 1;
         if up > 0 {
             return;
         }
         for attempt in std::mem::take(&mut server.waiting) {
-            self.end(attempt, AttemptEnd::plain(Outcome::ConnectFailed), out);
+            self.end_attempt(attempt, AttemptEnd::plain(Outcome::ConnectFailed), out);
         }
-        // Nothing runs where a connection is refused: the process is gone, with all its calls.
+        // No process listens where a connection is refused: the server is dead, with all its calls.
         if refused {
-            self.lose(conn.server, Micros::MAX, out);
-        }
-    }
-
-    /// A server's calls from before a time are gone with their process; those that stood.
-    pub(super) fn lose(&mut self, server: ServerId, before: Micros, out: &mut Vec<Output>) -> Vec<Id> {
-        let here = |flight: &Flight| flight.server == server && flight.unsent.is_none() && flight.at < before;
-        let gone: Vec<_> = self.flights.iter().filter(|(_, f)| here(f)).map(|(id, _)| *id).collect();
-        self.counts.lost += u64::from(!gone.is_empty());
-        tracing::debug!("{server:x}: its process is gone, with {} calls", gone.len());
-        let mut stood = Vec::new();
-        for attempt in gone {
-            let Some(flight) = self.flights.remove(&attempt) else { continue };
-            stood.extend(flight.stands.then_some(flight.call));
-            if let Some(conn) = flight.conn.and_then(|conn| self.servers.conns.get_mut(&conn)) {
-                conn.open.remove(&flight.call);
+            self.process_lost(conn.server, Micros::MAX, out);
+        }
+    }
+
+    /// Ends a server's attempts and calls from before a time, lost with their process. Returns the calls that
+    /// were established.
+    pub(super) fn process_lost(
+        &mut self,
+        server: ServerId,
+        before: Micros,
+        out: &mut Vec<Output>,
+    ) -> Vec<Id> {
+        let affected =
+            |state: &Attempt| state.server == server && state.pending.is_none() && state.started_at < before;
+        let lost: Vec<_> =
+            self.attempts.iter().filter(|(_, state)| affected(state)).map(|(id, _)| *id).collect();
+        self.counts.lost += u64::from(!lost.is_empty());
+        tracing::debug!("{server:x}: its process is gone, with {} calls", lost.len());
+        let mut established = Vec::new();
+        for attempt in lost {
+            let Some(state) = self.attempts.remove(&attempt) else { continue };
+            established.extend(state.established.then_some(state.call));
+            if let Some(conn) = state.conn.and_then(|conn| self.servers.conns.get_mut(&conn)) {
+                conn.unanswered.remove(&state.call);
             }
-            if let Some(known) = self.servers.known.get_mut(&server) {
-                known.standing.remove(&flight.call);
+            if let Some(known) = self.servers.by_id.get_mut(&server) {
+                known.established.remove(&state.call);
             }
-            self.engine(Moment::Cut { attempt, report: Report::default() }, out);
+            self.apply_to_engine(EngineInput::Cut { attempt, report: Report::default() }, out);
         }
-        stood
+        established
     }
 
-    /// A connection that was up has ended: what is open on it may have run. Calls that stand are not touched.
+    /// Handles the end of an established connection: unanswered set-ups on it may have taken effect and end
+    /// as reset. Established calls are not affected.
     pub(super) fn server_down(&mut self, id: ConnId, out: &mut Vec<Output>) {
         let Some(conn) = self.servers.remove(self.now, id) else { return };
-        tracing::debug!("{:x}: connection {} down, {} open", conn.server, id.0, conn.open.len());
-        self.counts.broken += u64::from(!conn.open.is_empty());
-        // Dialled before what was open is placed again, so that it finds a connection.
+        tracing::debug!(
+            "{:x}: connection {} down, {} set-ups unanswered",
+            conn.server,
+            id.0,
+            conn.unanswered.len()
+        );
+        self.counts.broken += u64::from(!conn.unanswered.is_empty());
+        // Dialled before the engine retries the unanswered set-ups, so that they find a connection.
         self.servers.dial(self.now, conn.server, false, out);
-        for attempt in conn.open.into_values() {
-            self.end(attempt, AttemptEnd::plain(Outcome::Reset), out);
+        for attempt in conn.unanswered.into_values() {
+            self.end_attempt(attempt, AttemptEnd::plain(Outcome::Reset), out);
         }
     }
 
-    fn broken(&mut self, id: ConnId, why: &dyn Display, out: &mut Vec<Output>) {
-        tracing::debug!("a signalling server's connection is closed: {why}");
+    fn close_broken(&mut self, id: ConnId, why: &dyn Display, out: &mut Vec<Output>) {
+        tracing::debug!("connection {} to a signalling server is closed: {why}", id.0);
         out.push(Output::CloseServer(id));
         self.server_down(id, out);
     }
 
-    pub(super) fn server_said(&mut self, id: ConnId, message: &Message, out: &mut Vec<Output>) {
+    pub(super) fn handle_server_message(&mut self, id: ConnId, message: &Message, out: &mut Vec<Output>) {
         let Some(conn) = self.servers.conns.get_mut(&id) else { return };
-        (conn.heard_at, conn.tested_at, conn.part_since) = (self.now, None, None);
+        (conn.received_at, conn.pinged_at, conn.partial_since) = (self.now, None, None);
         let server = conn.server;
-        let done = match message.kind {
-            Kind::State => self.report_of(message).map(|report| {
-                self.engine(Moment::LoadReport { server, report }, out);
+        let result = match message.kind {
+            Kind::State => self.read_report(message).map(|report| {
+                self.apply_to_engine(EngineInput::LoadReport { server, report }, out);
             }),
-            Kind::Answer => self.stands(id, message, out),
-            Kind::Release => self.ended(id, server, message, out),
+            Kind::Answer => self.handle_answer(id, message, out),
+            Kind::Release => self.handle_release(id, server, message, out),
             Kind::Test => {
                 write(out, id, &Message::tested(message.call));
                 Ok(())
@@ -499,60 +541,62 @@
             Kind::Progress | Kind::Heard | Kind::Tested => Ok(()),
             Kind::SetUp => Err(Fault::Kind(1)),
         };
-        if let Err(fault) = done {
-            self.broken(id, &fault, out);
+        if let Err(fault) = result {
+            self.close_broken(id, &fault, out);
         }
     }
 
-    fn report_of(&self, message: &Message) -> Result<Report, Fault> {
+    fn read_report(&self, message: &Message) -> Result<Report, Fault> {
         let text = message.text(Code::REPORT)?;
         Ok(text.map(|text| report::read(text, &self.site.fields)).unwrap_or_default())
     }
 
-    /// FIRST: a call stands. Only on the connection of its set-up; a second copy, or an answer to what nobody
-    /// asked, means nothing.
-    fn stands(&mut self, id: ConnId, message: &Message, out: &mut Vec<Output>) -> Result<(), Fault> {
-        // All is read before anything is changed: what cannot be read ends with its connection, whole.
-        let (call, report) = (message.call, self.report_of(message)?);
+    /// Handles an answer: the call is established. Valid only on the connection of its set-up; duplicates and
+    /// answers to unknown set-ups are ignored.
+    fn handle_answer(&mut self, id: ConnId, message: &Message, out: &mut Vec<Output>) -> Result<(), Fault> {
+        // Parsed completely before any state changes: an invalid message closes the connection and resets all
+        // its set-ups, this one included.
+        let (call, report) = (message.call, self.read_report(message)?);
         let conn = self.servers.conns.get_mut(&id);
-        let Some((conn, attempt)) = conn.and_then(|conn| conn.open.get(&call).copied().map(|a| (conn, a)))
+        let Some((conn, attempt)) =
+            conn.and_then(|conn| conn.unanswered.get(&call).copied().map(|a| (conn, a)))
         else {
             return Ok(());
         };
         let description = message.must(Code::DESCRIPTION)?.clone();
-        conn.open.remove(&call);
+        conn.unanswered.remove(&call);
         let server = conn.server;
-        if let Some(flight) = self.flights.get_mut(&attempt) {
-            flight.stands = true;
+        if let Some(state) = self.attempts.get_mut(&attempt) {
+            state.established = true;
         }
-        tracing::trace!("{call} at {server:x}: stands");
-        self.belief.ended(server, Outcome::Ok);
-        self.servers.stands(self.now, server, call, attempt);
+        tracing::trace!("{call} at {server:x}: established");
+        self.attempt_counts.record_ended(server, Outcome::Ok);
+        self.servers.add_established(self.now, server, call, attempt);
         self.answer = Some(description);
-        self.engine(Moment::Established { attempt, report }, out);
+        self.apply_to_engine(EngineInput::Established { attempt, report }, out);
         self.answer = None;
         Ok(())
     }
 
-    /// A release by a signalling server: a set-up's end, or that of a call that stands.
-    fn ended(
+    /// Handles a release by a signalling server, which ends a set-up or an established call.
+    fn handle_release(
         &mut self,
         id: ConnId,
         server: ServerId,
         message: &Message,
         out: &mut Vec<Output>,
     ) -> Result<(), Fault> {
-        // As above: all is read first.
-        let (call, cause, report) = (message.call, message.cause()?, self.report_of(message)?);
+        // Parsed completely before any state changes, as in `handle_answer`.
+        let (call, cause, report) = (message.call, message.cause()?, self.read_report(message)?);
         let note = message.text(Code::NOTE)?.map_or(Note::None, note);
         let Some(conn) = self.servers.conns.get_mut(&id) else { return Ok(()) };
-        if let Some(attempt) = conn.open.remove(&call) {
+        if let Some(attempt) = conn.unanswered.remove(&call) {
             tracing::trace!("{call} at {server:x}: released with cause {cause} before its answer");
-            conn.past.put(self.now, call);
+            conn.finished.push(self.now, call);
             if cause == Cause::NORMAL {
-                // Its answer was lost on the way, and this is the call's own end.
-                self.flights.remove(&attempt);
-                self.engine(Moment::Cleared { attempt, report }, out);
+                // The answer was lost, and this release ends the established call.
+                self.attempts.remove(&attempt);
+                self.apply_to_engine(EngineInput::Cleared { attempt, report }, out);
                 return Ok(());
             }
             let outcome = match cause {
@@ -561,138 +605,147 @@
                 Cause::TIMER => Outcome::Moot,
                 _ => Outcome::Reset,
             };
-            self.end(attempt, AttemptEnd { outcome, note, report }, out);
+            self.end_attempt(attempt, AttemptEnd { outcome, note, report }, out);
         } else {
-            let was_here = conn.is_over(call);
+            let had_finished = conn.has_finished(call);
             let outcome = if cause == Cause::NORMAL { Outcome::Ok } else { Outcome::Reset };
-            let Some(known) = self.servers.known.get(&server) else { return Ok(()) };
-            let Some(attempt) = known.standing.get(&call).copied() else {
-                if !was_here {
-                    self.servers.unnamed.put(self.now, (server, call, outcome));
+            let Some(known) = self.servers.by_id.get(&server) else { return Ok(()) };
+            let Some(attempt) = known.established.get(&call).copied() else {
+                if !had_finished {
+                    self.servers.unclaimed_ends.push(self.now, (server, call, outcome));
                 }
                 return Ok(());
             };
-            let home = self.flights.get(&attempt).and_then(|flight| flight.conn);
+            let own_conn = self.attempts.get(&attempt).and_then(|state| state.conn);
             tracing::trace!(
-                "{call} at {server:x}: over, cause {cause}, on {}, set up on {home:?}, {was_here}",
+                "{call} at {server:x}: ended with cause {cause} on {}, set up on {own_conn:?}, \
+                 finished here before: {had_finished}",
                 id.0
             );
-            // A late word on an attempt that was given up here; one on the call would come by its own connection.
-            // Only the end of one that stood is never meant for an attempt that did not.
-            let late = was_here && outcome != Outcome::Ok;
-            if late && home.is_some_and(|home| self.servers.conns.contains_key(&home)) {
+            // A late release of an earlier attempt on this connection: one of the call itself would come by
+            // the connection of its set-up while that is open. A normal release only ends established calls.
+            let is_late = had_finished && outcome != Outcome::Ok;
+            if is_late && own_conn.is_some_and(|own_conn| self.servers.conns.contains_key(&own_conn)) {
                 return Ok(());
             }
-            self.flights.remove(&attempt);
-            if let Some(known) = self.servers.known.get_mut(&server) {
-                known.standing.remove(&call);
+            self.attempts.remove(&attempt);
+            if let Some(known) = self.servers.by_id.get_mut(&server) {
+                known.established.remove(&call);
             }
-            let moment = match outcome {
-                Outcome::Ok => Moment::Cleared { attempt, report },
-                _ => Moment::Cut { attempt, report },
+            let input = match outcome {
+                Outcome::Ok => EngineInput::Cleared { attempt, report },
+                _ => EngineInput::Cut { attempt, report },
             };
-            self.engine(moment, out);
+            self.apply_to_engine(input, out);
         }
         Ok(())
     }
 
-    pub(super) fn look_at_servers(&mut self, out: &mut Vec<Output>) {
+    pub(super) fn check_servers(&mut self, out: &mut Vec<Output>) {
         let now = self.now;
-        for id in self.servers.known.keys().copied().collect::<Vec<_>>() {
-            self.look_at_server(id, out);
+        for id in self.servers.by_id.keys().copied().collect::<Vec<_>>() {
+            self.check_server(id, out);
         }
         let mut broken = Vec::new();
-        let at = |server| self.servers.known.get(&server).map(|server| server.address);
+        let at = |server| self.servers.by_id.get(&server).map(|server| server.address);
         let misplaced =
             self.servers.conns.iter().filter(|(_, conn)| at(conn.server) != Some(Some(conn.address)));
-        // Guards against a server that has moved, and one whose address is another's by now: what was dialled there is
-        // somebody else, or nobody.
-        broken.extend(misplaced.map(|(id, _)| (*id, "the server is elsewhere")));
+        // Guards against a server whose address has changed or now belongs to another server: the process at
+        // the dialled address is not this server.
+        broken.extend(misplaced.map(|(id, _)| (*id, "the server's address has changed")));
         for (id, conn) in self.servers.conns.iter_mut().filter(|(_, conn)| conn.up) {
-            let stuck = conn.part_since.is_some_and(|at| now >= at + PART_WITHIN);
-            let silent = conn.tested_at.is_some_and(|at| now >= at + TEST_WITHIN);
+            let stuck = conn.partial_since.is_some_and(|at| now >= at + PARTIAL_MESSAGE_TIMEOUT);
+            let silent = conn.pinged_at.is_some_and(|at| now >= at + PING_TIMEOUT);
             if stuck || silent {
-                broken.push((*id, if stuck { "half a message" } else { "a test unanswered" }));
-            } else if conn.tested_at.is_none() && now >= conn.heard_at + TEST_AFTER {
-                conn.tested_at = Some(now);
-                let test = Message::new(Kind::Test, Id::default()).with(Code::CAUSE, vec![0]);
-                write(out, *id, &test);
+                broken.push((*id, if stuck { "incomplete message timed out" } else { "ping timed out" }));
+            } else if conn.pinged_at.is_none() && now >= conn.received_at + PING_AFTER_IDLE {
+                conn.pinged_at = Some(now);
+                let ping = Message::new(Kind::Test, Id::default()).with(Code::CAUSE, vec![0]);
+                write(out, *id, &ping);
             }
         }
         for (id, why) in broken {
-            self.broken(id, &why, out);
+            self.close_broken(id, &why, out);
         }
     }
 
-    fn look_at_server(&mut self, id: ServerId, out: &mut Vec<Output>) {
+    fn check_server(&mut self, id: ServerId, out: &mut Vec<Output>) {
         let (now, dial_timeout) = (self.now, self.dial_timeout);
-        let Some(server) = self.servers.known.get_mut(&id) else { return };
-        let late: Vec<_> = server
+        let Some(server) = self.servers.by_id.get_mut(&id) else { return };
+        let expired: Vec<_> = server
             .waiting
             .iter()
             .filter(|attempt| {
-                let unsent = self.flights.get(attempt).and_then(|flight| flight.unsent.as_ref());
-                unsent.is_none_or(|unsent| now >= (unsent.since + dial_timeout).min(unsent.begin_by))
+                let pending = self.attempts.get(attempt).and_then(|state| state.pending.as_ref());
+                pending.is_none_or(|pending| now >= (pending.queued_at + dial_timeout).min(pending.begin_by))
             })
             .copied()
             .collect();
-        server.waiting.retain(|attempt| !late.contains(attempt));
-        let after = if server.listed.is_some() { LOST_AFTER } else { GONE_AFTER };
+        server.waiting.retain(|attempt| !expired.contains(attempt));
+        let after = if server.listed.is_some() { UNREACHABLE_TIMEOUT } else { DELISTED_UNREACHABLE_TIMEOUT };
         let down = server.down_since.is_some_and(|at| now >= at + after);
-        let idle = server.listed.is_none() && server.standing.is_empty() && server.waiting.is_empty();
+        let idle = server.listed.is_none() && server.established.is_empty() && server.waiting.is_empty();
         let conns: Vec<_> = server.conns.iter().copied().collect();
-        // Guards against a server that serves and is taken for one that cannot be reached, and so for cold, since it gave
-        // this call no further connection in time.
-        let outcome = match self.servers.any_up(id) {
+        // Guards against a working server that is considered unreachable, and so put into warm-up, since it
+        // accepted no further connection for this call in time.
+        let outcome = match self.servers.any_up_conn(id) {
             Some(_) => Outcome::Moot,
             None => Outcome::ConnectFailed,
         };
-        for attempt in late {
-            self.end(attempt, AttemptEnd::plain(outcome), out);
+        for attempt in expired {
+            self.end_attempt(attempt, AttemptEnd::plain(outcome), out);
         }
         if down {
-            // Cut off, or gone without a word. Should it come back, it is told what it may hold still.
-            let stood = self.lose(id, Micros::MAX, out);
-            if let Some(server) = self.servers.known.get_mut(&id) {
-                stood.into_iter().for_each(|call| server.owe(call));
+            // Partitioned, or gone without closing. Should it come back, calls that it may still hold are
+            // released.
+            let established = self.process_lost(id, Micros::MAX, out);
+            if let Some(server) = self.servers.by_id.get_mut(&id) {
+                established.into_iter().for_each(|call| server.queue_release(call));
             }
         }
-        let open = |conn: &ConnId| self.servers.conns.get(conn).is_some_and(|conn| !conn.open.is_empty());
-        if idle && !conns.iter().any(open) {
+        let has_unanswered =
+            |conn: &ConnId| self.servers.conns.get(conn).is_some_and(|conn| !conn.unanswered.is_empty());
+        if idle && !conns.iter().any(has_unanswered) {
             for conn in conns {
                 out.push(Output::CloseServer(conn));
                 self.servers.remove(now, conn);
             }
-            self.servers.known.remove(&id);
+            self.servers.by_id.remove(&id);
             return;
         }
-        self.close_spare(id, out);
+        self.close_surplus(id, out);
         self.servers.dial(now, id, false, out);
     }
 
-    /// Closes a connection beyond what the server is worth, the oldest on which nothing is open and nothing stands: no end
-    /// of a call comes by it first.
-    fn close_spare(&mut self, id: ServerId, out: &mut Vec<Output>) {
-        let Some(server) = self.servers.known.get(&id) else { return };
-        let share = self.servers.bounds.all / self.servers.known.len().max(1);
-        let most = server.spread.unwrap_or(self.servers.bounds.spread).most(self.now).min(share).max(1);
-        let up: Vec<_> = self.servers.up(id).map(|(conn, of)| (conn, of.open.is_empty())).collect();
-        let used = |conn: &ConnId| self.flights.values().any(|flight| flight.conn == Some(*conn));
-        if up.len() <= most {
+    /// Closes one connection above the server's limit: the oldest without an unanswered set-up or a call
+    /// established on it, since ends of calls come first by the connection of their set-up.
+    fn close_surplus(&mut self, id: ServerId, out: &mut Vec<Output>) {
+        let Some(server) = self.servers.by_id.get(&id) else { return };
+        let share = self.servers.conn_limits.total / self.servers.by_id.len().max(1);
+        let limit = server
+            .pool_limit
+            .unwrap_or(self.servers.conn_limits.pool_limit)
+            .current_max(self.now)
+            .min(share)
+            .max(1);
+        let up: Vec<_> =
+            self.servers.up_conns(id).map(|(id, conn)| (id, conn.unanswered.is_empty())).collect();
+        let used = |conn: &ConnId| self.attempts.values().any(|state| state.conn == Some(*conn));
+        if up.len() <= limit {
             return;
         }
-        let Some((spare, _)) = up.into_iter().find(|(conn, idle)| *idle && !used(conn)) else { return };
-        let renew = server.renew;
-        out.push(Output::CloseServer(spare));
-        self.servers.remove(self.now, spare);
-        if let Some(server) = self.servers.known.get_mut(&id) {
-            // It did not break: nothing went down with it.
-            server.renew = renew;
+        let Some((surplus, _)) = up.into_iter().find(|(conn, idle)| *idle && !used(conn)) else { return };
+        let replace_broken = server.replace_broken;
+        out.push(Output::CloseServer(surplus));
+        self.servers.remove(self.now, surplus);
+        if let Some(server) = self.servers.by_id.get_mut(&id) {
+            // It did not break: no message was lost with it.
+            server.replace_broken = replace_broken;
         }
     }
 }
 
-/// A server's further word on a refusal.
+/// Parses a server's note on a refusal.
 fn note(text: &str) -> Note {
     let wait_ms = text.split_once(':').and_then(|(_, ms)| ms.trim().parse::<u32>().ok()).unwrap_or(0);
     match text.split(':').next().unwrap_or_default().trim() {
--- a/crates/node/src/transport/mod.rs
+++ b/crates/node/src/transport/mod.rs
@@ -1,7 +1,7 @@
-//! The front node on sockets: a thin coat on tokio, in one thread.
+//! Runs the front node on sockets: a single-threaded tokio transport around [`crate::state::Node`].
 
-mod line;
-mod outside;
+mod connection;
+mod tasks;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,65 +16,72 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio_util::task::TaskTracker;
 
-use self::line::{Key, Line};
-use self::outside::{Peers, Resolver};
+use self::connection::{ConnKey, Connection};
+use self::tasks::{Peers, Resolver};
 use crate::config::{Config, ConfigError};
-use crate::state::{in_order, ConnId, Input, Node, Output};
+use crate::state::{sort_batch, ConnId, Input, Node, Output};
 
-/// Inputs that wait for the core; readers wait beyond it.
-const QUEUE: usize = 512;
-/// Inputs that are put in order at once, and their bytes: more than one caller may have in set-up, so that its close is
-/// seen behind them.
-const TURN: (usize, usize) = (2_048, 2 << 20);
-/// A look at the sockets, where one is needed, takes so long.
-const LOOK_FOR: Duration = Duration::from_millis(1);
-/// Rounds of reading at the most before timers fire after all.
-const ROUNDS: usize = 64;
-/// What was read is good for so long: then it is looked again whether a caller has left or a call was answered, before
-/// anything new is sent.
-const GOOD_FOR: Duration = Duration::from_millis(10);
-/// What a turn begins with was read so lately, and is so little: then the sockets have just been looked at, and all that
-/// they had is here. Each further look costs as much as a call does.
-const LATELY: (Duration, usize) = (Duration::from_millis(2), 32);
-/// Turns in a row that may end early before one is carried through.
-const LATE_TURNS: u32 = 4;
-/// Connections accepted beyond what callers may hold: each makes the oldest idle one go.
+/// Capacity of the queue of inputs to the core; readers wait when it is full.
+const INPUT_QUEUE: usize = 512;
+/// Maximum number of inputs that are sorted together: more than one caller may have in set-up, so that its
+/// disconnect is seen behind them.
+const BATCH_INPUTS_MAX: usize = 2_048;
+/// Maximum payload of the inputs that are sorted together, in bytes.
+const BATCH_BYTES_MAX: usize = 2 << 20;
+/// Pause in which the runtime polls the sockets and runs the readers.
+const POLL_PAUSE: Duration = Duration::from_millis(1);
+/// Maximum number of polls before timers fire regardless.
+const READ_ROUNDS_MAX: usize = 64;
+/// Age at which inputs are stale: before anything new is sent, the sockets are polled again for callers that
+/// have left and calls that were answered.
+const INPUT_FRESHNESS: Duration = Duration::from_millis(10);
+/// Age below which the first input of a batch is recent. If it is, and the batch is small, the sockets have
+/// just been polled and everything they had is in the batch, so a further poll, which costs as much as a
+/// call, is skipped.
+const RECENT_READ: Duration = Duration::from_millis(2);
+/// Number of inputs from which a batch is not small.
+const SMALL_BATCH: usize = 32;
+/// Number of consecutive batches that may be cut short before one is processed completely.
+const CUT_SHORT_MAX: u32 = 4;
+/// Number of connections accepted beyond the callers' limit; each of them makes the node close the oldest
+/// idle one.
 const ACCEPT_AHEAD: usize = 8;
-/// What waits for a caller that does not read is dropped with its connection after this ...
-const CALLER_PATIENCE: Duration = Duration::from_secs(5);
-/// ... and for a signalling server sooner: a set-up that is read late has been given up.
-const SERVER_PATIENCE: Duration = Duration::from_millis(500);
-/// Time for the last bytes to leave at the end, and for the other sides to close.
-const LAST_WORDS: Duration = Duration::from_millis(250);
+/// Time within which a caller must read pending bytes before its connection is closed.
+const CALLER_WRITE_TIMEOUT: Duration = Duration::from_secs(5);
+/// The same for a signalling server; it is shorter since a set-up that is read late has already been
+/// cancelled.
+const SERVER_WRITE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time at exit for the last bytes to be sent and for the peers to close their connections.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Why a front node cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// Its configuration is of no use.
+    /// Its configuration is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// Its settings are.
+    /// Its settings are invalid.
     #[error(transparent)]
     Engine(#[from] EngineError),
-    /// An address cannot be used.
+    /// An address cannot be bound.
     #[error("cannot listen on {0}: {1}")]
     Listen(SocketAddr, std::io::Error),
-    /// Something that the system must give.
+    /// The system refused a resource.
     #[error("{0}: {1}")]
     System(&'static str, std::io::Error),
 }
 
-/// What a task tells the core; with the connection, where it is one that has come up.
+/// An input from a task to the core; with the connection, if it announces a new one.
 struct Arrival {
     input: Input,
-    line: Option<Rc<Line>>,
-    /// When it was read.
+    conn: Option<Rc<Connection>>,
+    /// When it was received.
     at: Instant,
 }
 
 impl Arrival {
-    fn new(input: Input, line: Option<Rc<Line>>) -> Self {
-        Self { input, line, at: Instant::now() }
+    fn new(input: Input, conn: Option<Rc<Connection>>) -> Self {
+        Self { input, conn, at: Instant::now() }
     }
 }
 
@@ -96,7 +103,7 @@
     }
 }
 
-/// Unix time that never goes back while the process lives.
+/// Monotonic clock that starts at the Unix time.
 #[derive(Clone, Copy)]
 struct Clock {
     start: Instant,
@@ -125,53 +132,54 @@
     clock: Clock,
     to_core: mpsc::Sender<Arrival>,
     inputs: mpsc::Receiver<Arrival>,
-    /// What has been read and not been handled, in the order in which it will be.
-    turn: Vec<Arrival>,
-    /// As of when all that had come was in `turn`.
+    /// Inputs that were read and not processed yet, in processing order.
+    batch: Vec<Arrival>,
+    /// Time up to which every input that had arrived is in `batch`.
     read_at: Instant,
-    callers: BTreeMap<LinkId, Rc<Line>>,
-    servers: BTreeMap<ConnId, Rc<Line>>,
+    callers: BTreeMap<LinkId, Rc<Connection>>,
+    servers: BTreeMap<ConnId, Rc<Connection>>,
     dials: BTreeMap<ConnId, AbortHandle>,
-    /// The tasks that hold connections.
+    /// The reader tasks, which own the connections.
     readers: TaskTracker,
     dial_timeout: Duration,
     resolver: Resolver,
     peers: Option<Rc<Peers>>,
-    path: PathBuf,
-    deaf: Rc<Notify>,
+    config_path: PathBuf,
+    stop_accepting: Rc<Notify>,
     out: Vec<Output>,
-    late_turns: u32,
+    cut_short: u32,
     ended: bool,
 }
 
-/// Runs the front node of this configuration file until it is told to stop, on a current-thread runtime within a `LocalSet`.
-/// The wall clock is taken for `clock_off` microseconds off: nought, but where a test wants a wrong one.
+/// Runs the front node with this configuration file until a signal stops it. Requires a current-thread
+/// runtime within a `LocalSet`. `clock_off` is the offset of the wall clock in microseconds: 0 except in
+/// tests of a wrong clock.
 ///
 /// # Errors
-/// When it cannot start; once it serves, nothing ends it but a signal.
+/// When it cannot start; once it has started, only a signal ends it.
 pub async fn run(path: PathBuf, clock_off: i64) -> Result<(), StartError> {
     let config = Config::load(&path)?;
     let system = |what| move |e| StartError::System(what, e);
     let node = Node::new(&config)?;
-    let (to_core, mut inputs) = mpsc::channel(QUEUE);
-    outside::signals(&to_core).map_err(system("signals"))?;
-    let Some(listener) = outside::bind(config.listen, &mut inputs).await? else { return Ok(()) };
+    let (to_core, mut inputs) = mpsc::channel(INPUT_QUEUE);
+    tasks::signals(&to_core).map_err(system("signals"))?;
+    let Some(listener) = tasks::bind(config.listen, &mut inputs).await? else { return Ok(()) };
     let at = listener.local_addr().map_err(|e| StartError::Listen(config.listen, e))?;
     let resolver = Resolver::new(config.names, &to_core).map_err(system("a socket for the name server"))?;
     let peers = match config.peer_listen {
         Some(at) => Some(Peers::start(at, config.peers.clone().into(), &to_core).await?),
         None => None,
     };
-    let deaf = Rc::new(Notify::new());
+    let stop_accepting = Rc::new(Notify::new());
     let slots = Arc::new(Semaphore::new(node.callers_max() + ACCEPT_AHEAD));
-    spawn_local(outside::listen(listener, to_core.clone(), slots, deaf.clone()));
+    spawn_local(tasks::listen(listener, to_core.clone(), slots, stop_accepting.clone()));
     let clock = Clock::new(clock_off);
     let mut core = Core {
         node,
         clock,
         to_core,
         inputs,
-        turn: Vec::new(),
+        batch: Vec::new(),
         read_at: Instant::now(),
         callers: BTreeMap::new(),
         servers: BTreeMap::new(),
@@ -180,20 +188,20 @@
         dial_timeout: Duration::from_micros(config.dial_timeout()),
         resolver,
         peers,
-        path,
-        deaf,
+        config_path: path,
+        stop_accepting,
         out: Vec::new(),
-        late_turns: 0,
+        cut_short: 0,
         ended: false,
     };
     core.node.start(clock.now(), &mut core.out);
-    core.carry_out();
+    core.execute();
     tracing::info!("{} listens on {at}", config.name);
     while !core.ended {
         if !core.wait().await {
-            core.read_on().await;
+            core.read_pending().await;
         }
-        in_order(&mut core.turn);
+        sort_batch(&mut core.batch);
         core.handle();
     }
     core.finish().await;
@@ -201,9 +209,10 @@
 }
 
 impl Core {
-    /// Until something has come or is due. `true` when that, and all that came with it, has been read just now.
+    /// Waits for an input or a timer. Returns `true` if it, and every input that arrived with it, was read
+    /// just now.
     async fn wait(&mut self) -> bool {
-        if !self.turn.is_empty() {
+        if !self.batch.is_empty() {
             return false;
         }
         let wake = self.clock.at(self.node.next_wake());
@@ -211,153 +220,157 @@
             biased;
             arrival = self.inputs.recv() => {
                 let at = arrival.as_ref().map_or_else(Instant::now, |arrival| arrival.at);
-                self.turn.extend(arrival);
+                self.batch.extend(arrival);
                 at
             }
             () = tokio::time::sleep_until(wake) => wake.into_std(),
         };
         self.collect();
         self.read_at = since;
-        // Guards against a standstill that is told by nothing but a timer's lateness: what comes first after it was read
-        // just now, and the closes of other callers lie unread, with repeats for them due.
-        let on_time = wake.elapsed() < LATELY.0;
-        on_time && since.elapsed() < LATELY.0 && self.turn.len() < LATELY.1
+        // Guards against a stall that shows only in a late timer: the first input was read just now, but
+        // disconnects of other callers are unread, and retries for them are due.
+        let on_time = wake.elapsed() < RECENT_READ;
+        on_time && since.elapsed() < RECENT_READ && self.batch.len() < SMALL_BATCH
     }
 
-    /// Takes over what readers have told, within bounds.
+    /// Moves queued inputs to the batch, within its limits.
     fn collect(&mut self) {
-        let mut bytes: usize = self.turn.iter().map(|arrival| arrival.input.size()).sum();
-        while self.turn.len() < TURN.0 && bytes < TURN.1 {
+        let mut bytes: usize = self.batch.iter().map(|arrival| arrival.input.size()).sum();
+        while self.batch.len() < BATCH_INPUTS_MAX && bytes < BATCH_BYTES_MAX {
             let Ok(arrival) = self.inputs.try_recv() else { break };
             bytes += arrival.input.size();
-            self.turn.push(arrival);
+            self.batch.push(arrival);
         }
     }
 
-    /// Reads what has arrived before anything is sent or timers fire, and puts it in order. Guards against a starved
-    /// core: an answer or a drain that came in time counts before the timer that it beats, and a caller that has left
-    /// before the set-up that it left behind.
-    async fn read_on(&mut self) {
-        for _ in 0..ROUNDS {
-            // Before the sockets are looked at: guards against a standstill between that look and this line.
+    /// Reads everything that has arrived before anything is sent or timers fire. Guards against a core
+    /// starved of CPU time: an answer or a drain that arrived in time precedes the timer that it beats, and a
+    /// caller's disconnect precedes the set-up that the caller sent before it.
+    async fn read_pending(&mut self) {
+        for _ in 0..READ_ROUNDS_MAX {
+            // Taken before the sockets are polled. Guards against a stall between the poll and this line.
             self.read_at = Instant::now();
-            // The sockets are looked at and all their readers run meanwhile. Not a yield, which ends as soon as anything
-            // else wakes this task, with some readers or the sockets themselves not looked at yet.
-            tokio::time::sleep(LOOK_FOR).await;
-            let before = self.turn.len();
+            // The runtime polls the sockets and runs all readers meanwhile. `yield_now` would return as soon
+            // as anything else wakes this task, possibly before some readers or the sockets were polled.
+            tokio::time::sleep(POLL_PAUSE).await;
+            let before = self.batch.len();
             self.collect();
-            if self.turn.len() == before {
+            if self.batch.len() == before {
                 break;
             }
         }
     }
 
-    /// Handles what was read, as long as it is good: then nothing is begun that a later read takes back. Timers fire once
-    /// all is handled that they could beat. Guards against standstills, within a turn as between two, and against a
-    /// machine so slow that every turn takes longer, which would never get to its end.
+    /// Processes the batch while it is fresh, so that no attempt is started that an unread input withdraws.
+    /// Timers fire once every input that could precede them is processed. Guards against stalls, within a
+    /// batch as between two. [`CUT_SHORT_MAX`] guards against a machine so slow that no batch would ever be
+    /// processed completely.
     fn handle(&mut self) {
-        let mut left = std::mem::take(&mut self.turn).into_iter().peekable();
-        let patient = self.late_turns < LATE_TURNS;
-        let is_late = |core: &Self| patient && core.read_at.elapsed() > GOOD_FOR;
-        while let Some(next) = left.peek() {
-            if next.input.may_begin() && is_late(self) {
+        let mut inputs = std::mem::take(&mut self.batch).into_iter().peekable();
+        let may_stop = self.cut_short < CUT_SHORT_MAX;
+        let is_stale = |core: &Self| may_stop && core.read_at.elapsed() > INPUT_FRESHNESS;
+        while let Some(next) = inputs.peek() {
+            if next.input.may_start_attempt() && is_stale(self) {
                 break;
             }
-            if let Some(arrival) = left.next() {
-                self.take(arrival);
+            if let Some(arrival) = inputs.next() {
+                self.deliver(arrival);
             }
         }
-        self.turn = left.collect();
-        if is_late(self) {
-            self.late_turns += 1;
+        self.batch = inputs.collect();
+        if is_stale(self) {
+            self.cut_short += 1;
             return;
         }
-        self.late_turns = 0;
-        self.node.hear(self.clock.now(), Input::Tick, &mut self.out);
-        self.carry_out();
+        self.cut_short = 0;
+        self.node.handle(self.clock.now(), Input::Tick, &mut self.out);
+        self.execute();
     }
 
-    fn take(&mut self, arrival: Arrival) {
+    fn deliver(&mut self, arrival: Arrival) {
         let now = self.clock.now();
-        let Arrival { input, line, .. } = arrival;
-        match (&input, line) {
-            (Input::CallerUp(link, _), Some(line)) => {
-                self.callers.insert(*link, line.clone());
-                self.reads(line, *link);
+        let Arrival { input, conn, .. } = arrival;
+        match (&input, conn) {
+            (Input::CallerUp(link, _), Some(conn)) => {
+                self.callers.insert(*link, conn.clone());
+                self.spawn_reader(conn, *link);
             }
-            (Input::ServerUp(conn), Some(line)) => {
-                self.dials.remove(conn);
-                self.servers.insert(*conn, line.clone());
-                self.reads(line, *conn);
+            (Input::ServerUp(id), Some(conn)) => {
+                self.dials.remove(id);
+                self.servers.insert(*id, conn.clone());
+                self.spawn_reader(conn, *id);
             }
             (Input::DialFailed(conn, _), _) => drop(self.dials.remove(conn)),
             (Input::CallerDown(link), _) => drop(self.callers.remove(link)),
             (Input::ServerDown(conn), _) => drop(self.servers.remove(conn)),
-            (Input::Moved, _) => match Config::load(&self.path) {
-                Ok(config) => self.resolver.asks(config.names),
-                Err(error) => tracing::error!("SIGHUP: the configuration of before holds: {error}"),
+            (Input::NameServerChanged, _) => match Config::load(&self.config_path) {
+                Ok(config) => self.resolver.set_address(config.names),
+                Err(error) => tracing::error!(
+                    "SIGHUP: configuration not reloaded, the previous one stays in use: {error}"
+                ),
             },
             _ => {}
         }
-        self.node.hear(now, input, &mut self.out);
-        self.carry_out();
+        self.node.handle(now, input, &mut self.out);
+        self.execute();
     }
 
-    fn reads<K: Key + 'static>(&self, line: Rc<Line>, key: K) {
-        self.readers.spawn_local(line.read(key, self.to_core.clone()));
+    fn spawn_reader<K: ConnKey + 'static>(&self, conn: Rc<Connection>, key: K) {
+        self.readers.spawn_local(conn.read(key, self.to_core.clone()));
     }
 
-    fn carry_out(&mut self) {
+    fn execute(&mut self) {
         let mut out = std::mem::take(&mut self.out);
-        for order in out.drain(..) {
-            match order {
+        for output in out.drain(..) {
+            match output {
                 Output::ToCaller(link, bytes) => {
-                    if let Some(line) = self.callers.get(&link) {
-                        line.write(&bytes);
+                    if let Some(conn) = self.callers.get(&link) {
+                        conn.write(&bytes);
                     }
                 }
                 Output::CloseCaller(link) => {
-                    if let Some(line) = self.callers.remove(&link) {
-                        line.close();
+                    if let Some(conn) = self.callers.remove(&link) {
+                        conn.close();
                     }
                 }
                 Output::ToServer(conn, bytes) => {
-                    if let Some(line) = self.servers.get(&conn) {
-                        line.write(&bytes);
+                    if let Some(conn) = self.servers.get(&conn) {
+                        conn.write(&bytes);
                     }
                 }
                 Output::CloseServer(conn) => {
                     if let Some(dial) = self.dials.remove(&conn) {
                         dial.abort();
                     }
-                    if let Some(line) = self.servers.remove(&conn) {
-                        line.close();
+                    if let Some(conn) = self.servers.remove(&conn) {
+                        conn.close();
                     }
                 }
                 Output::Dial(conn, address) => {
-                    let dial = outside::dial(conn, address, self.dial_timeout, self.to_core.clone());
+                    let dial = tasks::dial(conn, address, self.dial_timeout, self.to_core.clone());
                     self.dials.insert(conn, spawn_local(dial).abort_handle());
                 }
-                Output::Ask { query, anew } => self.resolver.ask(&query, anew),
+                Output::Query { query, new_port } => self.resolver.send_query(&query, new_port),
                 Output::ToPeer(to, payload) => {
                     if let Some(peers) = &self.peers {
-                        peers.tell(to, &payload);
+                        peers.send(to, &payload);
                     }
                 }
-                Output::Deaf => self.deaf.notify_one(),
-                Output::End => self.ended = true,
+                Output::StopAccepting => self.stop_accepting.notify_one(),
+                Output::Exit => self.ended = true,
             }
         }
         self.out = out;
     }
 
-    /// Closes all connections, so that what was written last still arrives: answers to callers, releases to servers.
+    /// Closes all connections in an orderly way, so that the last answers to callers and releases to servers
+    /// arrive.
     async fn finish(mut self) {
         self.inputs.close();
-        for line in self.callers.values().chain(self.servers.values()) {
-            line.close();
+        for conn in self.callers.values().chain(self.servers.values()) {
+            conn.close();
         }
         self.readers.close();
-        let _ = tokio::time::timeout(LAST_WORDS, self.readers.wait()).await;
+        let _ = tokio::time::timeout(SHUTDOWN_TIMEOUT, self.readers.wait()).await;
     }
 }
--- a/crates/node/src/transport/outside.rs
+++ b/crates/node/src/transport/tasks.rs
@@ -1,4 +1,4 @@
-//! The tasks around the core: signals, the listener, dials and datagrams.
+//! The tasks around the core: signals, the listener, dials and datagram sockets.
 
 #[cfg(test)]
 mod tests;
@@ -20,17 +20,17 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::Instant;
 
-use super::line::Line;
-use super::{Arrival, StartError, CALLER_PATIENCE, SERVER_PATIENCE};
+use super::connection::Connection;
+use super::{Arrival, StartError, CALLER_WRITE_TIMEOUT, SERVER_WRITE_TIMEOUT};
 use crate::state::{ConnId, Input};
 
-/// Pause after the system gave no descriptor for a connection that waits.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
-/// Pause until an address that another process holds is tried again ...
-const BIND_AGAIN: Duration = Duration::from_millis(20);
-/// ... and how long: the process before this one ends within 4 s of its SIGTERM, and a front node that is not ready
-/// after 30 s has failed.
-const BIND_WITHIN: Duration = Duration::from_secs(20);
+/// Pause after a failed accept, for want of a descriptor, or a failed receive.
+const ACCEPT_RETRY: Duration = Duration::from_millis(20);
+/// Interval of attempts to bind an address that another process holds.
+const BIND_RETRY: Duration = Duration::from_millis(20);
+/// Time after which binding has failed: the previous process ends within 4 s of its SIGTERM, and a front node
+/// that is not ready after 30 s counts as failed.
+const BIND_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// SIGHUP reloads, SIGTERM and SIGINT stop.
 pub(super) fn signals(core: &mpsc::Sender<Arrival>) -> io::Result<()> {
@@ -40,8 +40,8 @@
         spawn_local(async move {
             while signals.recv().await.is_some() {
                 let stop = kind != SignalKind::hangup();
-                let told = if stop { Input::Stop } else { Input::Moved };
-                if core.send(told.into()).await.is_err() {
+                let input = if stop { Input::Stop } else { Input::NameServerChanged };
+                if core.send(input.into()).await.is_err() {
                     return;
                 }
             }
@@ -50,13 +50,13 @@
     Ok(())
 }
 
-/// Listens for callers; `None` when told to stop before it could. Guards against a start while the process before this
-/// one still answers what it had taken: its address is taken over as soon as it is free.
+/// Listens for callers; `None` if stopped before the address was bound. Guards against a start while the
+/// previous process still answers its set-ups: the address is bound as soon as it is free.
 pub(super) async fn bind(
     at: SocketAddr,
     inputs: &mut mpsc::Receiver<Arrival>,
 ) -> Result<Option<TcpListener>, StartError> {
-    let until = Instant::now() + BIND_WITHIN;
+    let until = Instant::now() + BIND_TIMEOUT;
     loop {
         match TcpListener::bind(at).await {
             Ok(listener) => return Ok(Some(listener)),
@@ -64,27 +64,28 @@
             Err(e) => return Err(StartError::Listen(at, e)),
         }
         tokio::select! {
-            told = inputs.recv() => if matches!(told, Some(Arrival { input: Input::Stop, .. })) {
+            input = inputs.recv() => if matches!(input, Some(Arrival { input: Input::Stop, .. })) {
                 return Ok(None);
             },
-            () = tokio::time::sleep(BIND_AGAIN) => {}
+            () = tokio::time::sleep(BIND_RETRY) => {}
         }
     }
 }
 
-/// Takes connections until `deaf` is told, and with that those that the kernel has taken already. Each holds a slot
-/// until its socket is closed, so that callers never take the descriptors that servers and discovery need.
+/// Accepts connections until `stop_accepting` is notified, and then those that the kernel has already
+/// accepted. Each holds a slot until its socket is closed, so that callers never use up the descriptors for
+/// servers and discovery.
 pub(super) async fn listen(
     listener: TcpListener,
     core: mpsc::Sender<Arrival>,
     slots: Arc<Semaphore>,
-    deaf: Rc<Notify>,
+    stop_accepting: Rc<Notify>,
 ) {
     let mut next = 0;
     let mut up = |stream, from: SocketAddr, slot| {
         next += 1;
-        let line = Line::new(stream, CALLER_PATIENCE, slot);
-        Arrival::new(Input::CallerUp(LinkId(next), from.ip()), Some(line))
+        let conn = Connection::new(stream, CALLER_WRITE_TIMEOUT, slot);
+        Arrival::new(Input::CallerUp(LinkId(next), from.ip()), Some(conn))
     };
     loop {
         let accepted = async {
@@ -93,7 +94,7 @@
         };
         tokio::select! {
             biased;
-            () = deaf.notified() => break,
+            () = stop_accepting.notified() => break,
             accepted = accepted => match accepted {
                 Ok(((stream, from), slot)) => {
                     if core.send(up(stream, from, slot)).await.is_err() {
@@ -102,13 +103,13 @@
                 }
                 Err(error) => {
                     tracing::debug!("accept: {error}");
-                    tokio::time::sleep(ACCEPT_AGAIN).await;
+                    tokio::time::sleep(ACCEPT_RETRY).await;
                 }
             },
         }
     }
-    // Guards against set-ups that lie whole in connections which nobody has accepted yet: closing the listener would
-    // reset them.
+    // Guards against set-ups in connections that are still in the kernel's accept queue: closing the listener
+    // would reset them.
     let Ok(listener) = listener.into_std() else { return };
     while let Ok((stream, from)) = listener.accept() {
         let stream = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream));
@@ -121,15 +122,17 @@
 
 /// Connects to a signalling server.
 pub(super) async fn dial(conn: ConnId, to: SocketAddr, within: Duration, core: mpsc::Sender<Arrival>) {
-    let told = match tokio::time::timeout(within, TcpStream::connect(to)).await {
-        Ok(Ok(stream)) => Arrival::new(Input::ServerUp(conn), Some(Line::new(stream, SERVER_PATIENCE, None))),
+    let arrival = match tokio::time::timeout(within, TcpStream::connect(to)).await {
+        Ok(Ok(stream)) => {
+            Arrival::new(Input::ServerUp(conn), Some(Connection::new(stream, SERVER_WRITE_TIMEOUT, None)))
+        }
         Ok(Err(error)) => Input::DialFailed(conn, error.kind() == io::ErrorKind::ConnectionRefused).into(),
         Err(_) => Input::DialFailed(conn, false).into(),
     };
-    let _ = core.send(told).await;
+    let _ = core.send(arrival).await;
 }
 
-/// The way to the name server.
+/// The UDP socket for queries to the name server.
 pub(super) struct Resolver {
     socket: Rc<UdpSocket>,
     at: Rc<Cell<SocketAddr>>,
@@ -140,7 +143,7 @@
 impl Resolver {
     pub(super) fn new(at: SocketAddr, core: &mpsc::Sender<Arrival>) -> io::Result<Self> {
         let (socket, at) = (Rc::new(Self::socket(at)?), Rc::new(Cell::new(at)));
-        let reader = spawn_local(names(socket.clone(), at.clone(), core.clone()));
+        let reader = spawn_local(read_answers(socket.clone(), at.clone(), core.clone()));
         Ok(Self { socket, at, core: core.clone(), reader })
     }
 
@@ -154,49 +157,52 @@
         UdpSocket::from_std(socket)
     }
 
-    /// Asks at another address from now on.
-    pub(super) fn asks(&self, at: SocketAddr) {
+    /// Changes the name server's address.
+    pub(super) fn set_address(&self, at: SocketAddr) {
         self.at.set(at);
     }
 
-    /// Sends a question; `anew`: from another port. A datagram that the system does not take is one that got lost.
-    pub(super) fn ask(&mut self, query: &[u8], anew: bool) {
-        // Without a descriptor to spare the old one serves on.
-        if let Some(socket) = anew.then(|| Self::socket(self.at.get()).ok()).flatten() {
+    /// Sends a query, with `new_port` from a new port. A datagram that the system does not accept counts as
+    /// lost.
+    pub(super) fn send_query(&mut self, query: &[u8], new_port: bool) {
+        // If no socket can be opened, the old one stays in use.
+        if let Some(socket) = new_port.then(|| Self::socket(self.at.get()).ok()).flatten() {
             self.reader.abort();
             self.socket = Rc::new(socket);
-            self.reader = spawn_local(names(self.socket.clone(), self.at.clone(), self.core.clone()));
+            self.reader = spawn_local(read_answers(self.socket.clone(), self.at.clone(), self.core.clone()));
         }
-        // Not by the runtime, which knows a new socket for writable only later: the first question would be lost.
+        // Bypasses the runtime, which considers a new socket writable only later: the first query would be
+        // lost.
         drop(SockRef::from(&*self.socket).send_to(query, &self.at.get().into()));
     }
 }
 
-/// Hands the core what comes from the name server's present address, and from nowhere else.
-async fn names(socket: Rc<UdpSocket>, at: Rc<Cell<SocketAddr>>, core: mpsc::Sender<Arrival>) {
+/// Passes datagrams from the name server's present address to the core and drops all others.
+async fn read_answers(socket: Rc<UdpSocket>, at: Rc<Cell<SocketAddr>>, core: mpsc::Sender<Arrival>) {
     let mut buffer = vec![0; ANSWER_MAX + 1];
     loop {
         match socket.recv_from(&mut buffer).await {
             Ok((size, from)) if from == at.get() => {
-                if core.send(Input::Names(buffer[..size].to_vec()).into()).await.is_err() {
+                if core.send(Input::DiscoveryAnswer(buffer[..size].to_vec()).into()).await.is_err() {
                     return;
                 }
             }
             Ok(_) => {}
-            // An ICMP word on an earlier datagram; the next question asks again.
-            Err(_) => tokio::time::sleep(ACCEPT_AGAIN).await,
+            // An ICMP error for an earlier datagram; the next query follows in any case.
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY).await,
         }
     }
 }
 
-/// The way to other front nodes, as soon as its own address is free.
+/// The UDP socket for other front nodes, which opens as soon as its address is free.
 pub(super) struct Peers {
     socket: OnceCell<UdpSocket>,
     all: Rc<[SocketAddr]>,
 }
 
 impl Peers {
-    /// Binds and reads in the background: no caller waits for it.
+    /// Starts reading in the background; while the address is in use, callers are served without waiting for
+    /// it.
     pub(super) async fn start(
         at: SocketAddr,
         all: Rc<[SocketAddr]>,
@@ -209,7 +215,7 @@
         Ok(peers)
     }
 
-    /// `false` while another process holds the address.
+    /// Binds the socket; returns `false` while another process holds the address.
     async fn bind(&self, at: SocketAddr) -> Result<bool, StartError> {
         match UdpSocket::bind(at).await {
             Ok(socket) => Ok(self.socket.set(socket).is_ok()),
@@ -218,22 +224,22 @@
         }
     }
 
-    /// Sends one a datagram; one that cannot be sent is lost.
-    pub(super) fn tell(&self, to: u32, payload: &[u8]) {
+    /// Sends a datagram to a front node; one that cannot be sent is lost.
+    pub(super) fn send(&self, to: u32, payload: &[u8]) {
         if let (Some(socket), Some(at)) = (self.socket.get(), self.all.get(to as usize)) {
             drop(socket.try_send_to(payload, *at));
         }
     }
 
-    /// Hands the core what comes from other front nodes' addresses.
+    /// Passes datagrams from the other front nodes' addresses to the core.
     async fn read(&self, at: SocketAddr, core: mpsc::Sender<Arrival>) {
         let socket = loop {
             if let Some(socket) = self.socket.get() {
                 break socket;
             }
-            tokio::time::sleep(BIND_AGAIN).await;
+            tokio::time::sleep(BIND_RETRY).await;
             if let Err(error) = self.bind(at).await {
-                return tracing::error!("other front nodes are not heard: {error}");
+                return tracing::error!("no datagrams from other front nodes will be received: {error}");
             }
         };
         let mut buffer = [0; MESSAGE_MAX + 1];
@@ -241,13 +247,13 @@
             match socket.recv_from(&mut buffer).await {
                 Ok((size, from)) if size <= MESSAGE_MAX => {
                     let Some(number) = self.all.iter().position(|at| *at == from) else { continue };
-                    let told = Input::Peer(number as u32, buffer[..size].to_vec());
-                    if core.send(told.into()).await.is_err() {
+                    let input = Input::Peer(number as u32, buffer[..size].to_vec());
+                    if core.send(input.into()).await.is_err() {
                         return;
                     }
                 }
                 Ok(_) => {}
-                Err(_) => tokio::time::sleep(ACCEPT_AGAIN).await,
+                Err(_) => tokio::time::sleep(ACCEPT_RETRY).await,
             }
         }
     }
--- a/crates/node/src/transport/outside/tests.rs
+++ b/crates/node/src/transport/tasks/tests.rs
@@ -25,8 +25,8 @@
     (0..count).map(connect).collect()
 }
 
-/// Guards against a listener that closes with connections in the kernel's queue: they and what was sent on them would be
-/// reset. More than there are slots for, and nearly as many as a kernel may hold.
+/// Guards against a listener that closes with connections in the kernel's queue: they and what was sent on
+/// them would be reset. More than there are slots for, and nearly as many as a kernel may hold.
 #[test]
 fn a_listener_that_ends_takes_what_the_kernel_had_taken() {
     run(async {
@@ -34,21 +34,21 @@
         let addr = listener.local_addr().expect("its address");
         let _callers = connected(&listener, 100);
         let (core, mut inputs) = mpsc::channel(1_000);
-        let deaf = Rc::new(Notify::new());
+        let stop_accepting = Rc::new(Notify::new());
         // Told before the listener has had one look.
-        deaf.notify_one();
-        listen(listener, core, Arc::new(Semaphore::new(3)), deaf).await;
+        stop_accepting.notify_one();
+        listen(listener, core, Arc::new(Semaphore::new(3)), stop_accepting).await;
         let mut taken = Vec::new();
-        while let Ok(Arrival { input: Input::CallerUp(link, _), line: Some(line), .. }) = inputs.try_recv() {
-            taken.push((link, line));
+        while let Ok(Arrival { input: Input::CallerUp(link, _), conn: Some(conn), .. }) = inputs.try_recv() {
+            taken.push((link, conn));
         }
         assert_eq!(taken.len(), 100);
         assert!(TcpStream::connect(addr).await.is_err(), "and nothing after it");
     });
 }
 
-/// Guards against callers who take all descriptors at once: no more are accepted than there are slots, and one that ends
-/// makes room for the next.
+/// Guards against callers who take all descriptors at once: no more are accepted than there are slots, and
+/// one that ends makes room for the next.
 #[test]
 fn a_listener_accepts_no_more_than_there_are_slots() {
     run(async {
@@ -70,8 +70,8 @@
     });
 }
 
-/// Guards against a way to the name server that stays quiet: what is asked anew leaves from another port, and what comes
-/// to the old one counts no more.
+/// Guards against a way to the name server that stays quiet: what is asked new_port leaves from another port,
+/// and what comes to the old one counts no more.
 #[test]
 fn a_question_that_is_asked_anew_leaves_from_another_port() {
     run(async {
@@ -80,20 +80,20 @@
         let mut resolver = Resolver::new(server.local_addr().expect("its address"), &core).expect("a socket");
         let mut buffer = [0; 64];
         let mut ports = Vec::new();
-        for anew in [false, false, true] {
-            resolver.ask(b"question", anew);
+        for new_port in [false, false, true] {
+            resolver.send_query(b"question", new_port);
             ports.push(server.recv_from(&mut buffer).await.expect("asked").1);
         }
         assert!(ports[0] == ports[1] && ports[1].port() != ports[2].port(), "{ports:?}");
         server.send_to(b"old", ports[0]).await.expect("sent");
         server.send_to(b"new", ports[2]).await.expect("sent");
-        let told = inputs.recv().await.map(|arrival| arrival.input);
-        assert!(matches!(&told, Some(Input::Names(bytes)) if bytes == b"new"), "{told:?}");
+        let input = inputs.recv().await.map(|arrival| arrival.input);
+        assert!(matches!(&input, Some(Input::DiscoveryAnswer(bytes)) if bytes == b"new"), "{input:?}");
         // Nor does anything count that comes from elsewhere.
         let other = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
         other.send_to(b"wrong", ports[2]).await.expect("sent");
         server.send_to(b"right", ports[2]).await.expect("sent");
-        let told = inputs.recv().await.map(|arrival| arrival.input);
-        assert!(matches!(&told, Some(Input::Names(bytes)) if bytes == b"right"), "{told:?}");
+        let input = inputs.recv().await.map(|arrival| arrival.input);
+        assert!(matches!(&input, Some(Input::DiscoveryAnswer(bytes)) if bytes == b"right"), "{input:?}");
     });
 }
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -16,12 +16,12 @@
 pub const SECOND: Micros = 1_000_000;
 
 /// Server one: ready for long.
-pub fn one() -> Listed {
+pub fn server_one() -> Listed {
     Listed::ready("s-one", ([10, 1, 0, 1], 5080).into(), 0)
 }
 
 /// Server two: the same.
-pub fn two() -> Listed {
+pub fn server_two() -> Listed {
     Listed::ready("s-two", ([10, 1, 0, 2], 5080).into(), 1)
 }
 
@@ -51,94 +51,94 @@
 }
 
 /// The node and what it has said; nothing of it is lost until it is taken.
-pub struct Rig {
+pub struct Harness {
     pub node: Node,
     pub now: Micros,
     pub dialled: BTreeMap<ConnId, SocketAddr>,
-    pub dialled_ever: BTreeMap<ConnId, SocketAddr>,
+    pub all_dials: BTreeMap<ConnId, SocketAddr>,
     pub to_callers: Vec<(LinkId, Message)>,
     pub to_servers: Vec<(ConnId, Message)>,
     pub closed_callers: Vec<LinkId>,
     pub closed_servers: Vec<ConnId>,
-    pub asked: Vec<Vec<u8>>,
+    pub queries: Vec<Vec<u8>>,
     pub to_peers: Vec<(u32, Vec<u8>)>,
-    pub deaf: bool,
-    pub ended: bool,
+    pub stopped_accepting: bool,
+    pub exited: bool,
 }
 
-impl Rig {
+impl Harness {
     /// A started node; what it dials is not up yet.
     pub fn new(config: &Config) -> Self {
         let node = Node::new(config).expect("a node");
-        let mut rig = Self {
+        let mut harness = Self {
             node,
             now: 1_000 * SECOND,
             dialled: BTreeMap::new(),
-            dialled_ever: BTreeMap::new(),
+            all_dials: BTreeMap::new(),
             to_callers: Vec::new(),
             to_servers: Vec::new(),
             closed_callers: Vec::new(),
             closed_servers: Vec::new(),
-            asked: Vec::new(),
+            queries: Vec::new(),
             to_peers: Vec::new(),
-            deaf: false,
-            ended: false,
+            stopped_accepting: false,
+            exited: false,
         };
         let mut out = Vec::new();
-        rig.node.start(rig.now, &mut out);
-        rig.note(out);
-        rig
+        harness.node.start(harness.now, &mut out);
+        harness.record(out);
+        harness
     }
 
     /// One with all its connections up and a caller at link 1.
-    pub fn serving() -> Self {
-        let mut rig = Self::new(&config(&[one(), two()]));
-        rig.all_up();
-        rig.caller(1);
-        rig
+    pub fn connected() -> Self {
+        let mut harness = Self::new(&config(&[server_one(), server_two()]));
+        harness.connect_all();
+        harness.caller(1);
+        harness
     }
 
-    fn note(&mut self, out: Vec<Output>) {
+    fn record(&mut self, out: Vec<Output>) {
         for output in out {
             match output {
                 Output::ToCaller(link, bytes) => self.to_callers.push((link, message(&bytes))),
                 Output::CloseCaller(link) => self.closed_callers.push(link),
                 Output::Dial(conn, address) => {
                     self.dialled.insert(conn, address);
-                    self.dialled_ever.insert(conn, address);
+                    self.all_dials.insert(conn, address);
                 }
                 Output::ToServer(conn, bytes) => self.to_servers.push((conn, message(&bytes))),
                 Output::CloseServer(conn) => {
                     self.dialled.remove(&conn);
                     self.closed_servers.push(conn);
                 }
-                Output::Ask { query, .. } => self.asked.push(query),
+                Output::Query { query, .. } => self.queries.push(query),
                 Output::ToPeer(to, payload) => self.to_peers.push((to, payload)),
-                Output::Deaf => self.deaf = true,
-                Output::End => self.ended = true,
+                Output::StopAccepting => self.stopped_accepting = true,
+                Output::Exit => self.exited = true,
             }
         }
     }
 
-    pub fn hear(&mut self, input: Input) {
+    pub fn handle(&mut self, input: Input) {
         let mut out = Vec::new();
-        self.node.hear(self.now, input, &mut out);
-        self.note(out);
+        self.node.handle(self.now, input, &mut out);
+        self.record(out);
     }
 
     /// Lets time pass, timer by timer.
-    pub fn pass(&mut self, span: Micros) {
+    pub fn advance(&mut self, span: Micros) {
         let end = self.now + span;
         while self.now < end {
             self.now = self.node.next_wake().clamp(self.now + 1, end);
-            self.hear(Input::Tick);
+            self.handle(Input::Tick);
         }
     }
 
     /// All dials succeed.
-    pub fn all_up(&mut self) {
+    pub fn connect_all(&mut self) {
         for (conn, _) in std::mem::take(&mut self.dialled) {
-            self.hear(Input::ServerUp(conn));
+            self.handle(Input::ServerUp(conn));
         }
     }
 
@@ -147,52 +147,52 @@
     }
 
     pub fn caller_from(&mut self, link: u64, ip: IpAddr) {
-        self.hear(Input::CallerUp(LinkId(link), ip));
+        self.handle(Input::CallerUp(LinkId(link), ip));
     }
 
-    pub fn says(&mut self, link: u64, message: Message) {
-        self.hear(Input::FromCaller(LinkId(link), message));
+    pub fn caller_sends(&mut self, link: u64, message: Message) {
+        self.handle(Input::FromCaller(LinkId(link), message));
     }
 
-    pub fn server_says(&mut self, conn: ConnId, message: Message) {
-        self.hear(Input::FromServer(conn, message));
+    pub fn server_sends(&mut self, conn: ConnId, message: Message) {
+        self.handle(Input::FromServer(conn, message));
     }
 
     /// Where the last set-up of a call went.
-    pub fn set_up_of(&self, id: u64) -> Option<ConnId> {
+    pub fn set_up_conn(&self, id: u64) -> Option<ConnId> {
         let sent = self.to_servers.iter().rev();
         sent.filter(|(_, m)| m.kind == Kind::SetUp && m.call == call(id)).map(|(conn, _)| *conn).next()
     }
 
     /// The connections that were ever dialled to the first server.
-    pub fn to_one(&self) -> Vec<ConnId> {
-        let one = self.dialled_ever.iter().filter(|(_, at)| at.ip().to_string() == "10.1.0.1");
+    pub fn conns_to_server_one(&self) -> Vec<ConnId> {
+        let one = self.all_dials.iter().filter(|(_, at)| at.ip().to_string() == "10.1.0.1");
         one.map(|(conn, _)| *conn).collect()
     }
 
-    pub fn set_ups(&self, id: u64) -> usize {
+    pub fn set_up_count(&self, id: u64) -> usize {
         self.to_servers.iter().filter(|(_, m)| m.kind == Kind::SetUp && m.call == call(id)).count()
     }
 
     /// All that was said of a call to its callers.
-    pub fn told(&self, id: u64) -> Vec<(u64, Kind, Option<u8>)> {
+    pub fn sent_to_caller(&self, id: u64) -> Vec<(u64, Kind, Option<u8>)> {
         let of = self.to_callers.iter().filter(|(_, m)| m.call == call(id));
         of.map(|(link, m)| (link.0, m.kind, m.cause().ok())).collect()
     }
 
     /// Causes of the releases that servers were sent for a call, with their connections.
-    pub fn released(&self, id: u64) -> Vec<ConnId> {
+    pub fn releases_sent(&self, id: u64) -> Vec<ConnId> {
         let of = self.to_servers.iter().filter(|(_, m)| m.kind == Kind::Release && m.call == call(id));
         of.map(|(conn, _)| *conn).collect()
     }
 
     /// A call set up and standing by link 1; its connection.
-    pub fn standing(&mut self, id: u64) -> ConnId {
-        self.says(1, set_up(id, "3000"));
-        let conn = self.set_up_of(id).expect("a set-up");
-        self.pass(20 * MS);
-        self.server_says(conn, answer(id));
-        assert_eq!(self.told(id), [(1, Kind::Answer, None)]);
+    pub fn establish(&mut self, id: u64) -> ConnId {
+        self.caller_sends(1, set_up(id, "3000"));
+        let conn = self.set_up_conn(id).expect("a set-up");
+        self.advance(20 * MS);
+        self.server_sends(conn, answer(id));
+        assert_eq!(self.sent_to_caller(id), [(1, Kind::Answer, None)]);
         conn
     }
 }
--- a/crates/node/tests/turn.rs
+++ b/crates/node/tests/turn.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use baydrift_call::LinkId;
-use baydrift_node::state::{in_order, ConnId, Input};
+use baydrift_node::state::{sort_batch, ConnId, Input};
 use baydrift_platform::{Cause, Code, Kind, Message};
-use common::{call, set_up, Rig};
+use common::{call, set_up, Harness};
 
 fn offers(link: u64, id: u64) -> Input {
     Input::FromCaller(LinkId(link), set_up(id, "3000"))
@@ -29,7 +29,7 @@
         Input::Withdrawn(link) => format!("{} withdraws", link.0),
         Input::CallerDown(link) => format!("{} leaves", link.0),
         Input::CallerUp(link, _) => format!("{} comes", link.0),
-        Input::Names(_) => "list".to_owned(),
+        Input::DiscoveryAnswer(_) => "list".to_owned(),
         Input::FromServer(conn, _) => format!("server {}", conn.0),
         other => format!("{other:?}"),
     };
@@ -43,16 +43,16 @@
         offers(1, 1),
         Input::FromServer(ConnId(4), common::answer(7)),
         offers(2, 2),
-        Input::Names(vec![]),
+        Input::DiscoveryAnswer(vec![]),
         gives_up(3, 8),
         Input::CallerDown(LinkId(5)),
         names_standing(3, 6),
     ];
-    in_order(&mut inputs);
+    sort_batch(&mut inputs);
     let order =
         ["3 releases 8", "5 leaves", "3 asks 6", "list", "server 4", "1 asks 1", "2 asks 2", "9 comes"];
     assert_eq!(told(&inputs), order);
-    assert!(inputs[4].may_begin() && !inputs[3].may_begin());
+    assert!(inputs[4].may_start_attempt() && !inputs[3].may_start_attempt());
 }
 
 /// Guards against an attempt for a caller that had left when its set-up was read: its close or its cancel lay behind.
@@ -69,7 +69,7 @@
         gives_up(4, 1),
         Input::CallerDown(LinkId(2)),
     ];
-    in_order(&mut inputs);
+    sort_batch(&mut inputs);
     let order = [
         "1 releases 3",
         "1 withdraws",
@@ -86,14 +86,14 @@
 
 #[test]
 fn what_is_withdrawn_is_never_sent_and_its_connection_lives_on() {
-    let mut rig = Rig::serving();
+    let mut harness = Harness::connected();
     let mut inputs = vec![offers(1, 7), gives_up(1, 7)];
-    in_order(&mut inputs);
-    inputs.into_iter().for_each(|input| rig.hear(input));
-    rig.pass(3 * common::SECOND);
-    assert_eq!((rig.set_ups(7), rig.told(7).len()), (0, 0), "no answer is owed");
-    assert!(rig.closed_callers.is_empty(), "it was of use");
-    rig.all_up();
-    rig.says(1, set_up(8, "3000"));
-    assert_eq!(rig.set_ups(8), 1);
+    sort_batch(&mut inputs);
+    inputs.into_iter().for_each(|input| harness.handle(input));
+    harness.advance(3 * common::SECOND);
+    assert_eq!((harness.set_up_count(7), harness.sent_to_caller(7).len()), (0, 0), "no answer is owed");
+    assert!(harness.closed_callers.is_empty(), "it was of use");
+    harness.connect_all();
+    harness.caller_sends(1, set_up(8, "3000"));
+    assert_eq!(harness.set_up_count(8), 1);
 }
