--- a/crates/node/src/transport/connection/tests.rs
+++ b/crates/node/src/transport/connection/tests.rs
@@ -1,4 +1,4 @@
-//! One connection on loopback: what is written to it, and how it ends.
+//! Tests of one connection on loopback: writes, and graceful closes.
 
 use std::future::Future;
 use std::sync::mpsc as std_mpsc;
@@ -10,25 +10,25 @@
 
 use super::*;
 
-/// Nothing here takes longer, unless it never comes.
-const LONG: Duration = Duration::from_secs(20);
+/// Time-out of each test.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Runs it on a thread of its own, so that one that stands still is seen.
-fn run<F: Future<Output = ()>>(what: impl FnOnce() -> F + Send + 'static) {
+/// Runs a test on its own thread, so that a blocked runtime is detected.
+fn run<F: Future<Output = ()>>(test: impl FnOnce() -> F + Send + 'static) {
     let (done, finished) = std_mpsc::channel();
     std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-        tokio::task::LocalSet::new().block_on(&runtime, what());
+        tokio::task::LocalSet::new().block_on(&runtime, test());
         done.send(()).expect("the test waits");
     });
-    match finished.recv_timeout(LONG) {
+    match finished.recv_timeout(TEST_TIMEOUT) {
         Ok(()) => {}
-        Err(std_mpsc::RecvTimeoutError::Timeout) => panic!("the thread stands still"),
-        Err(std_mpsc::RecvTimeoutError::Disconnected) => panic!("the thread has failed"),
+        Err(std_mpsc::RecvTimeoutError::Timeout) => panic!("the test thread is blocked"),
+        Err(std_mpsc::RecvTimeoutError::Disconnected) => panic!("the test thread has failed"),
     }
 }
 
-/// A conn and the other side of it.
+/// Opens a connection and returns it with the peer's stream.
 async fn connected() -> (Rc<Connection>, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let stream = TcpStream::connect(listener.local_addr().expect("its address")).await.expect("up");
@@ -44,18 +44,18 @@
     messages.into_iter().flat_map(|message| message.to_bytes().expect("short")).collect()
 }
 
-/// Guards against a write to a connection that was reset a moment ago, before its reader saw it: the socket
-/// is 'writable' for ever, and a flush that tried again on an error stood the whole node still.
+/// Guards against a write to a connection that was reset before its reader noticed: the socket stays
+/// writable, and a flush that retried on errors blocked the whole node.
 #[test]
-fn a_write_after_a_reset_holds_up_nobody() {
+fn write_after_a_reset_does_not_block() {
     run(|| async {
         let (conn, peer) = connected().await;
         conn.stream.writable().await.expect("it is writable");
         conn.write(b"not read");
         peer.readable().await.expect("it has come");
-        // What it has not read makes its end a reset.
+        // Unread data turns the close into a reset.
         drop(peer);
-        // Not awaited: nobody may see the reset before the write.
+        // Polled without await, so that no task sees the reset before the write.
         while conn.stream.take_error().expect("its state").is_none() {
             std::thread::yield_now();
         }
@@ -66,17 +66,17 @@
     });
 }
 
-/// Guards against a close with unread bytes, which is a reset: it takes along what was written and not read
-/// yet.
+/// Guards against the reset that a close with unread bytes causes, which destroys data that the peer has not
+/// read. yet.
 #[test]
-fn what_was_written_arrives_before_the_end_though_bytes_lie_unread() {
+fn written_data_arrives_despite_unread_input() {
     run(|| async {
         let (conn, mut peer) = connected().await;
-        // The core takes one message and no more: the others lie in the socket and in the reader.
+        // The core's queue holds one message: the others stay in the socket and in the reader.
         let (core, _inputs) = mpsc::channel(1);
         let reader = tokio::task::spawn_local(conn.clone().read(LinkId(1), core));
         peer.write_all(&bytes((0..2_000).map(set_up))).await.expect("sent");
-        // More than a socket takes at once, in part.
+        // Partly more than the socket accepts at once.
         let answers: Vec<u8> =
             (0..u32::try_from(UNSENT_MAX / 4).expect("small")).flat_map(u32::to_be_bytes).collect();
         for part in answers.chunks(10_000) {
@@ -86,17 +86,17 @@
         conn.close();
         drop(inputs);
         let mut got = Vec::new();
-        let read = tokio::time::timeout(LONG, peer.read_to_end(&mut got)).await.expect("an end");
-        assert!(read.is_ok(), "an orderly end: {read:?}");
+        let read = tokio::time::timeout(TEST_TIMEOUT, peer.read_to_end(&mut got)).await.expect("an end");
+        assert!(read.is_ok(), "not a graceful close: {read:?}");
         assert!(got == answers, "{} of {} bytes", got.len(), answers.len());
-        reader.await.expect("it let go");
+        reader.await.expect("the reader ends");
     });
 }
 
-/// Guards against input that cannot be read while answers are on their way: it ends its connection, and not
+/// Guards against invalid input that destroys answers in flight: it closes the connection gracefully.
 /// them.
 #[test]
-fn spoilt_input_ends_a_connection_without_a_reset() {
+fn invalid_input_closes_gracefully() {
     run(|| async {
         let (conn, mut peer) = connected().await;
         let (core, mut inputs) = mpsc::channel(100);
@@ -106,17 +106,17 @@
         peer.write_all(&[0xff; 100_000]).await.expect("sent");
         assert!(matches!(inputs.recv().await.map(|arrival| arrival.input), Some(Input::CallerDown(_))));
         let mut got = Vec::new();
-        let read = tokio::time::timeout(LONG, peer.read_to_end(&mut got)).await.expect("an end");
+        let read = tokio::time::timeout(TEST_TIMEOUT, peer.read_to_end(&mut got)).await.expect("an end");
         assert!(read.is_ok() && got == answers, "{read:?}, {} bytes", got.len());
         drop(peer);
-        reader.await.expect("it let go");
+        reader.await.expect("the reader ends");
     });
 }
 
-/// Guards against descriptors held by those who never close: a closed connection is let go of within a
-/// bounded time, whether its other side sends on or is silent, and at once where nothing was written recent.
+/// Guards against descriptors held by peers that never close: a closed connection is dropped within a bounded
+/// time, whether the peer keeps sending or is silent, and at once if nothing was written recently.
 #[test]
-fn a_closed_connection_is_let_go_of_in_time() {
+fn closed_connection_is_dropped_in_time() {
     run(|| async {
         for (recent, sends) in [(true, false), (true, true), (false, false), (false, true)] {
             let (conn, mut peer) = connected().await;
@@ -129,13 +129,13 @@
                 while sends && peer.write_all(&[1; 1_000]).await.is_ok() {
                     tokio::task::yield_now().await;
                 }
-                // Held open until the end of the test.
+                // Keeps the peer's end open until the end of the test.
                 std::future::pending::<()>().await;
             });
             drop(_inputs);
             let from = Instant::now();
             conn.close();
-            tokio::time::timeout(LONG, reader).await.expect("in time").expect("it let go");
+            tokio::time::timeout(TEST_TIMEOUT, reader).await.expect("in time").expect("the reader ends");
             let took = from.elapsed();
             assert!(took < LINGER_TIMEOUT * 3, "recent {recent}, sends {sends}: {took:?}");
             assert!(recent || took < LINGER_TIMEOUT / 2, "sends {sends}: {took:?}");
@@ -144,19 +144,19 @@
     });
 }
 
-/// Guards against set-ups that are read one by one though their caller has closed behind them: what it
-/// releases counts, what it asks for does not.
+/// Guards against set-ups that are processed although their caller has closed the connection: its releases
+/// are processed, its set-ups are not.
 #[test]
-fn a_close_counts_before_the_bytes_in_front_of_it_have_been_read() {
+fn peer_close_makes_unread_set_ups_obsolete() {
     run(|| async {
         let (conn, mut peer) = connected().await;
         let (core, mut inputs) = mpsc::channel(1);
         let reader = tokio::task::spawn_local(conn.clone().read(LinkId(1), core));
         let release = Message::release(Id([7; 8]), Cause::NORMAL);
-        // Within what a socket takes before any is read, so that the close is there as well.
+        // Fits into the socket's buffer before anything is read, so that the close has arrived as well.
         peer.write_all(&bytes((0..400).map(set_up).chain([release.clone()]))).await.expect("sent");
         peer.shutdown().await.expect("closed");
-        // It has come here, unread as it is.
+        // Everything has arrived, but nothing is read yet.
         tokio::time::sleep(Duration::from_millis(50)).await;
         let (mut offers, mut releases) = (0, 0);
         while let Some(arrival) = inputs.recv().await {
@@ -168,8 +168,8 @@
                 other => panic!("{other:?}"),
             }
         }
-        assert!(offers <= READ_BYTES / 100, "{offers} of 400: those of one read");
+        assert!(offers <= READ_BYTES / 100, "{offers} of 400 set-ups, more than one read returns");
         assert_eq!(releases, 1);
-        reader.await.expect("it let go");
+        reader.await.expect("the reader ends");
     });
 }
--- a/crates/node/src/transport/tasks/tests.rs
+++ b/crates/node/src/transport/tasks/tests.rs
@@ -1,41 +1,41 @@
-//! The listener's end, and the ways to the name server and to others.
+//! Tests of the listener and of the socket to the name server.
 
 use std::io::Write;
 use std::net::TcpStream as StdStream;
 
 use super::*;
 
-/// Nothing here takes longer, unless it never comes.
-const LONG: Duration = Duration::from_secs(20);
+/// Time-out of each test.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-fn run(what: impl std::future::Future<Output = ()>) {
+fn run(test: impl std::future::Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let what = async { tokio::time::timeout(LONG, what).await.expect("in time") };
-    tokio::task::LocalSet::new().block_on(&runtime, what);
+    let test = async { tokio::time::timeout(TEST_TIMEOUT, test).await.expect("in time") };
+    tokio::task::LocalSet::new().block_on(&runtime, test);
 }
 
-/// Connections that the kernel has taken, with bytes in them.
+/// Opens connections that stay in the kernel's accept queue, with data in them.
 fn connected(listener: &TcpListener, count: usize) -> Vec<StdStream> {
     let addr = listener.local_addr().expect("its address");
     let connect = |_| {
-        let mut stream = StdStream::connect(addr).expect("the kernel takes it");
+        let mut stream = StdStream::connect(addr).expect("the kernel accepts it");
         stream.write_all(b"a whole set-up").expect("sent");
         stream
     };
     (0..count).map(connect).collect()
 }
 
-/// Guards against a listener that closes with connections in the kernel's queue: they and what was sent on
-/// them would be reset. More than there are slots for, and nearly as many as a kernel may hold.
+/// Guards against a listener that closes with connections in the kernel's accept queue, which would be reset
+/// with their data. There are more than slots, and nearly as many as the queue may hold.
 #[test]
-fn a_listener_that_ends_takes_what_the_kernel_had_taken() {
+fn stopping_listener_drains_the_accept_queue() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
         let addr = listener.local_addr().expect("its address");
         let _callers = connected(&listener, 100);
         let (core, mut inputs) = mpsc::channel(1_000);
         let stop_accepting = Rc::new(Notify::new());
-        // Told before the listener has had one look.
+        // Notified before the listener has accepted anything.
         stop_accepting.notify_one();
         listen(listener, core, Arc::new(Semaphore::new(3)), stop_accepting).await;
         let mut taken = Vec::new();
@@ -43,14 +43,14 @@
             taken.push((link, conn));
         }
         assert_eq!(taken.len(), 100);
-        assert!(TcpStream::connect(addr).await.is_err(), "and nothing after it");
+        assert!(TcpStream::connect(addr).await.is_err(), "no further connection is accepted");
     });
 }
 
-/// Guards against callers who take all descriptors at once: no more are accepted than there are slots, and
-/// one that ends makes room for the next.
+/// Guards against callers that use up all descriptors: no more are accepted than there are slots, and a
+/// closed connection frees its slot for the next.
 #[test]
-fn a_listener_accepts_no_more_than_there_are_slots() {
+fn listener_accepts_no_more_connections_than_slots() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
         let _callers = connected(&listener, 50);
@@ -70,10 +70,10 @@
     });
 }
 
-/// Guards against a way to the name server that stays quiet: what is asked new_port leaves from another port,
-/// and what comes to the old one counts no more.
+/// Guards against a dropped flow to the name server: a query with `new_port` is sent from another port, and
+/// datagrams to the old port are ignored.
 #[test]
-fn a_question_that_is_asked_anew_leaves_from_another_port() {
+fn new_port_query_is_sent_from_another_port() {
     run(async {
         let server = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
         let (core, mut inputs) = mpsc::channel(10);
@@ -89,7 +89,7 @@
         server.send_to(b"new", ports[2]).await.expect("sent");
         let input = inputs.recv().await.map(|arrival| arrival.input);
         assert!(matches!(&input, Some(Input::DiscoveryAnswer(bytes)) if bytes == b"new"), "{input:?}");
-        // Nor does anything count that comes from elsewhere.
+        // Datagrams from other addresses are ignored as well.
         let other = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
         other.send_to(b"wrong", ports[2]).await.expect("sent");
         server.send_to(b"right", ports[2]).await.expect("sent");
--- a/crates/node/tests/turn.rs
+++ b/crates/node/tests/batch.rs
@@ -1,4 +1,4 @@
-//! What comes together is taken in an order in which nothing is begun that has been taken back.
+//! Order of inputs that arrive together: no attempt is started that a later input of the batch withdraws.
 
 mod common;
 
@@ -7,23 +7,23 @@
 use baydrift_platform::{Cause, Code, Kind, Message};
 use common::{call, set_up, Harness};
 
-fn offers(link: u64, id: u64) -> Input {
+fn set_up_input(link: u64, id: u64) -> Input {
     Input::FromCaller(LinkId(link), set_up(id, "3000"))
 }
 
-fn gives_up(link: u64, id: u64) -> Input {
+fn release_input(link: u64, id: u64) -> Input {
     Input::FromCaller(LinkId(link), Message::release(call(id), Cause::NORMAL))
 }
 
-fn names_standing(link: u64, id: u64) -> Input {
+fn announce_input(link: u64, id: u64) -> Input {
     let mut message = set_up(id, "3000");
     message.parameters.retain(|(code, _)| *code != Code::FIGURES);
     Input::FromCaller(LinkId(link), message.with(Code::FIGURES, "dest:0;width:1; at : s-two;via:-1"))
 }
 
-/// A short word for each, to compare orders by.
-fn told(inputs: &[Input]) -> Vec<String> {
-    let word = |input: &Input| match input {
+/// Describes each input by a short text, for comparing orders.
+fn describe(inputs: &[Input]) -> Vec<String> {
+    let text = |input: &Input| match input {
         Input::FromCaller(link, m) if m.kind == Kind::SetUp => format!("{} asks {}", link.0, m.call.0[7]),
         Input::FromCaller(link, m) => format!("{} releases {}", link.0, m.call.0[7]),
         Input::Withdrawn(link) => format!("{} withdraws", link.0),
@@ -33,40 +33,41 @@
         Input::FromServer(conn, _) => format!("server {}", conn.0),
         other => format!("{other:?}"),
     };
-    inputs.iter().map(word).collect()
+    inputs.iter().map(text).collect()
 }
 
 #[test]
-fn callers_that_leave_come_first_then_the_list_then_servers_and_new_calls_last() {
+fn inputs_are_sorted_by_priority() {
     let mut inputs = vec![
         Input::CallerUp(LinkId(9), [10, 0, 0, 1].into()),
-        offers(1, 1),
+        set_up_input(1, 1),
         Input::FromServer(ConnId(4), common::answer(7)),
-        offers(2, 2),
+        set_up_input(2, 2),
         Input::DiscoveryAnswer(vec![]),
-        gives_up(3, 8),
+        release_input(3, 8),
         Input::CallerDown(LinkId(5)),
-        names_standing(3, 6),
+        announce_input(3, 6),
     ];
     sort_batch(&mut inputs);
     let order =
         ["3 releases 8", "5 leaves", "3 asks 6", "list", "server 4", "1 asks 1", "2 asks 2", "9 comes"];
-    assert_eq!(told(&inputs), order);
+    assert_eq!(describe(&inputs), order);
     assert!(inputs[4].may_start_attempt() && !inputs[3].may_start_attempt());
 }
 
-/// Guards against an attempt for a caller that had left when its set-up was read: its close or its cancel lay behind.
+/// Guards against an attempt for a caller that had left when its set-up was read, with its disconnect or
+/// release next in the queue.
 #[test]
-fn a_set_up_is_withdrawn_by_a_close_or_a_release_behind_it_and_by_no_other() {
+fn set_up_is_withdrawn_by_a_later_disconnect_or_release() {
     let mut inputs = vec![
-        gives_up(1, 3),
-        offers(1, 1),
-        offers(1, 2),
-        offers(1, 3),
-        offers(2, 4),
-        offers(3, 5),
-        names_standing(2, 6),
-        gives_up(4, 1),
+        release_input(1, 3),
+        set_up_input(1, 1),
+        set_up_input(1, 2),
+        set_up_input(1, 3),
+        set_up_input(2, 4),
+        set_up_input(3, 5),
+        announce_input(2, 6),
+        release_input(4, 1),
         Input::CallerDown(LinkId(2)),
     ];
     sort_batch(&mut inputs);
@@ -81,18 +82,18 @@
         "1 asks 3",
         "3 asks 5",
     ];
-    assert_eq!(told(&inputs), order);
+    assert_eq!(describe(&inputs), order);
 }
 
 #[test]
-fn what_is_withdrawn_is_never_sent_and_its_connection_lives_on() {
+fn withdrawn_set_up_is_not_sent_and_its_connection_stays_open() {
     let mut harness = Harness::connected();
-    let mut inputs = vec![offers(1, 7), gives_up(1, 7)];
+    let mut inputs = vec![set_up_input(1, 7), release_input(1, 7)];
     sort_batch(&mut inputs);
     inputs.into_iter().for_each(|input| harness.handle(input));
     harness.advance(3 * common::SECOND);
-    assert_eq!((harness.set_up_count(7), harness.sent_to_caller(7).len()), (0, 0), "no answer is owed");
-    assert!(harness.closed_callers.is_empty(), "it was of use");
+    assert_eq!((harness.set_up_count(7), harness.sent_to_caller(7).len()), (0, 0), "no answer is sent");
+    assert!(harness.closed_callers.is_empty(), "the set-up counts as useful");
     harness.connect_all();
     harness.caller_sends(1, set_up(8, "3000"));
     assert_eq!(harness.set_up_count(8), 1);
--- a/crates/node/tests/callers.rs
+++ b/crates/node/tests/callers.rs
@@ -1,4 +1,4 @@
-//! What callers send, and what they are told.
+//! Messages from callers, and the replies to them.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use common::{answer, call, config, server_one, server_two, set_up, Harness, MS, SECOND};
 
 #[test]
-fn a_set_up_passes_on_and_its_answer_comes_back_unchanged() {
+fn set_up_is_forwarded_and_answer_returned_unchanged() {
     let mut harness = Harness::connected();
     harness.caller_sends(1, set_up(7, "1500"));
     let conn = harness.set_up_conn(7).expect("a set-up");
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn what_cannot_be_used_is_refused_and_goes_no_further() {
+fn invalid_set_ups_are_refused_and_not_forwarded() {
     let with = |code: u8, value: &str| {
         let mut message = set_up(9, "1500");
         message.parameters.retain(|(own, _)| *own != code);
@@ -65,9 +65,9 @@
     }
 }
 
-/// Guards against two set-ups that one answer could be claimed by.
+/// Guards against two set-ups that could both claim one answer.
 #[test]
-fn the_id_of_an_open_call_again_disturbs_nobody_else() {
+fn duplicate_call_id_does_not_affect_the_first_call() {
     let mut harness = Harness::connected();
     harness.caller(2);
     harness.caller_sends(1, set_up(7, "1500"));
@@ -80,13 +80,14 @@
 
     harness.caller_sends(1, set_up(8, "1500"));
     harness.caller_sends(1, set_up(8, "1500"));
-    assert_eq!(harness.closed_callers, [LinkId(1)], "on one connection nobody could tell the two apart");
+    assert_eq!(harness.closed_callers, [LinkId(1)], "on one connection the answers could not be told apart");
     assert!(harness.sent_to_caller(8).is_empty());
 }
 
-/// Guards against the engine's memory of answers, which is for repeats: a used id is never answered 'stands'.
+/// Guards against the engine's answer cache, which serves retransmissions: a set-up with a used id is never
+/// answered from it as established.
 #[test]
-fn a_used_id_never_stands() {
+fn reused_call_id_is_refused() {
     let mut harness = Harness::connected();
     harness.establish(7);
     harness.caller_sends(1, set_up(7, "1500"));
@@ -100,7 +101,7 @@
 }
 
 #[test]
-fn a_set_up_given_up_is_owed_no_answer_and_is_released() {
+fn cancelled_set_up_is_released_without_an_answer() {
     let mut harness = Harness::connected();
     harness.caller_sends(1, set_up(7, "1500"));
     let conn = harness.set_up_conn(7).expect("a set-up");
@@ -112,7 +113,7 @@
 }
 
 #[test]
-fn a_standing_call_ends_from_any_connection_and_from_either_side() {
+fn established_call_can_be_released_on_any_connection() {
     let mut harness = Harness::connected();
     harness.caller(2);
     let conn = harness.establish(7);
@@ -124,19 +125,19 @@
     let conn = harness.establish(9);
     harness.server_sends(conn, Message::release(call(9), Cause::TEMPORARY));
     assert_eq!(harness.sent_to_caller(9).last(), Some(&(1, Kind::Release, Some(Cause::TEMPORARY))));
-    assert_eq!(harness.node.resource_counts()[3], 0, "none stands");
+    assert_eq!(harness.node.resource_counts()[3], 0, "no call is established");
 }
 
 #[test]
-fn a_connection_takes_its_open_set_ups_along_but_no_standing_call() {
+fn disconnect_cancels_set_ups_but_not_established_calls() {
     let mut harness = Harness::connected();
-    let stands = harness.establish(7);
+    let established_on = harness.establish(7);
     harness.caller_sends(1, set_up(8, "1500"));
-    let open = harness.set_up_conn(8).expect("a set-up");
+    let set_up_on = harness.set_up_conn(8).expect("a set-up");
     harness.handle(Input::CallerDown(LinkId(1)));
-    assert_eq!((harness.releases_sent(8), harness.releases_sent(7)), (vec![open], vec![]));
-    // Its end waits for a connection of the same caller.
-    harness.server_sends(stands, Message::release(call(7), Cause::NORMAL));
+    assert_eq!((harness.releases_sent(8), harness.releases_sent(7)), (vec![set_up_on], vec![]));
+    // The end of the call waits for a connection of the same caller.
+    harness.server_sends(established_on, Message::release(call(7), Cause::NORMAL));
     harness.caller_from(2, [10, 0, 0, 99].into());
     assert_eq!(harness.sent_to_caller(7).len(), 1);
     harness.advance(SECOND);
@@ -145,7 +146,7 @@
 }
 
 #[test]
-fn a_call_that_stands_already_is_taken_over() {
+fn announced_established_call_is_adopted() {
     let mut harness = Harness::connected();
     let at = |id| set_up(id, "1500").with(Code::FIGURES, "x");
     let at = |id| {
@@ -158,11 +159,11 @@
     harness.advance(100 * MS);
     assert!(harness.sent_to_caller(7).is_empty() && harness.set_up_count(7) == 0);
     harness.caller_sends(1, Message::release(call(7), Cause::NORMAL));
-    assert_eq!(harness.releases_sent(7).len(), 1, "a release passes to the server that was named");
+    assert_eq!(harness.releases_sent(7).len(), 1, "the release is forwarded to the announced server");
     let conn = harness.releases_sent(7)[0];
     harness.server_sends(conn, Message::release(call(8), Cause::NORMAL));
     assert_eq!(harness.sent_to_caller(8), [(1, Kind::Release, Some(Cause::NORMAL))]);
-    // One that the node holds already is told on the connection that names it last.
+    // The end of a call that the node holds already is sent on the connection that announced it last.
     let conn = harness.establish(9);
     harness.caller(2);
     harness.caller_sends(2, at(9));
@@ -170,9 +171,9 @@
     assert_eq!(harness.sent_to_caller(9).last(), Some(&(2, Kind::Release, Some(Cause::NORMAL))));
 }
 
-/// Guards against connections by the hundred that say nothing: closed by a timer, not by the next byte.
+/// Guards against hundreds of silent connections: they are closed by a timer, not on the next byte.
 #[test]
-fn a_connection_that_brings_nothing_of_use_is_closed_within_3_s() {
+fn useless_connection_is_closed_within_3_s() {
     let mut harness = Harness::connected();
     harness.caller_sends(1, Message::release(call(77), Cause::NORMAL));
     harness.caller(2);
@@ -184,7 +185,7 @@
 }
 
 #[test]
-fn what_only_a_server_sends_and_faults_again_and_again_close_the_connection() {
+fn protocol_violations_close_the_connection() {
     let mut harness = Harness::connected();
     harness.caller_sends(1, answer(7));
     harness.caller(2);
@@ -192,11 +193,11 @@
         harness.caller_sends(2, set_up(20 + id, "abc"));
     }
     assert_eq!(harness.closed_callers, [LinkId(1), LinkId(2)]);
-    assert_eq!(harness.to_callers.len(), 4, "no more than that is answered");
+    assert_eq!(harness.to_callers.len(), 4, "only that many set-ups are answered");
 }
 
 #[test]
-fn at_the_bound_of_descriptors_the_oldest_idle_connection_goes() {
+fn oldest_idle_connection_is_closed_at_the_descriptor_limit() {
     let mut harness = Harness::new(&config(&[server_one(), server_two()]));
     harness.connect_all();
     harness.caller(1);
@@ -211,16 +212,17 @@
     assert_eq!(
         harness.closed_callers,
         [LinkId(3)],
-        "neither the one with a call that stands nor one that was of use"
+        "neither the one with an established call nor the one that was useful"
     );
     assert!(link > 256 / 3, "callers hold at most a third: {link}");
     let [links, conns, ..] = harness.node.resource_counts();
     assert!(links + conns < 256);
 }
 
-/// Guards against a start in the midst of calls: the server tells what is over before the caller names it.
+/// Guards against a start while calls are established: the server reports an end before the caller announces
+/// the call.
 #[test]
-fn a_call_whose_end_came_before_its_caller_named_it_is_over_at_once() {
+fn end_received_before_the_announcement_is_delivered() {
     let mut harness = Harness::connected();
     let two =
         harness.all_dials.iter().find(|(_, at)| at.ip().to_string() == "10.1.0.2").map(|(conn, _)| *conn);
@@ -232,9 +234,10 @@
     assert_eq!(harness.node.resource_counts()[3], 0);
 }
 
-/// Guards against thousands of set-ups with the longest descriptions: memory has a bound in bytes, not only in calls.
+/// Guards against thousands of set-ups with descriptions of maximum length: their memory is bounded, not only
+/// their number.
 #[test]
-fn set_ups_hold_bounded_memory_and_are_refused_beyond_it() {
+fn set_up_memory_is_bounded() {
     let mut harness = Harness::connected();
     let long = |id| {
         let mut message = set_up(id, "3000");
@@ -243,7 +246,7 @@
     };
     let refused =
         |harness: &Harness, id| harness.sent_to_caller(id) == [(1, Kind::Release, Some(Cause::NO_CIRCUIT))];
-    // They wait for the next connection, so that none is answered.
+    // No server answers, so all set-ups stay open.
     let mut taken = Vec::new();
     for id in 1..=900 {
         harness.caller_sends(1, long(id));
@@ -253,7 +256,7 @@
     }
     assert!(taken.len() <= 420, "{}", taken.len());
     assert!(refused(&harness, 900));
-    // What is given up makes room again.
+    // Cancelled set-ups free their memory.
     for id in taken {
         harness.caller_sends(1, Message::release(call(id), Cause::NORMAL));
     }
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A front node without sockets: its connections are numbers here, its time is given.
+//! Test harness: a front node without sockets, with numbered connections and a simulated clock.
 
 #![allow(dead_code)]
 
@@ -15,23 +15,23 @@
 pub const MS: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
 
-/// Server one: ready for long.
+/// The first server, ready since long ago.
 pub fn server_one() -> Listed {
     Listed::ready("s-one", ([10, 1, 0, 1], 5080).into(), 0)
 }
 
-/// Server two: the same.
+/// The second server, ready since long ago.
 pub fn server_two() -> Listed {
     Listed::ready("s-two", ([10, 1, 0, 2], 5080).into(), 1)
 }
 
-/// A configuration with these servers.
+/// Builds a configuration with these servers.
 pub fn config(servers: &[Listed]) -> Config {
     let text = relay_config(([127, 0, 0, 1], 9).into(), servers);
-    Config::read(text.as_bytes()).expect("the test's configuration")
+    Config::read(text.as_bytes()).expect("a valid test configuration")
 }
 
-/// What a caller offers.
+/// Builds a caller's set-up.
 pub fn set_up(id: u64, wait_ms: &str) -> Message {
     Message::new(Kind::SetUp, call(id))
         .with(Code::CLASS, "load")
@@ -50,7 +50,7 @@
     Message::new(Kind::Answer, call(id)).with(Code::DESCRIPTION, &b"v=0 what the server gave"[..])
 }
 
-/// The node and what it has said; nothing of it is lost until it is taken.
+/// The node, the clock and everything that the node has output so far.
 pub struct Harness {
     pub node: Node,
     pub now: Micros,
@@ -67,7 +67,7 @@
 }
 
 impl Harness {
-    /// A started node; what it dials is not up yet.
+    /// Starts a node; its dials stay pending.
     pub fn new(config: &Config) -> Self {
         let node = Node::new(config).expect("a node");
         let mut harness = Self {
@@ -90,7 +90,7 @@
         harness
     }
 
-    /// One with all its connections up and a caller at link 1.
+    /// Starts a node with all connections established and a caller on link 1.
     pub fn connected() -> Self {
         let mut harness = Self::new(&config(&[server_one(), server_two()]));
         harness.connect_all();
@@ -126,7 +126,7 @@
         self.record(out);
     }
 
-    /// Lets time pass, timer by timer.
+    /// Advances the clock, stopping at each timer.
     pub fn advance(&mut self, span: Micros) {
         let end = self.now + span;
         while self.now < end {
@@ -135,7 +135,7 @@
         }
     }
 
-    /// All dials succeed.
+    /// Lets all pending dials succeed.
     pub fn connect_all(&mut self) {
         for (conn, _) in std::mem::take(&mut self.dialled) {
             self.handle(Input::ServerUp(conn));
@@ -158,35 +158,35 @@
         self.handle(Input::FromServer(conn, message));
     }
 
-    /// Where the last set-up of a call went.
+    /// Connection of the last set-up sent for a call.
     pub fn set_up_conn(&self, id: u64) -> Option<ConnId> {
         let sent = self.to_servers.iter().rev();
         sent.filter(|(_, m)| m.kind == Kind::SetUp && m.call == call(id)).map(|(conn, _)| *conn).next()
     }
 
-    /// The connections that were ever dialled to the first server.
+    /// All connections ever dialled to the first server.
     pub fn conns_to_server_one(&self) -> Vec<ConnId> {
-        let one = self.all_dials.iter().filter(|(_, at)| at.ip().to_string() == "10.1.0.1");
-        one.map(|(conn, _)| *conn).collect()
+        let conns = self.all_dials.iter().filter(|(_, at)| at.ip().to_string() == "10.1.0.1");
+        conns.map(|(conn, _)| *conn).collect()
     }
 
     pub fn set_up_count(&self, id: u64) -> usize {
         self.to_servers.iter().filter(|(_, m)| m.kind == Kind::SetUp && m.call == call(id)).count()
     }
 
-    /// All that was said of a call to its callers.
+    /// All messages on a call that were sent to callers: link, kind and cause.
     pub fn sent_to_caller(&self, id: u64) -> Vec<(u64, Kind, Option<u8>)> {
-        let of = self.to_callers.iter().filter(|(_, m)| m.call == call(id));
-        of.map(|(link, m)| (link.0, m.kind, m.cause().ok())).collect()
+        let messages = self.to_callers.iter().filter(|(_, m)| m.call == call(id));
+        messages.map(|(link, m)| (link.0, m.kind, m.cause().ok())).collect()
     }
 
-    /// Causes of the releases that servers were sent for a call, with their connections.
+    /// Connections on which servers were sent a release of the call.
     pub fn releases_sent(&self, id: u64) -> Vec<ConnId> {
-        let of = self.to_servers.iter().filter(|(_, m)| m.kind == Kind::Release && m.call == call(id));
-        of.map(|(conn, _)| *conn).collect()
+        let messages = self.to_servers.iter().filter(|(_, m)| m.kind == Kind::Release && m.call == call(id));
+        messages.map(|(conn, _)| *conn).collect()
     }
 
-    /// A call set up and standing by link 1; its connection.
+    /// Establishes a call from link 1 and returns the connection of its set-up.
     pub fn establish(&mut self, id: u64) -> ConnId {
         self.caller_sends(1, set_up(id, "3000"));
         let conn = self.set_up_conn(id).expect("a set-up");
--- a/crates/node/tests/lists.rs
+++ b/crates/node/tests/discovery.rs
@@ -1,18 +1,18 @@
-//! What the name server says, and what it means for calls.
+//! Answers of the name server, and their effect on calls.
 
 mod common;
 
 use baydrift_node::state::{ConnId, Input};
-use baydrift_platform::{Cause, Kind, Message as Call};
+use baydrift_platform::{Cause, Kind, Message};
 use baydrift_standin::{list_answer, Listed};
 use common::{call, config, server_one, server_two, set_up, Harness, MS, SECOND};
 
-/// The answer to the node's last question.
+/// Builds the answer to the node's last query.
 fn answer(harness: &Harness, serial: u32, servers: &[Listed]) -> Vec<u8> {
-    list_answer(harness.queries.last().expect("it asks"), serial, servers).expect("it is a query")
+    list_answer(harness.queries.last().expect("a query was sent"), serial, servers).expect("it is a query")
 }
 
-/// The same server, draining.
+/// Returns the same server, draining.
 fn draining(server: Listed) -> Listed {
     Listed { drains: true, ..server }
 }
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn the_list_is_asked_for_well_within_a_second_and_again_when_no_answer_comes() {
+fn list_is_queried_within_a_second_and_after_lost_answers() {
     let mut harness = Harness::connected();
     harness.advance(SECOND);
     assert!((4..=8).contains(&harness.queries.len()), "{}", harness.queries.len());
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_draining_server_gets_nothing_new_once_that_is_told() {
+fn draining_server_gets_no_new_set_ups() {
     let mut harness = Harness::connected();
     deliver_list(&mut harness, 2, &[draining(server_one()), server_two()]);
     for id in 1..=20 {
@@ -48,9 +48,9 @@
     assert!((1..=20).all(|id| harness.set_up_conn(id).is_some_and(|conn| !one.contains(&conn))));
 }
 
-/// Older lists, other ids and failures change nothing; the list is never emptied by one.
+/// Older lists, unknown query ids and error answers change nothing; none of them empties the list.
 #[test]
-fn what_is_no_newer_list_changes_nothing() {
+fn stale_and_invalid_answers_are_ignored() {
     let mut harness = Harness::connected();
     deliver_list(&mut harness, 5, &[server_one(), server_two()]);
     deliver_list(&mut harness, 4, &[]);
@@ -67,10 +67,10 @@
     assert_eq!(harness.set_up_count(7), 1);
 }
 
-/// Guards against a new server at the address of one that is gone: dials succeed there, and no call of the old one
-/// will ever be ended by it.
+/// Guards against a new server at the address of a removed one: dials succeed there, but the new server never
+/// ends a call of the old one.
 #[test]
-fn a_server_whose_address_another_one_has_is_gone_with_its_calls() {
+fn calls_end_when_another_server_takes_the_address() {
     let mut harness = Harness::connected();
     let conn = harness.establish(7);
     let (gone, left) = if harness.conns_to_server_one().contains(&conn) {
@@ -79,7 +79,7 @@
         (server_two(), server_one())
     };
     let new = Listed { name: "s-new".to_owned(), ..gone };
-    // All its connections break, and what answers at its address now is the new one.
+    // All its connections break, and the new server accepts the next ones.
     for conn in (1..=9).map(ConnId) {
         harness.handle(Input::ServerDown(conn));
     }
@@ -90,12 +90,12 @@
 }
 
 #[test]
-fn a_server_that_is_gone_ends_its_calls_once_it_cannot_be_reached() {
+fn calls_at_a_removed_server_end_once_it_is_unreachable() {
     let mut harness = Harness::connected();
     let conn = harness.establish(7);
     let left = if harness.conns_to_server_one().contains(&conn) { server_two() } else { server_one() };
     deliver_list(&mut harness, 2, &[left]);
-    assert_eq!(harness.sent_to_caller(7).len(), 1, "it may finish what it has");
+    assert_eq!(harness.sent_to_caller(7).len(), 1, "its established calls may continue");
     for conn in (1..=9).map(ConnId) {
         harness.handle(Input::ServerDown(conn));
     }
@@ -103,9 +103,9 @@
     assert_eq!(harness.sent_to_caller(7).last(), Some(&(1, Kind::Release, Some(Cause::TEMPORARY))));
 }
 
-/// A process that started new_port has forgotten the calls from before, and those alone.
+/// A restarted process does not know the calls from before its start; later calls are not affected.
 #[test]
-fn a_restart_that_the_list_tells_ends_the_calls_from_before() {
+fn listed_restart_ends_earlier_calls() {
     let mut harness = Harness::connected();
     let conn = harness.establish(7);
     let at_one = harness.conns_to_server_one().contains(&conn);
@@ -119,9 +119,9 @@
     assert_eq!(harness.sent_to_caller(7).last(), Some(&(1, Kind::Release, Some(Cause::TEMPORARY))));
 }
 
-/// Rule 3 is checked again at the moment of writing.
+/// Rule 3 is checked again before writing.
 #[test]
-fn a_set_up_that_waits_for_a_connection_is_not_written_after_a_drain_was_told() {
+fn waiting_set_up_is_not_written_after_a_drain() {
     let mut harness = Harness::new(&config(&[server_one(), server_two()]));
     harness.caller(1);
     harness.caller_sends(1, set_up(7, "3000"));
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_name_server_at_another_address_is_asked_at_once() {
+fn changed_name_server_is_queried_at_once() {
     let mut harness = Harness::connected();
     deliver_list(&mut harness, 2, &[server_one(), server_two()]);
     let (asked, stale) = (harness.queries.len(), answer(&harness, 3, &[]));
@@ -144,5 +144,5 @@
     harness.handle(Input::DiscoveryAnswer(stale));
     harness.caller_sends(1, set_up(7, "3000"));
     assert_eq!(harness.set_up_count(7), 1);
-    harness.caller_sends(1, Call::release(call(7), Cause::NORMAL));
+    harness.caller_sends(1, Message::release(call(7), Cause::NORMAL));
 }
--- a/crates/node/tests/shared.rs
+++ b/crates/node/tests/peers.rs
@@ -1,4 +1,4 @@
-//! What the front node does not do: budgets lent between front nodes, and words on who lives, are off in `run`.
+//! Messages between front nodes: `run` enables neither budget lending nor membership messages.
 
 mod common;
 
@@ -6,10 +6,11 @@
 use baydrift_standin::relay_config;
 use common::{server_one, server_two, set_up, Harness, MS, SECOND};
 
-/// Front nodes may speak to each other here, and still say only what the decision module does. Lending has not been played
-/// on the mass days, and in virtual time it keeps a bound at no better service (docs/notes/shared.md): off until it is.
+/// With peer messages enabled, front nodes send only those of the decision module. Budget lending has not
+/// been tested on the mass days, and in virtual time it keeps a limit at no better service
+/// (docs/notes/shared.md), so it stays off.
 #[test]
-fn front_nodes_that_may_speak_lend_nothing() {
+fn enabled_peer_messages_exclude_budget_lending() {
     let text = relay_config(([127, 0, 0, 1], 9).into(), &[server_one(), server_two()])
         .replace("\"balancers\":1", "\"balancers\":3")
         .replace("\"cancelling\":true", "\"cancelling\":true,\"peers\":true");
@@ -22,7 +23,7 @@
     }
     harness.advance(SECOND);
     assert!(harness.to_peers.len() > 5, "{} messages", harness.to_peers.len());
-    // The module's messages begin with the version of its words, those of budgets and of who lives with bytes of their own.
+    // The module's messages begin with their version; those of budgets and membership begin with other bytes.
     assert!(harness.to_peers.iter().all(|(_, payload)| payload.first() == Some(&1)));
     assert!(harness.to_peers.iter().all(|(_, payload)| payload.len() <= 256));
 }
--- a/crates/node/tests/servers.rs
+++ b/crates/node/tests/servers.rs
@@ -1,4 +1,4 @@
-//! What signalling servers send, and what becomes of those that fail.
+//! Messages from signalling servers, and the handling of failed servers.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use baydrift_platform::{Cause, Code, Id, Kind, Message};
 use common::{answer, call, config, server_one, server_two, set_up, Harness, MS, SECOND};
 
-/// One server, and a call whose first attempt there was reset and has been set up there again.
+/// Starts a node with one server and a call that is set up again there after its first attempt was reset.
 fn after_a_reset() -> (Harness, ConnId) {
     let mut harness = Harness::new(&config(&[server_one()]));
     harness.connect_all();
@@ -19,19 +19,19 @@
     (harness, first)
 }
 
-/// Guards against a late word on an attempt that was given up, taken for one on the next.
+/// Guards against a late message on a released attempt that is matched to the next one.
 #[test]
-fn a_late_reply_is_not_the_next_attempts() {
+fn late_reply_is_not_matched_to_the_next_attempt() {
     let (mut harness, first) = after_a_reset();
     let second = harness.set_up_conn(7).expect("another");
     assert_eq!(harness.set_up_count(7), 2);
-    assert_ne!(first, second, "never on the same connection again");
+    assert_ne!(first, second, "a call uses a connection only once");
     harness.server_sends(first, answer(7));
     harness.server_sends(first, Message::release(call(7), Cause::BUSY));
     assert!(harness.sent_to_caller(7).is_empty());
     harness.server_sends(second, answer(7));
     assert_eq!(harness.sent_to_caller(7), [(1, Kind::Answer, None)]);
-    // Nor does it end the call that stands.
+    // Nor does it end the established call.
     harness.server_sends(first, Message::release(call(7), Cause::TEMPORARY));
     assert_eq!(harness.sent_to_caller(7).len(), 1);
     harness.server_sends(second, Message::release(call(7), Cause::NORMAL));
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn second_copies_and_unknown_ids_mean_nothing() {
+fn duplicates_and_unknown_ids_are_ignored() {
     let mut harness = Harness::connected();
     let conn = harness.establish(7);
     harness.server_sends(conn, answer(7));
@@ -49,31 +49,31 @@
     assert!(harness.closed_servers.is_empty());
 }
 
-/// Rules 2 and 5: what broke is over, and waits out the guard.
+/// Rules 2 and 5: the broken attempt has ended, and the next one waits for the retry hold-off.
 #[test]
-fn an_answer_that_cannot_be_used_closes_the_connection_and_the_call_goes_on_after_the_guard() {
+fn invalid_answer_closes_the_connection_and_the_call_is_retried_after_the_holdoff() {
     let mut harness = Harness::connected();
-    let stands = harness.establish(6);
+    let established_on = harness.establish(6);
     harness.caller_sends(1, set_up(7, "3000"));
     let conn = harness.set_up_conn(7).expect("a set-up");
     harness.server_sends(conn, Message::new(Kind::Answer, call(7)));
     assert_eq!(harness.closed_servers, [conn]);
     harness.advance(290 * MS);
-    assert_eq!(harness.set_up_count(7), 1, "not within the guard");
+    assert_eq!(harness.set_up_count(7), 1, "not within the hold-off");
     harness.advance(100 * MS);
     assert_eq!(harness.set_up_count(7), 2);
-    assert!(harness.releases_sent(7).is_empty(), "its connection took the first along");
+    assert!(harness.releases_sent(7).is_empty(), "the first attempt ended with its connection");
     assert!(harness.sent_to_caller(7).is_empty());
-    // The call that stood there is not touched; its end comes by any connection of the server.
+    // The call established there is not affected; its end is accepted on any connection of the server.
     assert_eq!(harness.sent_to_caller(6).len(), 1);
-    let other = harness.set_up_conn(7).filter(|other| *other != stands);
+    let other = harness.set_up_conn(7).filter(|other| *other != established_on);
     assert!(other.is_some());
 }
 
-/// Guards against a set-up that is taken off its connection before the rest of the message proves unusable: nobody
-/// would end it, and its call would wait for its time-out.
+/// Guards against a set-up that is removed from its connection before the rest of the message proves invalid:
+/// it would never be reset, and its call would wait for its time-out.
 #[test]
-fn a_report_or_a_note_that_is_no_text_breaks_the_connection_with_all_its_set_ups() {
+fn invalid_report_or_note_resets_all_set_ups_of_the_connection() {
     let release = |cause| Message::release(call(7), cause);
     let bad = [
         answer(7).with(Code::REPORT, &[0xff][..]),
@@ -87,18 +87,18 @@
         harness.server_sends(conn, message.clone());
         assert_eq!(harness.closed_servers, [conn], "{message:?}");
         harness.advance(400 * MS);
-        assert_eq!(harness.set_up_count(7), 2, "reset, and set up again after the guard: {message:?}");
+        assert_eq!(harness.set_up_count(7), 2, "reset, and set up again after the hold-off: {message:?}");
     }
 }
 
 #[test]
-fn a_broken_connection_ends_no_standing_call_and_a_refused_one_ends_all() {
+fn refused_dial_ends_established_calls_but_a_broken_connection_does_not() {
     let mut harness = Harness::connected();
     let conn = harness.establish(7);
     harness.handle(Input::ServerDown(conn));
     harness.advance(200 * MS);
     assert_eq!(harness.sent_to_caller(7).len(), 1);
-    // All its connections break, and the next is refused: nothing runs there.
+    // All its connections break, and the next dial is refused: the process is gone.
     let mut harness = Harness::connected();
     let conn = harness.establish(7);
     for other in (1..=4).map(ConnId).collect::<Vec<_>>() {
@@ -112,9 +112,9 @@
     assert_eq!(harness.sent_to_caller(7).last(), Some(&(1, Kind::Release, Some(Cause::TEMPORARY))));
 }
 
-/// A set-up that never left is told apart from one that may have run.
+/// A set-up that was never written may move at once, unlike one that may have taken effect.
 #[test]
-fn a_set_up_waits_for_a_connection_and_goes_elsewhere_when_refused() {
+fn waiting_set_up_moves_to_another_server_after_a_refused_dial() {
     let mut harness = Harness::new(&config(&[server_one(), server_two()]));
     harness.caller(1);
     harness.caller_sends(1, set_up(7, "3000"));
@@ -127,11 +127,11 @@
     for conn in to_one {
         harness.handle(Input::DialFailed(conn, true));
     }
-    assert_eq!(harness.set_up_conn(7), Some(to_two[0]), "at once: it never ran");
+    assert_eq!(harness.set_up_conn(7), Some(to_two[0]), "at once, since it was never written");
 }
 
 #[test]
-fn nothing_is_written_on_a_connection_that_comes_up_after_the_call_was_given_up() {
+fn cancelled_set_up_is_not_written_on_a_later_connection() {
     let mut harness = Harness::new(&config(&[server_one(), server_two()]));
     harness.caller(1);
     harness.caller_sends(1, set_up(7, "3000"));
@@ -141,9 +141,9 @@
     assert_eq!((harness.set_up_count(7), harness.releases_sent(7).len()), (0, 0));
 }
 
-/// A machine that vanishes says nothing: its connections are tested, then it is dialled, then its calls are over.
+/// A vanished machine closes no connection: the pings time out, then the dials fail, then its calls end.
 #[test]
-fn a_silent_server_is_found_and_its_calls_end_within_8_s() {
+fn calls_at_a_silent_server_end_within_8_s() {
     let mut harness = Harness::connected();
     let conn = harness.establish(7);
     let from = harness.now;
@@ -156,14 +156,14 @@
     }
     assert!(harness.closed_servers.contains(&conn));
     assert!(ended.is_some_and(|after| (2 * SECOND..8 * SECOND).contains(&after)), "{ended:?}");
-    // Should it come back, it is told to let go of the call.
+    // Should it come back, the call is released there.
     let dialled: Vec<_> = harness.dialled.keys().copied().collect();
-    harness.handle(Input::ServerUp(*dialled.last().expect("it is dialled on")));
+    harness.handle(Input::ServerUp(*dialled.last().expect("it is still dialled")));
     assert_eq!(harness.releases_sent(7).len(), 1);
 }
 
 #[test]
-fn half_a_message_is_waited_for_no_longer_than_half_a_second() {
+fn incomplete_message_times_out_after_500_ms() {
     let mut harness = Harness::connected();
     harness.caller_sends(1, set_up(7, "3000"));
     let conn = harness.set_up_conn(7).expect("a set-up");
@@ -174,22 +174,23 @@
     assert_eq!(harness.closed_servers, [conn]);
 }
 
-/// Unasked news of a group reaches the module: a server without free lines is not the first choice any more.
+/// An unsolicited load report reaches the module: a server without free circuits is no longer the first
+/// choice.
 #[test]
-fn the_state_of_a_group_reaches_the_module() {
+fn trunk_group_state_reaches_the_module() {
     let mut harness = Harness::connected();
     harness.caller_sends(1, set_up(6, "3000"));
     let one = harness.set_up_conn(6).expect("a set-up");
-    let news =
+    let report =
         Message::new(Kind::State, Id::default()).with(Code::REPORT, "idle:0;circuits:40;unknown:x;lat_ms:-1");
-    harness.server_sends(one, news);
+    harness.server_sends(one, report);
     harness.caller_sends(1, set_up(7, "3000"));
     let two = harness.set_up_conn(7).expect("a set-up");
     assert!((1..=2).contains(&one.0) != (1..=2).contains(&two.0), "{one:?} {two:?}");
 }
 
 #[test]
-fn set_ups_are_spread_over_connections_so_that_one_bad_answer_spoils_few() {
+fn invalid_message_resets_only_a_few_set_ups() {
     let mut harness = Harness::connected();
     for id in 1..=8 {
         harness.caller_sends(1, set_up(id, "3000"));
@@ -204,7 +205,7 @@
 }
 
 #[test]
-fn after_sigterm_calls_are_served_through_the_hand_over_and_all_is_answered_before_the_end() {
+fn calls_are_accepted_after_sigterm_and_answered_before_exit() {
     let mut harness = Harness::connected();
     harness.establish(6);
     harness.handle(Input::Stop);
@@ -219,18 +220,18 @@
     harness.server_sends(conn, answer(7));
     assert_eq!(harness.sent_to_caller(7), [(2, Kind::Answer, None)]);
     harness.advance(2_400 * MS);
-    assert_eq!(harness.sent_to_caller(8).len(), 1, "answered before the kill at 3.7 s");
+    assert_eq!(harness.sent_to_caller(8).len(), 1, "answered before the SIGKILL at 3.7 s");
     assert!(harness.exited);
     assert!(
         harness.releases_sent(6).is_empty() && harness.sent_to_caller(6).len() == 1,
-        "what stands is left to the next process"
+        "established calls are left to the next process"
     );
     assert!(!harness.closed_callers.contains(&LinkId(1)));
 }
 
-/// Guards against the end of a call that went down with a connection: its server tells it again on the next one.
+/// Guards against the end of a call that was lost with a connection: the server repeats it on the next one.
 #[test]
-fn a_connection_that_breaks_is_replaced_at_once_though_none_is_needed() {
+fn broken_connection_is_replaced_at_once() {
     let mut harness = Harness::connected();
     for id in 1..=6 {
         harness.caller_sends(1, set_up(id, "3000"));
@@ -248,29 +249,30 @@
     harness.server_sends(next, Message::release(call(6), Cause::NORMAL));
     assert_eq!(harness.sent_to_caller(6).last(), Some(&(1, Kind::Release, Some(Cause::NORMAL))));
     harness.advance(SECOND);
-    assert_eq!(harness.all_dials.len(), before + 1, "one for one");
+    assert_eq!(harness.all_dials.len(), before + 1, "each is replaced once");
 }
 
 #[test]
-fn the_end_of_a_call_counts_on_a_connection_that_an_earlier_attempt_was_on() {
+fn end_of_call_is_accepted_on_the_connection_of_an_earlier_attempt() {
     let (mut harness, first) = after_a_reset();
     let second = harness.set_up_conn(7).expect("another");
     harness.server_sends(second, answer(7));
     harness.server_sends(first, Message::release(call(7), Cause::TEMPORARY));
-    assert_eq!(harness.sent_to_caller(7).len(), 1, "late, on the attempt that broke");
+    assert_eq!(harness.sent_to_caller(7).len(), 1, "late release of the attempt that was reset");
     harness.server_sends(first, Message::release(call(7), Cause::NORMAL));
     assert_eq!(harness.sent_to_caller(7).len(), 2);
 }
 
-/// Guards against a call that ends twice: its answer was lost, and its end comes while the answer is awaited.
+/// Guards against a call that ends twice: its answer was lost, and its end arrives while the answer is
+/// expected.
 #[test]
-fn the_end_of_a_call_whose_answer_was_lost_is_its_end() {
+fn release_after_a_lost_answer_ends_the_call() {
     let mut harness = Harness::connected();
     harness.caller_sends(1, set_up(7, "3000"));
     let conn = harness.set_up_conn(7).expect("a set-up");
     harness.advance(500 * MS);
     harness.server_sends(conn, Message::release(call(7), Cause::NORMAL));
-    assert_eq!(harness.sent_to_caller(7), [(1, Kind::Release, Some(Cause::TEMPORARY))], "failed, at once");
+    assert_eq!(harness.sent_to_caller(7), [(1, Kind::Release, Some(Cause::TEMPORARY))], "failed at once");
     harness.advance(3 * SECOND);
     assert_eq!((harness.set_up_count(7), harness.sent_to_caller(7).len()), (1, 1), "and never set up again");
 }
--- a/crates/node/tests/endings.rs
+++ b/crates/node/tests/termination.rs
@@ -1,4 +1,4 @@
-//! Endings of attempts, connections and of the process, and what is still owed in them.
+//! Ends of attempts, of connections and of the process, and the messages still to be sent then.
 
 mod common;
 
@@ -9,28 +9,28 @@
 use baydrift_standin::{list_answer, relay_config, Listed};
 use common::{answer, call, config, server_one, server_two, set_up, Harness, MS, SECOND};
 
-/// A configuration in which something reads otherwise.
+/// Builds a configuration with text replacements.
 fn config_with(servers: &[Listed], changes: &[(&str, &str)]) -> Config {
     let mut text = relay_config(([127, 0, 0, 1], 9).into(), servers);
     for (from, to) in changes {
-        assert!(text.contains(from), "{from}");
+        assert!(text.contains(from), "{from} is not in the configuration");
         text = text.replace(from, to);
     }
     Config::read(text.as_bytes()).expect("the test's configuration")
 }
 
-/// One of 300 front nodes: a connection a server.
+/// Builds the configuration of one of 300 front nodes, which keeps one connection per server.
 fn config_of_large_fleet(servers: &[Listed]) -> Config {
     config_with(servers, &[("\"balancers\":1", "\"balancers\":300")])
 }
 
 fn deliver_list(harness: &mut Harness, serial: u32, servers: &[Listed]) {
     harness.advance(300 * MS);
-    let query = harness.queries.last().expect("it asks").clone();
+    let query = harness.queries.last().expect("a query was sent").clone();
     harness.handle(Input::DiscoveryAnswer(list_answer(&query, serial, servers).expect("it is a query")));
 }
 
-/// Lets time pass while all servers answer the connections' tests.
+/// Advances the clock while all servers answer pings.
 fn advance_with_ping_replies(harness: &mut Harness, span: u64) {
     for _ in 0..span / (500 * MS) {
         harness.advance(500 * MS);
@@ -41,10 +41,10 @@
 
 // --- attempts that wait for a connection ---
 
-/// Guards against a call refused by the only server, or by each of two, whose next attempt there waited for a connection
-/// that nobody dialled: it ended as 'not reached', and the server counted as cold for the ramp's time.
+/// Guards against a call refused by each server whose next attempt there waits for a connection that is never
+/// dialled: the attempt ended as connect failure, which put the server into warm-up.
 #[test]
-fn a_further_attempt_at_a_server_with_one_connection_gets_one_of_its_own() {
+fn second_attempt_at_a_server_gets_its_own_connection() {
     let mut harness = Harness::new(&config_of_large_fleet(&[server_one()]));
     harness.connect_all();
     harness.caller(1);
@@ -59,14 +59,15 @@
     assert!(first != second && harness.set_up_count(7) == 2);
     harness.server_sends(second, answer(7));
     assert_eq!(harness.sent_to_caller(7), [(1, Kind::Answer, None)]);
-    // What is over its worth goes once nothing is open there.
+    // The surplus connection is closed once it has no unanswered set-up.
     harness.advance(SECOND);
     assert_eq!((harness.closed_servers.as_slice(), harness.node.resource_counts()[1]), (&[first][..], 1));
 }
 
-/// Guards against the same where the further connection does not come up: the server serves, and is not cold.
+/// Guards against the same where the further connection is not established: the server works and needs no
+/// warm-up.
 #[test]
-fn a_server_that_gives_a_call_no_further_connection_is_not_taken_for_cold() {
+fn missing_extra_connection_does_not_start_a_warm_up() {
     let mut harness = Harness::new(&config_of_large_fleet(&[server_one()]));
     harness.connect_all();
     harness.caller(1);
@@ -81,19 +82,19 @@
         assert_eq!(
             harness.sent_to_caller(id),
             [(1, Kind::Answer, None)],
-            "a cold or paused server would take none or few"
+            "a server in warm-up or paused would get few or none"
         );
     }
 }
 
-/// Guards against a set-up on a late connection after the time in which it was of use.
+/// Guards against a set-up that is written on a late connection after its latest start time.
 #[test]
-fn a_connection_that_comes_up_after_the_attempts_time_gets_nothing_of_it() {
+fn expired_attempt_is_not_written_on_a_late_connection() {
     let changes = [("\"dial-timeout-s\":0.5", "\"dial-timeout-s\":5.0")];
     let mut harness = Harness::new(&config_with(&[server_one()], &changes));
     harness.caller(1);
     harness.caller_sends(1, set_up(7, "400"));
-    // The process stands still; then the connection is heard of before any timer fires.
+    // The process stalls; then the connection is reported before any timer fires.
     harness.now += 600 * MS;
     harness.connect_all();
     assert_eq!(harness.set_up_count(7), 0);
@@ -101,9 +102,9 @@
     assert_eq!((harness.set_up_count(7), harness.sent_to_caller(7).len()), (0, 1));
 }
 
-/// Guards against a repeat outside its class's window: it was in time when decided on, and waited for a connection.
+/// Guards against a retry outside its class's window: it was decided in time, but waited for a connection.
 #[test]
-fn a_repeat_that_waits_for_a_connection_does_not_begin_after_its_window() {
+fn waiting_retry_does_not_start_after_its_window() {
     let effect = "{\"name\":\"load\",\"effect\":\"dedup\",\"group\":\"all\",\"window-s\":0.6";
     let changes = [
         ("{\"name\":\"load\",\"effect\":\"retryable\"", effect),
@@ -118,7 +119,7 @@
         for conn in (1..=4).map(ConnId) {
             harness.handle(Input::ServerDown(conn));
         }
-        // The guard of 0.3 s, then the connection is late.
+        // The retry hold-off of 0.3 s, then the connection is established late.
         harness.advance(310 * MS + up_after - 100 * MS);
         harness.connect_all();
         harness.advance(SECOND);
@@ -131,15 +132,16 @@
     }
 }
 
-/// Guards against set-ups at whatever has a server's old address: connected, dialling, and told under way.
+/// Guards against set-ups at a server's old address, on an established connection as on one that is being
+/// dialled when the new list arrives.
 #[test]
-fn a_server_that_has_moved_is_dialled_anew_and_its_old_address_left() {
+fn changed_address_replaces_the_connections() {
     let moved = Listed { addr: ([10, 1, 0, 7], 5080).into(), ..server_one() };
     let mut harness = Harness::new(&config(&[server_one()]));
     harness.caller(1);
     harness.caller_sends(1, set_up(7, "3000"));
     let old: Vec<_> = harness.dialled.keys().copied().collect();
-    let query = harness.queries.last().expect("it asks").clone();
+    let query = harness.queries.last().expect("a query was sent").clone();
     harness.handle(Input::DiscoveryAnswer(list_answer(&query, 2, &[moved]).expect("an answer")));
     assert_eq!(harness.closed_servers, old);
     for conn in old {
@@ -153,10 +155,10 @@
 
 // --- callers ---
 
-/// Guards against idle callers that push out one whose set-up came in the same moment: at the bound, what open
-/// connections have sent is taken before new connections are.
+/// Guards against a new connection that displaces a caller whose set-up arrived at the same time: at the
+/// limit, messages on open connections are processed before new connections.
 #[test]
-fn at_the_bound_a_set_up_that_came_with_a_new_connection_keeps_its_own() {
+fn set_up_beats_a_new_connection_at_the_limit() {
     let mut harness = Harness::new(&config(&[server_one(), server_two()]));
     harness.connect_all();
     let most = harness.node.callers_max() as u64;
@@ -170,9 +172,10 @@
     assert_eq!((harness.set_up_count(7), harness.closed_callers.as_slice()), (1, &[LinkId(2)][..]));
 }
 
-/// Guards against what follows a caller's close: its waiting set-up, its attempt, its repeat after the guard.
+/// Guards against work for a disconnected caller: its waiting set-up, its attempt, its retry after the
+/// hold-off.
 #[test]
-fn nothing_begins_for_a_caller_that_has_left() {
+fn no_attempt_starts_for_a_disconnected_caller() {
     // While it waits for a connection.
     let mut harness = Harness::new(&config(&[server_one(), server_two()]));
     harness.caller(1);
@@ -181,7 +184,7 @@
     harness.connect_all();
     harness.advance(SECOND);
     assert_eq!(harness.set_up_count(7), 0);
-    // While its repeat waits for the guard.
+    // While its retry waits for the hold-off.
     let mut harness = Harness::connected();
     harness.caller_sends(1, set_up(7, "3000"));
     let conn = harness.set_up_conn(7).expect("a set-up");
@@ -194,9 +197,9 @@
 
 // --- the list ---
 
-/// Guards against a way to the name server that has gone quiet for good, while the name server itself answers.
+/// Guards against a flow to the name server that is dropped for good while the name server itself answers.
 #[test]
-fn a_list_that_goes_quiet_is_asked_for_from_another_port() {
+fn unanswered_queries_change_the_port() {
     let mut harness = Harness::connected();
     let ask = |harness: &mut Harness| {
         let mut out = Vec::new();
@@ -218,7 +221,7 @@
     let fourth = new_port.iter().enumerate().filter(|(_, new_port)| **new_port).map(|(i, _)| i);
     let fourth: Vec<_> = fourth.collect();
     assert!(fourth.len() >= 2 && fourth.windows(2).all(|pair| pair[1] - pair[0] == 4), "{new_port:?}");
-    // An answer, and the port is as good as any.
+    // After an answer the port is kept.
     harness.handle(Input::DiscoveryAnswer(
         list_answer(&last, 1, &[server_one(), server_two()]).expect("an answer"),
     ));
@@ -226,14 +229,15 @@
     assert!(after.iter().all(|(_, new_port)| !new_port));
 }
 
-/// Guards against a list that is emptied by silence: what was told last holds, and a call there is served.
+/// Guards against a list that is emptied when answers stop: the last one stays valid and calls are still
+/// served.
 #[test]
-fn a_list_that_stays_quiet_holds_and_one_that_returns_changed_is_taken_whole() {
+fn last_list_stays_valid_until_a_new_one_arrives() {
     let mut harness = Harness::connected();
     let conn = harness.establish(6);
     advance_with_ping_replies(&mut harness, 30 * SECOND);
     harness.caller_sends(1, set_up(7, "3000"));
-    let served = harness.set_up_conn(7).expect("served by what was told last");
+    let served = harness.set_up_conn(7).expect("served by the last list");
     harness.server_sends(served, answer(7));
     let three = Listed::ready("s-three", ([10, 1, 0, 3], 5080).into(), 2);
     deliver_list(&mut harness, 9, &[three]);
@@ -241,17 +245,17 @@
     harness.caller_sends(1, set_up(8, "3000"));
     let at = harness.set_up_conn(8).expect("a set-up");
     assert_eq!(harness.all_dials[&at].to_string(), "10.1.0.3:5080");
-    assert_eq!(harness.sent_to_caller(6).len(), 1, "what stands at a server that left the list may finish");
+    assert_eq!(harness.sent_to_caller(6).len(), 1, "calls established at a removed server may continue");
     harness.server_sends(conn, Message::release(call(6), Cause::NORMAL));
     assert_eq!(harness.sent_to_caller(6).last(), Some(&(1, Kind::Release, Some(Cause::NORMAL))));
 }
 
 // --- one configuration and another ---
 
-/// Guards against anything of one configuration that is seen under another: two front nodes in one process, whose
-/// classes have each other's places, tenants and worths.
+/// Guards against state shared between configurations: two front nodes in one process have classes in swapped
+/// positions, other tenants and other deadlines.
 #[test]
-fn two_front_nodes_in_one_process_share_nothing() {
+fn front_nodes_in_one_process_share_no_state() {
     let changes = [
         ("{\"name\":\"load\"", "{\"name\":\"x\""),
         ("{\"name\":\"check\"", "{\"name\":\"load\""),
@@ -269,13 +273,13 @@
     };
     let refused =
         |harness: &Harness, id| harness.sent_to_caller(id) == [(1, Kind::Release, Some(Cause::INVALID))];
-    // The tenant of one is no tenant of the other, however the name reads.
+    // The tenant of one node is unknown to the other, whatever characters its name has.
     there.caller_sends(1, set_up(7, "400"));
     here.caller_sends(1, with(7, Code::TENANT, "other co.; \u{e9}"));
     assert!(refused(&here, 7) && refused(&there, 7));
     there.caller_sends(1, with(8, Code::TENANT, "other co.; \u{e9}"));
     assert_eq!(there.set_up_count(8), 1);
-    // A time that one allows and the other does not.
+    // A wait that one node allows and the other does not.
     here.caller_sends(1, set_up(9, "3000"));
     there.caller_sends(1, with(9, Code::WAIT, "3000").with(Code::REPORT, ""));
     assert_eq!((here.set_up_count(9), there.set_up_count(9)), (1, 0));
@@ -283,16 +287,17 @@
 
 // --- the end of the process ---
 
-/// Guards against a kill that comes sooner where all deadlines are short: it may come 0.7 s after the longest.
+/// Guards against an early SIGKILL where all deadlines are short: it may come 0.7 s after the longest
+/// deadline.
 #[test]
-fn with_short_deadlines_all_is_answered_before_the_kill() {
+fn set_ups_are_answered_before_an_early_sigkill() {
     let changes = [("\"hard-limit-s\":9.0", "\"hard-limit-s\":0.4")];
     let mut harness = Harness::new(&config_with(&[server_one(), server_two()], &changes));
     harness.connect_all();
     harness.caller(1);
     harness.handle(Input::Stop);
     harness.advance(590 * MS);
-    assert!(!harness.stopped_accepting, "the platform hands over for 0.6 s");
+    assert!(!harness.stopped_accepting, "the platform redirects callers for 0.6 s");
     harness.advance(190 * MS);
     harness.caller_sends(1, set_up(7, "400"));
     harness.advance(100 * MS);
@@ -300,9 +305,10 @@
     assert_eq!(harness.sent_to_caller(7).len(), 1);
 }
 
-/// Guards against a release that waits for a connection when its process ends: it is dialled for, until the last moment.
+/// Guards against an exit with a release that waits for a connection: the server is dialled until the last
+/// moment.
 #[test]
-fn the_end_waits_for_releases_that_are_owed_and_for_half_a_set_up() {
+fn exit_waits_for_pending_releases_and_incomplete_set_ups() {
     let mut harness = Harness::new(&config(&[server_one()]));
     harness.connect_all();
     harness.caller(1);
@@ -314,19 +320,19 @@
     }
     harness.caller_sends(1, Message::release(call(6), Cause::NORMAL));
     harness.advance(SECOND);
-    assert!(harness.stopped_accepting && !harness.exited, "owed still");
+    assert!(harness.stopped_accepting && !harness.exited, "a release is still pending");
     harness.connect_all();
     assert_eq!(harness.releases_sent(6).len(), 1);
-    // Half a set-up has come.
+    // An incomplete set-up was received.
     harness.handle(Input::CallerPartial(LinkId(1)));
     harness.advance(200 * MS);
-    assert!(!harness.exited, "the rest is on its way");
+    assert!(!harness.exited, "the rest is still expected");
     harness.caller_sends(1, set_up(7, "3000"));
     let conn = harness.set_up_conn(7).expect("taken");
     harness.server_sends(conn, answer(7));
     harness.advance(100 * MS);
     assert!(harness.exited);
-    // Neither holds the end up for ever.
+    // Neither delays the exit for ever.
     let mut harness = Harness::new(&config(&[server_one()]));
     harness.connect_all();
     harness.caller(1);
@@ -339,9 +345,10 @@
     assert!(harness.exited);
 }
 
-/// Guards against an end in the instant in which the listener closes: connections that the kernel had taken are read.
+/// Guards against an exit as soon as the listener closes: connections in the kernel's accept queue are read
+/// first.
 #[test]
-fn the_end_comes_no_sooner_than_what_the_kernel_had_taken_is_read() {
+fn exit_waits_until_the_accept_queue_is_read() {
     let mut harness = Harness::connected();
     harness.handle(Input::Stop);
     while !harness.stopped_accepting {
@@ -360,9 +367,9 @@
     assert!(harness.exited);
 }
 
-/// Guards against 'refused', which says that trying again is harmless, for a call that may run and must not run twice.
+/// Guards against a refusal, which says that a retry is safe, for a call that may run and must not run twice.
 #[test]
-fn at_the_last_moment_a_call_that_must_not_run_twice_has_failed_if_it_was_sent() {
+fn sent_fragile_call_fails_instead_of_being_refused_at_exit() {
     for (effect, cause) in [("fragile", Cause::TEMPORARY), ("retryable", Cause::NO_CIRCUIT)] {
         let changes = [("\"effect\":\"retryable\"", &*format!("\"effect\":\"{effect}\""))];
         let mut harness = Harness::new(&config_with(&[server_one(), server_two()], &changes));
