--- a/crates/node/src/state/callers.rs
+++ b/crates/node/src/state/callers.rs
@@ -18,8 +18,8 @@
 /// Time within which a new connection must bring a useful message. One that sends nothing, an incomplete
 /// message or only irrelevant messages must be closed within 3 s.
 const FIRST_USE_TIMEOUT: Micros = 2_000_000;
-/// Number of invalid set-ups after which a connection is closed, so that it does not go on sending at full
-/// speed.
+/// Number of invalid set-ups after which a connection is closed, so that it
+/// does not go on sending at full speed.
 const UNUSABLE_SET_UPS_MAX: u32 = 4;
 /// Maximum memory of unanswered set-ups, in bytes. Guards against thousands with descriptions of maximum
 /// length, which would exhaust a small machine's memory; a usual set-up has a few hundred bytes.
@@ -35,7 +35,7 @@
     ip: IpAddr,
     opened_at: Micros,
     /// Calls in set-up on this connection.
-    open: BTreeSet<Id>,
+    in_set_up: BTreeSet<Id>,
     /// Number of established calls that were set up or announced on this connection.
     established: usize,
     /// It has brought a useful message.
@@ -62,7 +62,7 @@
             // preferably one without a useful message so far, then one without calls, then one with
             // established calls only, whose ends can be delivered on another connection.
             let oldest = |fits: &dyn Fn(&Link) -> bool| {
-                let mut idle = self.links.iter().filter(|(_, link)| link.open.is_empty() && fits(link));
+                let mut idle = self.links.iter().filter(|(_, link)| link.in_set_up.is_empty() && fits(link));
                 idle.next().map(|(id, _)| *id)
             };
             let victim = oldest(&|link| !link.useful).or_else(|| oldest(&|link| link.established == 0));
@@ -74,7 +74,7 @@
         let new_link = Link {
             ip,
             opened_at: self.now,
-            open: BTreeSet::new(),
+            in_set_up: BTreeSet::new(),
             established: 0,
             useful: false,
             invalid_set_ups: 0,
@@ -143,8 +143,8 @@
             return Err(invalid(Code::FIGURES, "width out of range"));
         }
         match self.engine.call_status(&session) {
-            // Guards against two set-ups with one id on one connection, whose answers could not be told
-            // apart.
+            // Guards against two set-ups with one id on one connection, whose
+            // answers could not be told apart.
             Some(CallStatus::InSetUp) if self.calls.get(&call).is_some_and(|own| own.link == link) => {
                 self.close_caller(link, out);
                 return Ok(());
@@ -154,7 +154,7 @@
         }
         if let Some(link) = self.links.get_mut(&link) {
             link.useful = true;
-            link.open.insert(call);
+            link.in_set_up.insert(call);
         }
         let ip = self.links.get(&link).map(|link| link.ip);
         let bytes = setup.description.len() + setup.class.len();
@@ -198,8 +198,8 @@
         }
     }
 
-    /// Handles a caller's announcement of an established call: its end is sent on this connection from now
-    /// on.
+    /// Handles a caller's announcement of an established call: its end is
+    /// sent on this connection from now on.
     fn bind_established(&mut self, link: LinkId, call: Id) {
         self.forget_call(call);
         let Some(own) = self.links.get_mut(&link) else { return };
@@ -241,10 +241,10 @@
         tracing::trace!(
             "link {} down: {} in set-up, {} established",
             link.0,
-            own.open.len(),
+            own.in_set_up.len(),
             own.established
         );
-        for call in own.open {
+        for call in own.in_set_up {
             self.forget_call(call);
             let (session, request) = (self.session(call), Request { link, ticket: 0 });
             self.apply_to_engine(EngineInput::Released { session, request }, out);
@@ -263,7 +263,7 @@
         self.set_up_bytes -= std::mem::take(&mut caller.bytes);
         let link = caller.link;
         if let Some(own) = self.links.get_mut(&link) {
-            own.open.remove(&call);
+            own.in_set_up.remove(&call);
             own.established += 1;
         }
         write(out, link, &Message::new(Kind::Answer, call).with(Code::DESCRIPTION, description));
@@ -298,7 +298,7 @@
         let caller = self.calls.remove(&call)?;
         self.set_up_bytes -= caller.bytes;
         if let Some(link) = self.links.get_mut(&caller.link) {
-            link.open.remove(&call);
+            link.in_set_up.remove(&call);
             link.established -= usize::from(caller.established && link.established > 0);
         }
         Some(caller)
--- a/crates/node/src/state/discovery.rs
+++ b/crates/node/src/state/discovery.rs
@@ -11,16 +11,18 @@
 const RETRY_AFTER: Micros = 150_000;
 /// Number of outstanding queries whose answers are still accepted, however late.
 const OUTSTANDING_MAX: usize = 4;
-/// Number of consecutive unanswered queries after which the next one is sent from a new port. Guards against
-/// a flow that is dropped for good while the name server is reachable (RFC 5452 recommends changing ports in
-/// any case).
+/// Number of consecutive unanswered queries after which the next one is sent from a new
+/// port. Guards against a flow that is dropped for good while the name server is reachable
+/// (RFC 5452 recommends changing ports in any case).
 const QUERIES_PER_PORT: u32 = 4;
 
 /// Outstanding queries and the schedule of the next one.
 #[derive(Debug)]
 pub(super) struct Discovery {
     rng: Pcg64Mcg,
+    /// Ids of the queries whose answers are accepted, oldest first.
     outstanding: Vec<u16>,
+    /// Time of the next query.
     due: Micros,
     /// Queries since the last answer.
     unanswered: u32,
@@ -56,8 +58,8 @@
         Some((names::query(id).ok()?, new_port))
     }
 
-    /// Returns the list in an answer to an outstanding query. Other datagrams are ignored: the next query is
-    /// sent when it is due.
+    /// Returns the list in an answer to an outstanding query. Other datagrams are
+    /// ignored: the next query is sent when it is due.
     pub(super) fn read_answer(&mut self, now: Micros, bytes: &[u8]) -> Option<Listed> {
         let id = u16::from_be_bytes([*bytes.first()?, *bytes.get(1)?]);
         if !self.outstanding.contains(&id) {
@@ -77,8 +79,8 @@
         }
     }
 
-    /// Discards the outstanding queries and makes the next one due at once, since the name server's address
-    /// changed.
+    /// Discards the outstanding queries and makes the next one due at once,
+    /// since the name server's address changed.
     pub(super) fn name_server_changed(&mut self, now: Micros) {
         self.outstanding.clear();
         (self.due, self.unanswered) = (now, 0);
--- a/crates/node/src/state/mod.rs
+++ b/crates/node/src/state/mod.rs
@@ -1,10 +1,10 @@
 //! The front node's state machine: takes timestamped inputs and returns outputs. It does no I/O, reads no
 //! clock and draws random numbers only from a seeded generator.
 //!
-//! `callers` holds callers' connections and the set-ups received on them, `servers` the connections to
-//! signalling servers and the attempts on them, `discovery` the queries to the name server. Every decision is
-//! made by the call engine and the decision module behind it; this module routes messages to and from the
-//! right connection.
+//! `callers` holds callers' connections and the set-ups received on them, `servers` the
+//! connections to signalling servers and the attempts on them, `discovery` the queries to the name
+//! server. Every decision is made by the call engine and the decision module behind it; this
+//! module routes messages to and from the right connection.
 
 mod batch;
 mod callers;
@@ -42,15 +42,15 @@
 const COUNTED_DEADLINE_MAX: Micros = 3_000_000;
 /// Time before the SIGKILL at which open set-ups are answered, so that the last bytes can still be sent.
 const FINAL_ANSWER_LEAD: Micros = 300_000;
-/// Minimum time between the end of accepting and the exit, in which connections from the kernel's accept
-/// queue are read.
+/// Minimum time between the end of accepting and the exit, in which connections
+/// from the kernel's accept queue are read.
 const POST_LISTEN_TIME: Micros = 100_000;
 /// Maximum number of answered calls that are remembered, so that a reused call id is refused.
 const ANSWER_CACHE_MAX: usize = 4_096;
 /// How long an answered call is remembered.
 const ANSWER_CACHE_TTL: Micros = 10_000_000;
-/// Maximum number of calls held at once, in set-up or established, whatever the settings allow: a few
-/// megabytes.
+/// Maximum number of calls held at once, in set-up or established, whatever
+/// the settings allow: a few megabytes.
 const CALLS_MAX: u32 = 6_000;
 /// Maximum number of calls in set-up on one caller's connection.
 const SET_UPS_PER_LINK_MAX: usize = 1_000;
@@ -191,6 +191,7 @@
     engine: Engine<Payload>,
     now: Micros,
     site: baydrift::config::SiteConfig,
+    /// The longest class deadline.
     longest_wait: Micros,
     owner: Arc<str>,
     fleet: Fleet,
@@ -198,6 +199,7 @@
     /// Memory held by all unanswered set-ups.
     set_up_bytes: usize,
     links: BTreeMap<LinkId, callers::Link>,
+    /// Maximum number of callers' connections.
     links_max: usize,
     undelivered_ends: callers::UndeliveredEnds,
     attempts: BTreeMap<AttemptId, Attempt>,
@@ -207,8 +209,11 @@
     dial_timeout: Micros,
     /// The session description of the answer that is being handled.
     answer: Option<Bytes>,
+    /// Time of SIGTERM.
     stopped_at: Option<Micros>,
+    /// When accepting of connections was stopped.
     accept_stopped_at: Option<Micros>,
+    /// Time of the last periodic checks.
     checked_at: Micros,
     counts: Counts,
     attempt_counts: diagnostics::AttemptCounts,
@@ -425,8 +430,8 @@
                 }
                 EngineOutput::SendToPeer { to, payload } => out.push(Output::ToPeer(to, payload)),
                 EngineOutput::Log(text) => tracing::info!("{text}"),
-                // The list is polled, callers learn of changes by their calls, and each call id is used only
-                // once.
+                // The list is polled, callers learn of changes by their calls,
+                // and each call id is used only once.
                 EngineOutput::Subscribe
                 | EngineOutput::Cut { .. }
                 | EngineOutput::AnswerRelease { .. }
@@ -450,8 +455,8 @@
     }
 }
 
-/// Encodes a message. Since it was built here, only a description that was received too long can make it too
-/// long.
+/// Encodes a message. Since it was built here, only a description that was
+/// received too long can make it too long.
 fn wire(message: &Message) -> Option<Vec<u8>> {
     let bytes = message.to_bytes();
     bytes
--- a/crates/node/src/state/pool_limit.rs
+++ b/crates/node/src/state/pool_limit.rs
@@ -8,9 +8,9 @@
 
 /// Maximum number of connections to one server; further ones hardly reduce the damage of a broken one.
 pub(super) const CONNS_PER_SERVER_MAX: usize = 16;
-/// Maximum number of connections that all front nodes together keep to one server that has refused none.
-/// Servers do not announce their limit; small fleets need several connections per front node and met no
-/// refusal at this number.
+/// Maximum number of connections that all front nodes together keep to one server that has
+/// refused none. Servers do not announce their limit; small fleets need several connections
+/// per front node and met no refusal at this number.
 const FLEET_CONNS_PER_SERVER: usize = 64;
 /// Interval at which the limit rises by one connection after a refusal.
 const RAISE_INTERVAL: Micros = 10_000_000;
--- a/crates/node/src/state/servers.rs
+++ b/crates/node/src/state/servers.rs
@@ -24,15 +24,15 @@
 const PING_AFTER_IDLE: Micros = 1_000_000;
 /// Time after which a connection is considered dead when the ping is unanswered.
 const PING_TIMEOUT: Micros = 1_000_000;
-/// Time within which a partly received message must be complete: messages are small, and a stalled one blocks
-/// all that follow.
+/// Time within which a partly received message must be complete: messages are small,
+/// and a stalled one blocks all that follow.
 const PARTIAL_MESSAGE_TIMEOUT: Micros = 500_000;
 /// Pause after the first failed dial; it doubles with each further failure.
 const REDIAL_PAUSE_MIN: Micros = 100_000;
 /// Maximum pause after a failed dial.
 const REDIAL_PAUSE_MAX: Micros = 1_000_000;
-/// Time after which the calls at an unreachable server are considered lost: callers must be notified within 8
-/// s.
+/// Time after which the calls at an unreachable server are considered lost:
+/// callers must be notified within 8 s.
 const UNREACHABLE_TIMEOUT: Micros = 3_500_000;
 /// The same for a server that is no longer on the list, which is never this far behind.
 const DELISTED_UNREACHABLE_TIMEOUT: Micros = 1_500_000;
@@ -40,9 +40,9 @@
 const FINISHED_CALLS_MAX: usize = 512;
 /// How long a connection remembers a finished call.
 const FINISHED_CALLS_TTL: Micros = 20_000_000;
-/// Maximum number of ends of unknown calls that are kept. Guards against a start of this process while calls
-/// are established: a server reports their ends on the first connection, possibly before the caller announces
-/// the call.
+/// Maximum number of ends of unknown calls that are kept. Guards against a start of this
+/// process while calls are established: a server reports their ends on the first connection,
+/// possibly before the caller announces the call.
 const UNCLAIMED_ENDS_MAX: usize = 1_024;
 /// How long the end of an unknown call is kept.
 const UNCLAIMED_ENDS_TTL: Micros = 8_000_000;
@@ -56,6 +56,7 @@
 /// Limits on the number of connections to signalling servers.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ConnLimits {
+    /// Limit over all servers.
     total: usize,
     /// Limit per server that has refused no connection yet.
     pool_limit: PoolLimit,
@@ -86,8 +87,11 @@
     unanswered: BTreeMap<Id, AttemptId>,
     /// Calls that finished on this connection.
     finished: ExpiringQueue<Id>,
+    /// Time of the last message received.
     received_at: Micros,
+    /// Time of the unanswered ping.
     pinged_at: Option<Micros>,
+    /// Start of the partly received message.
     partial_since: Option<Micros>,
 }
 
@@ -113,6 +117,7 @@
     dial_failures: u32,
     /// Limit on its connections; `None` until it refuses one.
     pool_limit: Option<PoolLimit>,
+    /// Earliest time of the next dial.
     dial_at: Micros,
     /// Start of the time without an established connection.
     down_since: Option<Micros>,
@@ -137,6 +142,7 @@
     conns: BTreeMap<ConnId, Conn>,
     next_conn: u64,
     conn_limits: ConnLimits,
+    /// Servers whose process was replaced, and the start time of the new one.
     restarted: Vec<(ServerId, Micros)>,
     /// Ends of calls that no caller has announced yet.
     unclaimed_ends: ExpiringQueue<(ServerId, Id, Outcome)>,
@@ -192,8 +198,8 @@
         added
     }
 
-    /// Takes the servers whose process has restarted according to the list, with the start time of the new
-    /// process.
+    /// Takes the servers whose process has restarted according to the list,
+    /// with the start time of the new process.
     pub(super) fn take_restarted(&mut self) -> Vec<(ServerId, Micros)> {
         std::mem::take(&mut self.restarted)
     }
@@ -227,8 +233,8 @@
         ids.filter_map(|id| Some((*id, self.conns.get(id)?))).filter(|(_, conn)| conn.up)
     }
 
-    /// Chooses the connection for a set-up: the one with the fewest unanswered set-ups that this call has not
-    /// used yet.
+    /// Chooses the connection for a set-up: the one with the fewest unanswered
+    /// set-ups that this call has not used yet.
     fn conn_for_set_up(&self, server: ServerId, call: Id) -> Option<ConnId> {
         let free = self
             .up_conns(server)
@@ -471,8 +477,8 @@
         }
     }
 
-    /// Ends a server's attempts and calls from before a time, lost with their process. Returns the calls that
-    /// were established.
+    /// Ends a server's attempts and calls from before a time, lost with their process.
+    /// Returns the calls that were established.
     pub(super) fn process_lost(
         &mut self,
         server: ServerId,
@@ -696,8 +702,8 @@
             self.end_attempt(attempt, AttemptEnd::plain(outcome), out);
         }
         if down {
-            // Partitioned, or gone without closing. Should it come back, calls that it may still hold are
-            // released.
+            // Partitioned, or gone without closing. Should it come back, calls
+            // that it may still hold are released.
             let established = self.process_lost(id, Micros::MAX, out);
             if let Some(server) = self.servers.by_id.get_mut(&id) {
                 established.into_iter().for_each(|call| server.queue_release(call));
--- a/crates/node/src/transport/connection.rs
+++ b/crates/node/src/transport/connection.rs
@@ -46,8 +46,8 @@
         Input::CallerDown(self)
     }
 
-    /// A disconnected caller's set-ups are obsolete; its releases and announcements of established calls are
-    /// not.
+    /// A disconnected caller's set-ups are obsolete; its releases and
+    /// announcements of established calls are not.
     fn is_obsolete(self, message: &Message) -> bool {
         setup::is_offer(message)
     }
@@ -99,13 +99,16 @@
 /// A connection, as shared by the core and its reader.
 pub(super) struct Connection {
     stream: TcpStream,
+    /// Bytes that the socket has not accepted yet.
     unsent: RefCell<Vec<u8>>,
+    /// A flush task is running.
     flushing: Cell<bool>,
     /// Nothing more is written: it was closed locally, or has ended.
     closed: Cell<bool>,
     /// Pending bytes are not written either: the socket accepts no more.
     broken: Cell<bool>,
     close_requested: Notify,
+    /// Time of the last write.
     written_at: Cell<Option<Instant>>,
     /// Time within which pending bytes must be written.
     write_timeout: Duration,
@@ -155,8 +158,8 @@
         }
     }
 
-    /// Returns the number of bytes written; an error ends the connection, which its reader notices and
-    /// reports.
+    /// Returns the number of bytes written; an error ends the connection,
+    /// which its reader notices and reports.
     fn try_write(&self, bytes: &[u8]) -> io::Result<usize> {
         match self.stream.try_write(bytes) {
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => Ok(0),
--- a/crates/node/src/transport/connection/tests.rs
+++ b/crates/node/src/transport/connection/tests.rs
@@ -66,8 +66,8 @@
     });
 }
 
-/// Guards against the reset that a close with unread bytes causes, which destroys data that the peer has not
-/// read. yet.
+/// Guards against the reset that a close with unread bytes causes, which
+/// destroys data that the peer has not read.
 #[test]
 fn written_data_arrives_despite_unread_input() {
     run(|| async {
@@ -94,7 +94,6 @@
 }
 
 /// Guards against invalid input that destroys answers in flight: it closes the connection gracefully.
-/// them.
 #[test]
 fn invalid_input_closes_gracefully() {
     run(|| async {
--- a/crates/node/src/transport/mod.rs
+++ b/crates/node/src/transport/mod.rs
@@ -35,21 +35,21 @@
 /// Age at which inputs are stale: before anything new is sent, the sockets are polled again for callers that
 /// have left and calls that were answered.
 const INPUT_FRESHNESS: Duration = Duration::from_millis(10);
-/// Age below which the first input of a batch is recent. If it is, and the batch is small, the sockets have
-/// just been polled and everything they had is in the batch, so a further poll, which costs as much as a
-/// call, is skipped.
+/// Age below which the first input of a batch is recent. If it is, and the batch is small,
+/// the sockets have just been polled and everything they had is in the batch, so a further
+/// poll, which costs as much as a call, is skipped.
 const RECENT_READ: Duration = Duration::from_millis(2);
 /// Number of inputs from which a batch is not small.
 const SMALL_BATCH: usize = 32;
 /// Number of consecutive batches that may be cut short before one is processed completely.
 const CUT_SHORT_MAX: u32 = 4;
-/// Number of connections accepted beyond the callers' limit; each of them makes the node close the oldest
-/// idle one.
+/// Number of connections accepted beyond the callers' limit; each of them
+/// makes the node close the oldest idle one.
 const ACCEPT_AHEAD: usize = 8;
 /// Time within which a caller must read pending bytes before its connection is closed.
 const CALLER_WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// The same for a signalling server; it is shorter since a set-up that is read late has already been
-/// cancelled.
+/// The same for a signalling server; it is shorter since a set-up that is
+/// read late has already been cancelled.
 const SERVER_WRITE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Time at exit for the last bytes to be sent and for the peers to close their connections.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(250);
@@ -127,6 +127,7 @@
     }
 }
 
+/// The main loop: feeds inputs to the node in batches and executes its outputs.
 struct Core {
     node: Node,
     clock: Clock,
@@ -138,6 +139,7 @@
     read_at: Instant,
     callers: BTreeMap<LinkId, Rc<Connection>>,
     servers: BTreeMap<ConnId, Rc<Connection>>,
+    /// Dial tasks in progress.
     dials: BTreeMap<ConnId, AbortHandle>,
     /// The reader tasks, which own the connections.
     readers: TaskTracker,
@@ -147,13 +149,15 @@
     config_path: PathBuf,
     stop_accepting: Rc<Notify>,
     out: Vec<Output>,
+    /// Number of consecutive batches that were cut short.
     cut_short: u32,
+    /// The node has requested its exit.
     ended: bool,
 }
 
-/// Runs the front node with this configuration file until a signal stops it. Requires a current-thread
-/// runtime within a `LocalSet`. `clock_off` is the offset of the wall clock in microseconds: 0 except in
-/// tests of a wrong clock.
+/// Runs the front node with this configuration file until a signal stops it. Requires a
+/// current-thread runtime within a `LocalSet`. `clock_off` is the offset of the wall clock in
+/// microseconds: 0 except in tests of a wrong clock.
 ///
 /// # Errors
 /// When it cannot start; once it has started, only a signal ends it.
@@ -209,8 +213,8 @@
 }
 
 impl Core {
-    /// Waits for an input or a timer. Returns `true` if it, and every input that arrived with it, was read
-    /// just now.
+    /// Waits for an input or a timer. Returns `true` if it, and every input
+    /// that arrived with it, was read just now.
     async fn wait(&mut self) -> bool {
         if !self.batch.is_empty() {
             return false;
@@ -261,10 +265,10 @@
         }
     }
 
-    /// Processes the batch while it is fresh, so that no attempt is started that an unread input withdraws.
-    /// Timers fire once every input that could precede them is processed. Guards against stalls, within a
-    /// batch as between two. [`CUT_SHORT_MAX`] guards against a machine so slow that no batch would ever be
-    /// processed completely.
+    /// Processes the batch while it is fresh, so that no attempt is started that an unread input
+    /// withdraws. Timers fire once every input that could precede them is processed. Guards against
+    /// stalls, within a batch as between two. [`CUT_SHORT_MAX`] guards against a machine so slow
+    /// that no batch would ever be processed completely.
     fn handle(&mut self) {
         let mut inputs = std::mem::take(&mut self.batch).into_iter().peekable();
         let may_stop = self.cut_short < CUT_SHORT_MAX;
@@ -363,8 +367,8 @@
         self.out = out;
     }
 
-    /// Closes all connections in an orderly way, so that the last answers to callers and releases to servers
-    /// arrive.
+    /// Closes all connections in an orderly way, so that the last answers to
+    /// callers and releases to servers arrive.
     async fn finish(mut self) {
         self.inputs.close();
         for conn in self.callers.values().chain(self.servers.values()) {
--- a/crates/node/src/transport/tasks.rs
+++ b/crates/node/src/transport/tasks.rs
@@ -72,9 +72,9 @@
     }
 }
 
-/// Accepts connections until `stop_accepting` is notified, and then those that the kernel has already
-/// accepted. Each holds a slot until its socket is closed, so that callers never use up the descriptors for
-/// servers and discovery.
+/// Accepts connections until `stop_accepting` is notified, and then those that the kernel has
+/// already accepted. Each holds a slot until its socket is closed, so that callers never use
+/// up the descriptors for servers and discovery.
 pub(super) async fn listen(
     listener: TcpListener,
     core: mpsc::Sender<Arrival>,
@@ -108,8 +108,8 @@
             },
         }
     }
-    // Guards against set-ups in connections that are still in the kernel's accept queue: closing the listener
-    // would reset them.
+    // Guards against set-ups in connections that are still in the kernel's accept
+    // queue: closing the listener would reset them.
     let Ok(listener) = listener.into_std() else { return };
     while let Ok((stream, from)) = listener.accept() {
         let stream = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream));
@@ -162,8 +162,8 @@
         self.at.set(at);
     }
 
-    /// Sends a query, with `new_port` from a new port. A datagram that the system does not accept counts as
-    /// lost.
+    /// Sends a query, with `new_port` from a new port. A datagram that the
+    /// system does not accept counts as lost.
     pub(super) fn send_query(&mut self, query: &[u8], new_port: bool) {
         // If no socket can be opened, the old one stays in use.
         if let Some(socket) = new_port.then(|| Self::socket(self.at.get()).ok()).flatten() {
@@ -171,8 +171,8 @@
             self.socket = Rc::new(socket);
             self.reader = spawn_local(read_answers(self.socket.clone(), self.at.clone(), self.core.clone()));
         }
-        // Bypasses the runtime, which considers a new socket writable only later: the first query would be
-        // lost.
+        // Bypasses the runtime, which considers a new socket writable only
+        // later: the first query would be lost.
         drop(SockRef::from(&*self.socket).send_to(query, &self.at.get().into()));
     }
 }
@@ -201,8 +201,8 @@
 }
 
 impl Peers {
-    /// Starts reading in the background; while the address is in use, callers are served without waiting for
-    /// it.
+    /// Starts reading in the background; while the address is in use,
+    /// callers are served without waiting for it.
     pub(super) async fn start(
         at: SocketAddr,
         all: Rc<[SocketAddr]>,
--- a/crates/node/tests/callers.rs
+++ b/crates/node/tests/callers.rs
@@ -219,8 +219,8 @@
     assert!(links + conns < 256);
 }
 
-/// Guards against a start while calls are established: the server reports an end before the caller announces
-/// the call.
+/// Guards against a start while calls are established: the server reports an
+/// end before the caller announces the call.
 #[test]
 fn end_received_before_the_announcement_is_delivered() {
     let mut harness = Harness::connected();
@@ -234,8 +234,8 @@
     assert_eq!(harness.node.resource_counts()[3], 0);
 }
 
-/// Guards against thousands of set-ups with descriptions of maximum length: their memory is bounded, not only
-/// their number.
+/// Guards against thousands of set-ups with descriptions of maximum length: their
+/// memory is bounded, not only their number.
 #[test]
 fn set_up_memory_is_bounded() {
     let mut harness = Harness::connected();
--- a/crates/node/tests/servers.rs
+++ b/crates/node/tests/servers.rs
@@ -174,8 +174,8 @@
     assert_eq!(harness.closed_servers, [conn]);
 }
 
-/// An unsolicited load report reaches the module: a server without free circuits is no longer the first
-/// choice.
+/// An unsolicited load report reaches the module: a server without free
+/// circuits is no longer the first choice.
 #[test]
 fn trunk_group_state_reaches_the_module() {
     let mut harness = Harness::connected();
@@ -263,8 +263,8 @@
     assert_eq!(harness.sent_to_caller(7).len(), 2);
 }
 
-/// Guards against a call that ends twice: its answer was lost, and its end arrives while the answer is
-/// expected.
+/// Guards against a call that ends twice: its answer was lost, and its end
+/// arrives while the answer is expected.
 #[test]
 fn release_after_a_lost_answer_ends_the_call() {
     let mut harness = Harness::connected();
--- a/crates/node/tests/termination.rs
+++ b/crates/node/tests/termination.rs
@@ -64,8 +64,8 @@
     assert_eq!((harness.closed_servers.as_slice(), harness.node.resource_counts()[1]), (&[first][..], 1));
 }
 
-/// Guards against the same where the further connection is not established: the server works and needs no
-/// warm-up.
+/// Guards against the same where the further connection is not established:
+/// the server works and needs no warm-up.
 #[test]
 fn missing_extra_connection_does_not_start_a_warm_up() {
     let mut harness = Harness::new(&config_of_large_fleet(&[server_one()]));
@@ -172,8 +172,8 @@
     assert_eq!((harness.set_up_count(7), harness.closed_callers.as_slice()), (1, &[LinkId(2)][..]));
 }
 
-/// Guards against work for a disconnected caller: its waiting set-up, its attempt, its retry after the
-/// hold-off.
+/// Guards against work for a disconnected caller: its waiting set-up, its
+/// attempt, its retry after the hold-off.
 #[test]
 fn no_attempt_starts_for_a_disconnected_caller() {
     // While it waits for a connection.
@@ -229,8 +229,8 @@
     assert!(after.iter().all(|(_, new_port)| !new_port));
 }
 
-/// Guards against a list that is emptied when answers stop: the last one stays valid and calls are still
-/// served.
+/// Guards against a list that is emptied when answers stop: the last one
+/// stays valid and calls are still served.
 #[test]
 fn last_list_stays_valid_until_a_new_one_arrives() {
     let mut harness = Harness::connected();
@@ -287,8 +287,8 @@
 
 // --- the end of the process ---
 
-/// Guards against an early SIGKILL where all deadlines are short: it may come 0.7 s after the longest
-/// deadline.
+/// Guards against an early SIGKILL where all deadlines are short: it may
+/// come 0.7 s after the longest deadline.
 #[test]
 fn set_ups_are_answered_before_an_early_sigkill() {
     let changes = [("\"hard-limit-s\":9.0", "\"hard-limit-s\":0.4")];
@@ -305,8 +305,8 @@
     assert_eq!(harness.sent_to_caller(7).len(), 1);
 }
 
-/// Guards against an exit with a release that waits for a connection: the server is dialled until the last
-/// moment.
+/// Guards against an exit with a release that waits for a connection: the
+/// server is dialled until the last moment.
 #[test]
 fn exit_waits_for_pending_releases_and_incomplete_set_ups() {
     let mut harness = Harness::new(&config(&[server_one()]));
@@ -345,8 +345,8 @@
     assert!(harness.exited);
 }
 
-/// Guards against an exit as soon as the listener closes: connections in the kernel's accept queue are read
-/// first.
+/// Guards against an exit as soon as the listener closes: connections in the
+/// kernel's accept queue are read first.
 #[test]
 fn exit_waits_until_the_accept_queue_is_read() {
     let mut harness = Harness::connected();
