--- /dev/null
+++ b/crates/node/tests/discovery.rs
@@ -0,0 +1,148 @@
+//! Answers of the name server, and their effect on calls.
+
+mod common;
+
+use baydrift_node::state::{ConnId, Input};
+use baydrift_platform::{Cause, Kind, Message};
+use baydrift_standin::{list_answer, Listed};
+use common::{call, config, server_one, server_two, set_up, Harness, MS, SECOND};
+
+/// Builds the answer to the node's last query.
+fn answer(harness: &Harness, serial: u32, servers: &[Listed]) -> Vec<u8> {
+    list_answer(harness.queries.last().expect("a query was sent"), serial, servers).expect("it is a query")
+}
+
+/// Returns the same server, draining.
+fn draining(server: Listed) -> Listed {
+    Listed { drains: true, ..server }
+}
+
+fn deliver_list(harness: &mut Harness, serial: u32, servers: &[Listed]) {
+    harness.advance(300 * MS);
+    let bytes = answer(harness, serial, servers);
+    harness.handle(Input::DiscoveryAnswer(bytes));
+}
+
+#[test]
+fn list_is_queried_within_a_second_and_after_lost_answers() {
+    let mut harness = Harness::connected();
+    harness.advance(SECOND);
+    assert!((4..=8).contains(&harness.queries.len()), "{}", harness.queries.len());
+    let before = harness.queries.len();
+    for serial in 2..7 {
+        deliver_list(&mut harness, serial, &[server_one(), server_two()]);
+    }
+    assert!(harness.queries.len() >= before + 5);
+}
+
+#[test]
+fn draining_server_gets_no_new_set_ups() {
+    let mut harness = Harness::connected();
+    deliver_list(&mut harness, 2, &[draining(server_one()), server_two()]);
+    for id in 1..=20 {
+        harness.caller_sends(1, set_up(id, "3000"));
+        let conn = harness.set_up_conn(id).expect("a set-up");
+        harness.server_sends(conn, common::answer(id));
+    }
+    let one = harness.conns_to_server_one();
+    assert!((1..=20).all(|id| harness.set_up_conn(id).is_some_and(|conn| !one.contains(&conn))));
+}
+
+/// Older lists, unknown query ids and error answers change nothing; none of them empties the list.
+#[test]
+fn stale_and_invalid_answers_are_ignored() {
+    let mut harness = Harness::connected();
+    deliver_list(&mut harness, 5, &[server_one(), server_two()]);
+    deliver_list(&mut harness, 4, &[]);
+    deliver_list(&mut harness, 5, &[]);
+    harness.advance(300 * MS);
+    let mut other = answer(&harness, 9, &[]);
+    other[1] ^= 0x55;
+    harness.handle(Input::DiscoveryAnswer(other));
+    let mut failed = answer(&harness, 9, &[]);
+    failed[3] |= 2;
+    harness.handle(Input::DiscoveryAnswer(failed));
+    harness.handle(Input::DiscoveryAnswer(vec![1]));
+    harness.caller_sends(1, set_up(7, "3000"));
+    assert_eq!(harness.set_up_count(7), 1);
+}
+
+/// Guards against a new server at the address of a removed one: dials succeed there, but the new server never
+/// ends a call of the old one.
+#[test]
+fn calls_end_when_another_server_takes_the_address() {
+    let mut harness = Harness::connected();
+    let conn = harness.establish(7);
+    let (gone, left) = if harness.conns_to_server_one().contains(&conn) {
+        (server_one(), server_two())
+    } else {
+        (server_two(), server_one())
+    };
+    let new = Listed { name: "s-new".to_owned(), ..gone };
+    // All its connections break, and the new server accepts the next ones.
+    for conn in (1..=9).map(ConnId) {
+        harness.handle(Input::ServerDown(conn));
+    }
+    harness.connect_all();
+    assert_eq!(harness.sent_to_caller(7).len(), 1);
+    deliver_list(&mut harness, 2, &[left, new]);
+    assert_eq!(harness.sent_to_caller(7).last(), Some(&(1, Kind::Release, Some(Cause::TEMPORARY))));
+}
+
+#[test]
+fn calls_at_a_removed_server_end_once_it_is_unreachable() {
+    let mut harness = Harness::connected();
+    let conn = harness.establish(7);
+    let left = if harness.conns_to_server_one().contains(&conn) { server_two() } else { server_one() };
+    deliver_list(&mut harness, 2, &[left]);
+    assert_eq!(harness.sent_to_caller(7).len(), 1, "its established calls may continue");
+    for conn in (1..=9).map(ConnId) {
+        harness.handle(Input::ServerDown(conn));
+    }
+    harness.advance(2 * SECOND);
+    assert_eq!(harness.sent_to_caller(7).last(), Some(&(1, Kind::Release, Some(Cause::TEMPORARY))));
+}
+
+/// A restarted process does not know the calls from before its start; later calls are not affected.
+#[test]
+fn listed_restart_ends_earlier_calls() {
+    let mut harness = Harness::connected();
+    let conn = harness.establish(7);
+    let at_one = harness.conns_to_server_one().contains(&conn);
+    harness.advance(SECOND);
+    let started_ms = harness.now / 1_000;
+    harness.advance(SECOND);
+    let since = |server: Listed| Listed { started_ms, ..server };
+    let list = if at_one { [since(server_one()), server_two()] } else { [server_one(), since(server_two())] };
+    harness.connect_all();
+    deliver_list(&mut harness, 2, &list);
+    assert_eq!(harness.sent_to_caller(7).last(), Some(&(1, Kind::Release, Some(Cause::TEMPORARY))));
+}
+
+/// Rule 3 is checked again before writing.
+#[test]
+fn waiting_set_up_is_not_written_after_a_drain() {
+    let mut harness = Harness::new(&config(&[server_one(), server_two()]));
+    harness.caller(1);
+    harness.caller_sends(1, set_up(7, "3000"));
+    let bytes = answer(&harness, 2, &[draining(server_one()), draining(server_two())]);
+    harness.handle(Input::DiscoveryAnswer(bytes));
+    harness.connect_all();
+    harness.advance(SECOND);
+    assert_eq!(harness.set_up_count(7), 0);
+    assert_eq!(harness.sent_to_caller(7).len(), 1, "refused, not left waiting");
+}
+
+#[test]
+fn changed_name_server_is_queried_at_once() {
+    let mut harness = Harness::connected();
+    deliver_list(&mut harness, 2, &[server_one(), server_two()]);
+    let (asked, stale) = (harness.queries.len(), answer(&harness, 3, &[]));
+    harness.handle(Input::NameServerChanged);
+    harness.handle(Input::Tick);
+    assert_eq!(harness.queries.len(), asked + 1);
+    harness.handle(Input::DiscoveryAnswer(stale));
+    harness.caller_sends(1, set_up(7, "3000"));
+    assert_eq!(harness.set_up_count(7), 1);
+    harness.caller_sends(1, Message::release(call(7), Cause::NORMAL));
+}
