--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use std::process::{Command, ExitStatus, Stdio};
 use std::time::Duration;
 
-use baydrift_platform::{Code, Id, Kind, Message};
+use baydrift_platform::{CallId, Message, MessageType, ParameterCode};
 use baydrift_standin::{Listed, PlatformServer};
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::process::Child;
@@ -81,13 +81,13 @@
 }
 
 pub fn set_up(id: u64) -> Message {
-    Message::new(Kind::SetUp, Id(id.to_be_bytes()))
-        .with(Code::CLASS, "load")
-        .with(Code::WAIT, WAIT.as_millis().to_string())
-        .with(Code::TENANT, "acme")
-        .with(Code::NUMBER, format!("{id:016x}"))
-        .with(Code::FIGURES, format!("dest:{};width:1;via:-1", id % 2))
-        .with(Code::DESCRIPTION, format!("call {id}"))
+    Message::new(MessageType::SetUp, CallId(id.to_be_bytes()))
+        .with(ParameterCode::CLASS, "load")
+        .with(ParameterCode::TIMEOUT, WAIT.as_millis().to_string())
+        .with(ParameterCode::TENANT, "acme")
+        .with(ParameterCode::CALLED_NUMBER, format!("{id:016x}"))
+        .with(ParameterCode::ATTRIBUTES, format!("dest:{};width:1;via:-1", id % 2))
+        .with(ParameterCode::DESCRIPTION, format!("call {id}"))
 }
 
 pub async fn soon<T>(what: impl std::future::Future<Output = T>) -> T {
--- a/crates/cli/tests/endings.rs
+++ b/crates/cli/tests/endings.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use baydrift_audit::{Moment, Recorder};
-use baydrift_platform::{Cause, Code, Frames, Id, Kind, Message};
+use baydrift_platform::{CallId, Cause, Message, MessageDecoder, MessageType, ParameterCode};
 use baydrift_standin::{
     relay_config as config, Listed, Manner, NameServer, PlatformCaller, PlatformServer, Told,
 };
@@ -67,7 +67,7 @@
 }
 
 fn name(id: u64) -> String {
-    format!("caller|{}", Id(id.to_be_bytes()))
+    format!("caller|{}", CallId(id.to_be_bytes()))
 }
 
 fn bytes(messages: impl IntoIterator<Item = Message>) -> Vec<u8> {
@@ -76,13 +76,13 @@
 
 /// All that comes until the connection ends or `enough` have come.
 async fn answers(stream: &mut TcpStream, enough: usize) -> Vec<Message> {
-    let (mut frames, mut buffer, mut got) = (Frames::default(), vec![0; 4096], Vec::new());
+    let (mut frames, mut buffer, mut got) = (MessageDecoder::default(), vec![0; 4096], Vec::new());
     while got.len() < enough {
         match soon(stream.read(&mut buffer)).await {
-            Ok(n) if n > 0 => frames.put(&buffer[..n]),
+            Ok(n) if n > 0 => frames.push(&buffer[..n]),
             _ => break,
         }
-        while let Ok(Some(message)) = frames.take() {
+        while let Ok(Some(message)) = frames.next_message() {
             got.push(message);
         }
     }
@@ -98,7 +98,11 @@
 
 async fn ready(addr: SocketAddr) -> Result<(), std::io::Error> {
     let mut stream = TcpStream::connect(addr).await?;
-    stream.write_all(&bytes([Message::new(Kind::Test, Id([1; 8])).with(Code::CAUSE, vec![0])])).await?;
+    stream
+        .write_all(&bytes([
+            Message::new(MessageType::HealthCheck, CallId([1; 8])).with(ParameterCode::CAUSE, vec![0])
+        ]))
+        .await?;
     let mut buffer = [0; 64];
     match stream.read(&mut buffer).await? {
         n if n > 2 && buffer[2] == 53 => Ok(()),
@@ -161,7 +165,7 @@
                 while stream.try_read(&mut told).is_ok_and(|n| n > 0) {}
                 left.push((id, recorder.now()));
                 if n % 2 == 0 {
-                    let release = Message::release(Id(id.to_be_bytes()), Cause::NORMAL);
+                    let release = Message::release(CallId(id.to_be_bytes()), Cause::NORMAL);
                     stream.write_all(&bytes([release])).await.expect("it listens");
                 } else {
                     stream.shutdown().await.expect("closed");
@@ -237,7 +241,7 @@
         gone.extend(ids(100_000, 1_000).map(|id| (id, stage.recorder.now())));
         drop(closes);
         let mut gives_up = TcpStream::connect(stage.node.addr).await.expect("it listens");
-        let releases = ids(500_000, 500).map(|id| Message::release(Id(id.to_be_bytes()), Cause::NORMAL));
+        let releases = ids(500_000, 500).map(|id| Message::release(CallId(id.to_be_bytes()), Cause::NORMAL));
         gives_up.write_all(&bytes(ids(500_000, 500).map(set_up).chain(releases))).await.expect("sent");
         gone.extend(ids(500_000, 500).map(|id| (id, stage.recorder.now())));
         // Others are answered in it, and served once it is over: a flood looks like a wait at the servers.
@@ -272,7 +276,7 @@
     let mut ids: Vec<_> = got.iter().map(|message| u64::from_be_bytes(message.call.0)).collect();
     ids.sort_unstable();
     assert_eq!(ids, (100..1_100).collect::<Vec<_>>());
-    assert!(got.iter().all(|message| matches!(message.kind, Kind::Answer | Kind::Release)));
+    assert!(got.iter().all(|message| matches!(message.kind, MessageType::Answer | MessageType::Release)));
     stage.ends().await;
 }
 
@@ -296,7 +300,8 @@
     stage.node.signal("-CONT");
     for (id, mut stream) in streams {
         let got = answers(&mut stream, 1).await;
-        let answered = got.first().is_some_and(|m| m.call == Id(id.to_be_bytes()) && m.kind == Kind::Answer);
+        let answered =
+            got.first().is_some_and(|m| m.call == CallId(id.to_be_bytes()) && m.kind == MessageType::Answer);
         assert!(answered, "call {id}: {got:?}");
     }
     let mut stage = stage;
@@ -320,7 +325,7 @@
     stage.node.signal("-TERM");
     let from = Instant::now();
     // Noise behind, all the time: the process never has all of it read.
-    let noise = bytes((0..50).map(|n| Message::new(Kind::Progress, Id([n; 8]))));
+    let noise = bytes((0..50).map(|n| Message::new(MessageType::Progress, CallId([n; 8]))));
     let mut answered = tokio::spawn(async move {
         let mut told = Vec::new();
         for wait in waits {
@@ -329,7 +334,7 @@
         told
     });
     // Released by their callers while the process ends: the servers hear of it.
-    caller.send(bytes((1..=20).map(|id| Message::release(Id(u64::to_be_bytes(id)), Cause::NORMAL))));
+    caller.send(bytes((1..=20).map(|id| Message::release(CallId(u64::to_be_bytes(id)), Cause::NORMAL))));
     let told = loop {
         tokio::select! {
             told = &mut answered => break told.expect("all"),
@@ -455,8 +460,8 @@
         id += 1;
         assert!(id < 1_200, "the third server is never used");
         let mut to_third = set_up(id);
-        to_third.parameters.retain(|(code, _)| *code != Code::FIGURES);
-        let to_third = to_third.with(Code::FIGURES, "dest:2;width:1;via:-1");
+        to_third.parameters.retain(|(code, _)| *code != ParameterCode::ATTRIBUTES);
+        let to_third = to_third.with(ParameterCode::ATTRIBUTES, "dest:2;width:1;via:-1");
         soon(caller.offer(&to_third, WAIT).0).await.expect("an answer");
     }
     drop(idle);
@@ -484,7 +489,7 @@
         matches!(soon(answer).await, Ok(Told::Stands(_))),
         "class, tenant and time of the start's settings"
     );
-    for (id, code, value) in [(2, Code::CLASS, "x"), (3, Code::TENANT, "other")] {
+    for (id, code, value) in [(2, ParameterCode::CLASS, "x"), (3, ParameterCode::TENANT, "other")] {
         let mut wrong = set_up(id);
         wrong.parameters.retain(|(own, _)| *own != code);
         let (answer, _) = caller.offer(&wrong.with(code, value), WAIT);
--- a/crates/node/src/coat/line.rs
+++ b/crates/node/src/coat/line.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use baydrift_call::LinkId;
-use baydrift_platform::{setup, Frames, Message};
+use baydrift_platform::{setup, Message, MessageDecoder};
 use socket2::SockRef;
 use tokio::io::{Interest, Ready};
 use tokio::net::TcpStream;
@@ -201,7 +201,7 @@
     }
 
     async fn read_all<K: Key>(&self, key: K, core: &mpsc::Sender<Arrival>) -> End {
-        let mut frames = Frames::default();
+        let mut frames = MessageDecoder::default();
         while !self.closed.get() {
             let ready = tokio::select! {
                 ready = self.stream.ready(Interest::READABLE) => ready,
@@ -218,7 +218,7 @@
                 Err(_) => return End::Theirs,
             }
             loop {
-                match frames.take() {
+                match frames.next_message() {
                     Ok(Some(message)) if gone && key.is_void(&message) => {}
                     Ok(Some(message)) => {
                         if core.send(key.said(message).into()).await.is_err() || self.closed.get() {
@@ -232,17 +232,17 @@
                     }
                 }
             }
-            if frames.is_part() && core.send(key.part().into()).await.is_err() {
+            if frames.has_partial_message() && core.send(key.part().into()).await.is_err() {
                 return End::Ours;
             }
         }
         End::Ours
     }
 
-    fn read_some(&self, frames: &mut Frames) -> io::Result<usize> {
+    fn read_some(&self, frames: &mut MessageDecoder) -> io::Result<usize> {
         BUFFER.with_borrow_mut(|buffer| {
             let n = self.stream.try_read(buffer)?;
-            frames.put(&buffer[..n]);
+            frames.push(&buffer[..n]);
             Ok(n)
         })
     }
--- a/crates/node/src/coat/line/tests.rs
+++ b/crates/node/src/coat/line/tests.rs
@@ -4,7 +4,7 @@
 use std::sync::mpsc as std_mpsc;
 use std::time::Duration;
 
-use baydrift_platform::{Cause, Code, Id, Kind};
+use baydrift_platform::{CallId, Cause, MessageType, ParameterCode};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
@@ -37,7 +37,8 @@
 }
 
 fn set_up(id: u64) -> Message {
-    Message::new(Kind::SetUp, Id(id.to_be_bytes())).with(Code::DESCRIPTION, vec![b'x'; 100])
+    Message::new(MessageType::SetUp, CallId(id.to_be_bytes()))
+        .with(ParameterCode::DESCRIPTION, vec![b'x'; 100])
 }
 
 fn bytes(messages: impl IntoIterator<Item = Message>) -> Vec<u8> {
@@ -150,7 +151,7 @@
         let (line, mut peer) = connected().await;
         let (core, mut inputs) = mpsc::channel(1);
         let reader = tokio::task::spawn_local(line.clone().read(LinkId(1), core));
-        let release = Message::release(Id([7; 8]), Cause::NORMAL);
+        let release = Message::release(CallId([7; 8]), Cause::NORMAL);
         // Within what a socket takes before any is read, so that the close is there as well.
         peer.write_all(&bytes((0..400).map(set_up).chain([release.clone()]))).await.expect("sent");
         peer.shutdown().await.expect("closed");
--- a/crates/node/src/coat/outside.rs
+++ b/crates/node/src/coat/outside.rs
@@ -12,7 +12,7 @@
 
 use baydrift::interface::MESSAGE_MAX;
 use baydrift_call::LinkId;
-use baydrift_platform::names::ANSWER_MAX;
+use baydrift_platform::dns::ANSWER_MAX;
 use socket2::SockRef;
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::signal::unix::{signal, SignalKind};
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -5,7 +5,7 @@
 
 use baydrift::config::SiteConfig;
 use baydrift::interface::{Micros, Settings};
-use baydrift_platform::{Fault, Fleet};
+use baydrift_platform::{PlatformError, ServerList};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
@@ -37,7 +37,7 @@
     Figures(#[from] baydrift::interface::SettingsError),
     /// The list of the start cannot be read.
     #[error("RELAY_CONFIG: key 'known': {0}")]
-    Known(#[from] Fault),
+    Known(#[from] PlatformError),
 }
 
 /// A front node's configuration.
@@ -58,7 +58,7 @@
     /// The name server.
     pub names: SocketAddr,
     /// The list as of the start.
-    pub known: Fleet,
+    pub known: ServerList,
     /// The module's settings.
     pub settings: Settings,
     /// Names and figures beside them.
@@ -145,7 +145,7 @@
             peer_listen: raw.peer_listen.map(|text| address("peer_listen", &text)).transpose()?,
             peers: raw.peers.iter().map(|text| address("peers", text)).collect::<Result<_, _>>()?,
             names: address("names", &raw.names)?,
-            known: Fleet::from_known(raw.known)?,
+            known: ServerList::from_config(raw.known)?,
             settings,
             site,
         })
--- a/crates/node/src/state/callers.rs
+++ b/crates/node/src/state/callers.rs
@@ -7,9 +7,9 @@
 
 use baydrift::interface::{Micros, Outcome};
 use baydrift_call::{CallStatus, Input as Moment, LinkId, Offer, Request, Retransmission};
-use baydrift_platform::list::server_id;
+use baydrift_platform::server_list::server_id;
 use baydrift_platform::setup::SetUp;
-use baydrift_platform::{Cause, Code, Fault, Id, Kind, Message};
+use baydrift_platform::{CallId, Cause, Message, MessageType, ParameterCode, PlatformError};
 use bytes::Bytes;
 
 use super::aged::Aged;
@@ -32,7 +32,7 @@
     ip: IpAddr,
     opened: Micros,
     /// Its calls in set-up.
-    open: BTreeSet<Id>,
+    open: BTreeSet<CallId>,
     /// Calls that stand and were set up or named here.
     standing: usize,
     useful: bool,
@@ -49,7 +49,7 @@
 }
 
 /// Ends of calls whose caller has no connection just now.
-pub(super) type Owed = Aged<(IpAddr, Id, u8)>;
+pub(super) type Owed = Aged<(IpAddr, CallId, u8)>;
 
 impl Node {
     pub(super) fn caller_up(&mut self, link: LinkId, ip: IpAddr, out: &mut Vec<Output>) {
@@ -85,41 +85,48 @@
         let Some(own) = self.links.get_mut(&link) else { return };
         own.amid = false;
         match message.kind {
-            Kind::SetUp => {
+            MessageType::SetUp => {
                 if let Err(fault) = self.offered(link, &message, out) {
                     tracing::debug!("set-up {}: {fault}", message.call);
                     self.unusable(link, message.call, out);
                 }
             }
-            Kind::Release => self.released(link, message.call, out),
-            Kind::Test => {
+            MessageType::Release => self.released(link, message.call, out),
+            MessageType::HealthCheck => {
                 if let Some(link) = self.links.get_mut(&link) {
                     link.useful = true;
                 }
-                write(out, link, &Message::tested(message.call));
+                write(out, link, &Message::health_check_passed(message.call));
             }
-            Kind::Progress | Kind::Heard => {}
+            MessageType::Progress | MessageType::ReleaseAck => {}
             // Only a front node or a signalling server sends these.
-            Kind::Answer | Kind::Tested | Kind::State => self.close_caller(link, out),
+            MessageType::Answer | MessageType::HealthCheckResult | MessageType::LoadReport => {
+                self.close_caller(link, out)
+            }
         }
     }
 
-    fn offered(&mut self, link: LinkId, message: &Message, out: &mut Vec<Output>) -> Result<(), Fault> {
+    fn offered(
+        &mut self,
+        link: LinkId,
+        message: &Message,
+        out: &mut Vec<Output>,
+    ) -> Result<(), PlatformError> {
         let call = message.call;
         let setup = SetUp::read(message, self.longest_wait)?;
-        let wrong = |code, what| Fault::Value { code, what };
-        if call == Id::default() {
+        let wrong = |code, what| PlatformError::InvalidValue { code, what };
+        if call == CallId::default() {
             return Err(wrong(0, "no id"));
         }
         let class = self.site.classes.iter().position(|name| *name == setup.class);
-        let class = class.ok_or(wrong(Code::CLASS, "unknown class"))?;
+        let class = class.ok_or(wrong(ParameterCode::CLASS, "unknown class"))?;
         let tenant = match &setup.tenant {
             Some(name) => self.site.tenants.iter().position(|own| own == name),
             None => self.site.tenants.is_empty().then_some(0),
         };
-        let tenant = tenant.ok_or(wrong(Code::TENANT, "unknown tenant"))?;
+        let tenant = tenant.ok_or(wrong(ParameterCode::TENANT, "unknown tenant"))?;
         let session = self.session(call);
-        if let Some(at) = &setup.at {
+        if let Some(at) = &setup.current_server {
             let known = self.engine.call_status(&session);
             if known == Some(CallStatus::Established) || known.is_none() {
                 self.stands_already(link, call);
@@ -135,7 +142,7 @@
         }
         if setup.width < 1.0 || self.site.circuits_by_class.get(class).is_some_and(|most| setup.width > *most)
         {
-            return Err(wrong(Code::FIGURES, "width out of range"));
+            return Err(wrong(ParameterCode::ATTRIBUTES, "width out of range"));
         }
         match self.engine.call_status(&session) {
             // Guards against an answer that two set-ups could claim: on one connection nobody can tell them apart.
@@ -169,8 +176,8 @@
             class,
             tenant,
             number: setup.number.1,
-            first_choice: setup.dest,
-            caller_timeout: setup.wait,
+            first_choice: setup.destination,
+            caller_timeout: setup.caller_timeout,
             redial: self.site.marks_redials.then_some(setup.redial),
             was_dropped: setup.was_dropped,
             // Each set-up has an id of its own, also a caller's second one.
@@ -182,7 +189,7 @@
     }
 
     /// A set-up that nothing can be done with.
-    fn unusable(&mut self, link: LinkId, call: Id, out: &mut Vec<Output>) {
+    fn unusable(&mut self, link: LinkId, call: CallId, out: &mut Vec<Output>) {
         self.counts.unusable += 1;
         write(out, link, &Message::release(call, Cause::INVALID));
         let Some(own) = self.links.get_mut(&link) else { return };
@@ -193,7 +200,7 @@
     }
 
     /// A caller names a call that stands: its end is told here from now on.
-    fn stands_already(&mut self, link: LinkId, call: Id) {
+    fn stands_already(&mut self, link: LinkId, call: CallId) {
         self.leave(call);
         let Some(own) = self.links.get_mut(&link) else { return };
         own.useful = true;
@@ -202,7 +209,7 @@
     }
 
     /// A caller gives a set-up up, or releases a call that stands.
-    fn released(&mut self, link: LinkId, call: Id, out: &mut Vec<Output>) {
+    fn released(&mut self, link: LinkId, call: CallId, out: &mut Vec<Output>) {
         let Some(caller) = self.calls.get(&call).copied() else { return };
         tracing::trace!("{call}: released by its caller, standing {}", caller.stands);
         if let Some(own) = self.links.get_mut(&link) {
@@ -244,7 +251,7 @@
         self.caller_down(link, out);
     }
 
-    pub(super) fn tell_stands(&mut self, call: Id, description: Bytes, out: &mut Vec<Output>) {
+    pub(super) fn tell_stands(&mut self, call: CallId, description: Bytes, out: &mut Vec<Output>) {
         let Some(caller) = self.calls.get_mut(&call) else { return };
         caller.stands = true;
         self.set_up_bytes -= std::mem::take(&mut caller.bytes);
@@ -253,10 +260,14 @@
             own.open.remove(&call);
             own.standing += 1;
         }
-        write(out, link, &Message::new(Kind::Answer, call).with(Code::DESCRIPTION, description));
+        write(
+            out,
+            link,
+            &Message::new(MessageType::Answer, call).with(ParameterCode::DESCRIPTION, description),
+        );
     }
 
-    pub(super) fn tell_refused(&mut self, call: Id, harmless: bool, out: &mut Vec<Output>) {
+    pub(super) fn tell_refused(&mut self, call: CallId, harmless: bool, out: &mut Vec<Output>) {
         let Some(caller) = self.leave(call) else { return };
         let cause = if harmless { Cause::NO_CIRCUIT } else { Cause::TEMPORARY };
         write(out, caller.link, &Message::release(call, cause));
@@ -264,7 +275,7 @@
 
     /// A call that stood is over: its caller hears it on the connection of its set-up, or else on the newest one
     /// from the same address, or on the next.
-    pub(super) fn call_over(&mut self, call: Id, outcome: Outcome, out: &mut Vec<Output>) {
+    pub(super) fn call_over(&mut self, call: CallId, outcome: Outcome, out: &mut Vec<Output>) {
         let Some(caller) = self.leave(call) else {
             return tracing::trace!("{call}: over, and nobody to tell");
         };
@@ -281,7 +292,7 @@
     }
 
     /// Forgets where a call's caller is.
-    fn leave(&mut self, call: Id) -> Option<Caller> {
+    fn leave(&mut self, call: CallId) -> Option<Caller> {
         let caller = self.calls.remove(&call)?;
         self.set_up_bytes -= caller.bytes;
         if let Some(link) = self.links.get_mut(&caller.link) {
--- a/crates/node/src/state/mod.rs
+++ b/crates/node/src/state/mod.rs
@@ -20,7 +20,7 @@
 use baydrift_call::{
     AttemptId, Engine, EngineError, Final, Input as Moment, Limits, LinkId, Output as Order, Session,
 };
-use baydrift_platform::{Fleet, Id, Message};
+use baydrift_platform::{CallId, Message, ServerList};
 use bytes::Bytes;
 
 pub use servers::ConnId;
@@ -135,7 +135,7 @@
 #[derive(Debug)]
 struct Flight {
     server: ServerId,
-    call: Id,
+    call: CallId,
     /// The connection that it was written on; `None` while it waits for one.
     conn: Option<ConnId>,
     stands: bool,
@@ -184,8 +184,8 @@
     site: baydrift::config::SiteConfig,
     longest_wait: Micros,
     owner: Arc<str>,
-    fleet: Fleet,
-    calls: BTreeMap<Id, Caller>,
+    fleet: ServerList,
+    calls: BTreeMap<CallId, Caller>,
     /// Bytes of all set-ups that are not answered yet.
     set_up_bytes: usize,
     links: BTreeMap<LinkId, callers::Link>,
@@ -217,7 +217,7 @@
             in_set_up_per_link: PER_LINK_MAX,
             cached_answers: MEMORY.0,
             cached_answer_ttl: MEMORY.1,
-            servers: baydrift_platform::list::SERVERS_MAX,
+            servers: baydrift_platform::server_list::SERVERS_MAX,
             drain_grace: config.site.grace,
             ..Limits::default()
         };
@@ -271,7 +271,7 @@
             Input::ServerDown(conn) => self.server_down(conn, out),
             Input::Names(bytes) => {
                 if let Some(listed) = self.names.read(self.now, &bytes) {
-                    if self.fleet.take(listed) {
+                    if self.fleet.update(listed) {
                         self.told_list(out);
                     }
                 }
@@ -408,12 +408,12 @@
         }
     }
 
-    fn session(&self, call: Id) -> Session {
+    fn session(&self, call: CallId) -> Session {
         Session { owner: self.owner.clone(), id: Arc::from(call.to_string()) }
     }
 
     /// The final answer on its way to the caller.
-    fn answered(&mut self, call: Id, answer: Final, out: &mut Vec<Output>) {
+    fn answered(&mut self, call: CallId, answer: Final, out: &mut Vec<Output>) {
         match (answer, self.answer.take()) {
             (Final::Established, Some(description)) => self.tell_stands(call, description, out),
             (Final::Established, None) => self.tell_refused(call, false, out),
@@ -430,6 +430,6 @@
 }
 
 /// The wire's id of a call that the engine names.
-fn id_of(session: &Session) -> Option<Id> {
-    u64::from_str_radix(&session.id, 16).ok().map(|id| Id(id.to_be_bytes()))
+fn id_of(session: &Session) -> Option<CallId> {
+    u64::from_str_radix(&session.id, 16).ok().map(|id| CallId(id.to_be_bytes()))
 }
--- a/crates/node/src/state/names.rs
+++ b/crates/node/src/state/names.rs
@@ -1,7 +1,7 @@
 //! When the name server is asked, and which of its answers count.
 
 use baydrift::interface::Micros;
-use baydrift_platform::{names, Listed};
+use baydrift_platform::{dns, ListSnapshot};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -52,17 +52,17 @@
         self.open.push(id);
         let anew = self.unanswered > 0 && self.unanswered % QUIET == 0;
         self.unanswered = self.unanswered.wrapping_add(1);
-        Some((names::query(id).ok()?, anew))
+        Some((dns::query(id).ok()?, anew))
     }
 
     /// The list in an answer, if it is an answer to a question of ours. Any other changes nothing: the next
     /// question goes out when it is due.
-    pub(super) fn read(&mut self, now: Micros, bytes: &[u8]) -> Option<Listed> {
+    pub(super) fn read(&mut self, now: Micros, bytes: &[u8]) -> Option<ListSnapshot> {
         let id = u16::from_be_bytes([*bytes.first()?, *bytes.get(1)?]);
         if !self.open.contains(&id) {
             return None;
         }
-        match names::read(bytes, id) {
+        match dns::read(bytes, id) {
             Ok(listed) => {
                 self.open.clear();
                 (self.due, self.unanswered) = (now + EVERY, 0);
--- a/crates/node/src/state/servers.rs
+++ b/crates/node/src/state/servers.rs
@@ -10,8 +10,10 @@
 
 use baydrift::interface::{Micros, Note, Outcome, Report, ServerId, ServerState};
 use baydrift_call::{AttemptEnd, AttemptId, Input as Moment};
-use baydrift_platform::list::server_id;
-use baydrift_platform::{report, Cause, Code, Fault, Fleet, Id, Kind, Message};
+use baydrift_platform::server_list::server_id;
+use baydrift_platform::{
+    report, CallId, Cause, Message, MessageType, ParameterCode, PlatformError, ServerList,
+};
 
 use super::aged::Aged;
 use super::spread::{Spread, MOST};
@@ -72,16 +74,16 @@
     address: SocketAddr,
     up: bool,
     /// Set-ups without their answer.
-    open: BTreeMap<Id, AttemptId>,
+    open: BTreeMap<CallId, AttemptId>,
     /// Calls that are over on it.
-    past: Aged<Id>,
+    past: Aged<CallId>,
     heard_at: Micros,
     tested_at: Option<Micros>,
     part_since: Option<Micros>,
 }
 
 impl Conn {
-    fn is_over(&self, call: Id) -> bool {
+    fn is_over(&self, call: CallId) -> bool {
         self.past.any(|past| *past == call)
     }
 }
@@ -94,11 +96,11 @@
     started_at: Option<Micros>,
     conns: BTreeSet<ConnId>,
     /// Calls that stand there.
-    standing: BTreeMap<Id, AttemptId>,
+    standing: BTreeMap<CallId, AttemptId>,
     /// Set-ups that wait for a connection.
     waiting: VecDeque<AttemptId>,
     /// Releases that wait for one.
-    owed: VecDeque<Id>,
+    owed: VecDeque<CallId>,
     failures: u32,
     /// How many connections it is worth; `None` until it refuses one.
     spread: Option<Spread>,
@@ -111,7 +113,7 @@
 
 impl Server {
     /// A release waits for the next connection.
-    fn owe(&mut self, call: Id) {
+    fn owe(&mut self, call: CallId) {
         if self.owed.len() >= OWED_MAX {
             self.owed.pop_front();
         }
@@ -128,7 +130,7 @@
     bounds: Bounds,
     restarted: Vec<(ServerId, Micros)>,
     /// Ends of calls that no caller has named here yet.
-    unnamed: Aged<(ServerId, Id, Outcome)>,
+    unnamed: Aged<(ServerId, CallId, Outcome)>,
 }
 
 impl Servers {
@@ -148,12 +150,12 @@
     }
 
     /// Takes the list; the servers that are new on it.
-    pub(super) fn listed(&mut self, now: Micros, fleet: &Fleet) -> Vec<ServerId> {
+    pub(super) fn listed(&mut self, now: Micros, fleet: &ServerList) -> Vec<ServerId> {
         let mut fresh = Vec::new();
         for server in self.known.values_mut() {
             server.listed = None;
         }
-        for line in fleet.lines() {
+        for line in fleet.servers() {
             let id = server_id(&line.name);
             tracing::debug!("listed: {} {id:x} {:?} {}", line.name, line.state, line.address);
             let server = self.known.entry(id).or_insert_with(|| {
@@ -170,7 +172,7 @@
         }
         // Guards against a new server at the address of one that is gone: whatever answers there now knows none of
         // the old one's calls, and a dial that succeeds proves nothing.
-        let taken: BTreeSet<_> = fleet.lines().map(|line| line.address).collect();
+        let taken: BTreeSet<_> = fleet.servers().map(|line| line.address).collect();
         for (id, server) in self.known.iter_mut().filter(|(_, server)| server.listed.is_none()) {
             if server.address.is_some_and(|address| taken.contains(&address)) {
                 server.address = None;
@@ -192,13 +194,13 @@
     }
 
     /// A call stands at a server, which need not be on the list.
-    pub(super) fn stands(&mut self, now: Micros, server: ServerId, call: Id, attempt: AttemptId) {
+    pub(super) fn stands(&mut self, now: Micros, server: ServerId, call: CallId, attempt: AttemptId) {
         let fresh = || Server { down_since: Some(now), ..Server::default() };
         self.known.entry(server).or_insert_with(fresh).standing.insert(call, attempt);
     }
 
     /// How a call ended whose caller names it only now.
-    pub(super) fn take_unnamed(&mut self, now: Micros, server: ServerId, call: Id) -> Option<Outcome> {
+    pub(super) fn take_unnamed(&mut self, now: Micros, server: ServerId, call: CallId) -> Option<Outcome> {
         let ends = self.unnamed.take(now, |(at, id, _)| (*at, *id) == (server, call));
         ends.first().map(|(.., outcome)| *outcome)
     }
@@ -216,7 +218,7 @@
     }
 
     /// The connection for a set-up: the one with the fewest open, and never one that the call was on already.
-    fn choose(&self, server: ServerId, call: Id) -> Option<ConnId> {
+    fn choose(&self, server: ServerId, call: CallId) -> Option<ConnId> {
         let free = self.up(server).filter(|(_, conn)| !conn.is_over(call) && !conn.open.contains_key(&call));
         free.min_by_key(|(id, conn)| (conn.open.len(), *id)).map(|(id, _)| id)
     }
@@ -305,7 +307,7 @@
         &mut self,
         attempt: AttemptId,
         server: ServerId,
-        call: Id,
+        call: CallId,
         payload: Payload,
         (timeout, begin_within): (Micros, Micros),
         out: &mut Vec<Output>,
@@ -330,13 +332,13 @@
         let Some(flight) = self.flights.get_mut(&attempt) else { return };
         let Some(Unsent { payload, until, .. }) = flight.unsent.take() else { return };
         let left_ms = until.saturating_sub(self.now).max(1_000) / 1_000;
-        let mut message = Message::new(Kind::SetUp, flight.call)
-            .with(Code::CLASS, payload.class)
-            .with(Code::WAIT, left_ms.to_string());
+        let mut message = Message::new(MessageType::SetUp, flight.call)
+            .with(ParameterCode::CLASS, payload.class)
+            .with(ParameterCode::TIMEOUT, left_ms.to_string());
         if let Some(number) = payload.number {
-            message = message.with(Code::NUMBER, number);
+            message = message.with(ParameterCode::CALLED_NUMBER, number);
         }
-        message = message.with(Code::DESCRIPTION, payload.description);
+        message = message.with(ParameterCode::DESCRIPTION, payload.description);
         let Some(bytes) = wire(&message) else {
             return self.end(attempt, AttemptEnd::plain(Outcome::Moot), out);
         };
@@ -444,7 +446,7 @@
     }
 
     /// A server's calls from before a time are gone with their process; those that stood.
-    pub(super) fn lose(&mut self, server: ServerId, before: Micros, out: &mut Vec<Output>) -> Vec<Id> {
+    pub(super) fn lose(&mut self, server: ServerId, before: Micros, out: &mut Vec<Output>) -> Vec<CallId> {
         let here = |flight: &Flight| flight.server == server && flight.unsent.is_none() && flight.at < before;
         let gone: Vec<_> = self.flights.iter().filter(|(_, f)| here(f)).map(|(id, _)| *id).collect();
         self.counts.lost += u64::from(!gone.is_empty());
@@ -487,31 +489,31 @@
         (conn.heard_at, conn.tested_at, conn.part_since) = (self.now, None, None);
         let server = conn.server;
         let done = match message.kind {
-            Kind::State => self.report_of(message).map(|report| {
+            MessageType::LoadReport => self.report_of(message).map(|report| {
                 self.engine(Moment::LoadReport { server, report }, out);
             }),
-            Kind::Answer => self.stands(id, message, out),
-            Kind::Release => self.ended(id, server, message, out),
-            Kind::Test => {
-                write(out, id, &Message::tested(message.call));
+            MessageType::Answer => self.stands(id, message, out),
+            MessageType::Release => self.ended(id, server, message, out),
+            MessageType::HealthCheck => {
+                write(out, id, &Message::health_check_passed(message.call));
                 Ok(())
             }
-            Kind::Progress | Kind::Heard | Kind::Tested => Ok(()),
-            Kind::SetUp => Err(Fault::Kind(1)),
+            MessageType::Progress | MessageType::ReleaseAck | MessageType::HealthCheckResult => Ok(()),
+            MessageType::SetUp => Err(PlatformError::UnknownType(1)),
         };
         if let Err(fault) = done {
             self.broken(id, &fault, out);
         }
     }
 
-    fn report_of(&self, message: &Message) -> Result<Report, Fault> {
-        let text = message.text(Code::REPORT)?;
+    fn report_of(&self, message: &Message) -> Result<Report, PlatformError> {
+        let text = message.text(ParameterCode::LOAD_REPORT)?;
         Ok(text.map(|text| report::read(text, &self.site.fields)).unwrap_or_default())
     }
 
     /// FIRST: a call stands. Only on the connection of its set-up; a second copy, or an answer to what nobody
     /// asked, means nothing.
-    fn stands(&mut self, id: ConnId, message: &Message, out: &mut Vec<Output>) -> Result<(), Fault> {
+    fn stands(&mut self, id: ConnId, message: &Message, out: &mut Vec<Output>) -> Result<(), PlatformError> {
         // All is read before anything is changed: what cannot be read ends with its connection, whole.
         let (call, report) = (message.call, self.report_of(message)?);
         let conn = self.servers.conns.get_mut(&id);
@@ -519,7 +521,7 @@
         else {
             return Ok(());
         };
-        let description = message.must(Code::DESCRIPTION)?.clone();
+        let description = message.required(ParameterCode::DESCRIPTION)?.clone();
         conn.open.remove(&call);
         let server = conn.server;
         if let Some(flight) = self.flights.get_mut(&attempt) {
@@ -541,10 +543,10 @@
         server: ServerId,
         message: &Message,
         out: &mut Vec<Output>,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), PlatformError> {
         // As above: all is read first.
         let (call, cause, report) = (message.call, message.cause()?, self.report_of(message)?);
-        let note = message.text(Code::NOTE)?.map_or(Note::None, note);
+        let note = message.text(ParameterCode::NOTE)?.map_or(Note::None, note);
         let Some(conn) = self.servers.conns.get_mut(&id) else { return Ok(()) };
         if let Some(attempt) = conn.open.remove(&call) {
             tracing::trace!("{call} at {server:x}: released with cause {cause} before its answer");
@@ -615,7 +617,8 @@
                 broken.push((*id, if stuck { "half a message" } else { "a test unanswered" }));
             } else if conn.tested_at.is_none() && now >= conn.heard_at + TEST_AFTER {
                 conn.tested_at = Some(now);
-                let test = Message::new(Kind::Test, Id::default()).with(Code::CAUSE, vec![0]);
+                let test = Message::new(MessageType::HealthCheck, CallId::default())
+                    .with(ParameterCode::CAUSE, vec![0]);
                 write(out, *id, &test);
             }
         }
--- a/crates/node/src/state/turn.rs
+++ b/crates/node/src/state/turn.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeSet;
 
-use baydrift_platform::{setup, Kind};
+use baydrift_platform::{setup, MessageType};
 
 use super::Input;
 
@@ -62,7 +62,7 @@
         let input = arrival.as_mut();
         match input {
             Input::CallerDown(link) => drop(closed.insert(*link)),
-            Input::FromCaller(_, message) if message.kind == Kind::Release => {
+            Input::FromCaller(_, message) if message.kind == MessageType::Release => {
                 given_up.insert(message.call);
             }
             Input::FromCaller(link, message) if setup::is_offer(message) => {
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -9,7 +9,7 @@
 use baydrift_call::LinkId;
 use baydrift_node::state::{ConnId, Input, Node, Output};
 use baydrift_node::Config;
-use baydrift_platform::{Code, Frames, Id, Kind, Message};
+use baydrift_platform::{CallId, Message, MessageDecoder, MessageType, ParameterCode};
 use baydrift_standin::{relay_config, Listed};
 
 pub const MS: Micros = 1_000;
@@ -33,21 +33,22 @@
 
 /// What a caller offers.
 pub fn set_up(id: u64, wait_ms: &str) -> Message {
-    Message::new(Kind::SetUp, call(id))
-        .with(Code::CLASS, "load")
-        .with(Code::WAIT, wait_ms.to_owned())
-        .with(Code::TENANT, "acme")
-        .with(Code::NUMBER, "7f3a9c21e0b4d655")
-        .with(Code::FIGURES, "dest:0;width:1;via:-1")
-        .with(Code::DESCRIPTION, &b"v=0 what the caller offers"[..])
+    Message::new(MessageType::SetUp, call(id))
+        .with(ParameterCode::CLASS, "load")
+        .with(ParameterCode::TIMEOUT, wait_ms.to_owned())
+        .with(ParameterCode::TENANT, "acme")
+        .with(ParameterCode::CALLED_NUMBER, "7f3a9c21e0b4d655")
+        .with(ParameterCode::ATTRIBUTES, "dest:0;width:1;via:-1")
+        .with(ParameterCode::DESCRIPTION, &b"v=0 what the caller offers"[..])
 }
 
-pub fn call(id: u64) -> Id {
-    Id(id.to_be_bytes())
+pub fn call(id: u64) -> CallId {
+    CallId(id.to_be_bytes())
 }
 
 pub fn answer(id: u64) -> Message {
-    Message::new(Kind::Answer, call(id)).with(Code::DESCRIPTION, &b"v=0 what the server gave"[..])
+    Message::new(MessageType::Answer, call(id))
+        .with(ParameterCode::DESCRIPTION, &b"v=0 what the server gave"[..])
 }
 
 /// The node and what it has said; nothing of it is lost until it is taken.
@@ -161,7 +162,7 @@
     /// Where the last set-up of a call went.
     pub fn set_up_of(&self, id: u64) -> Option<ConnId> {
         let sent = self.to_servers.iter().rev();
-        sent.filter(|(_, m)| m.kind == Kind::SetUp && m.call == call(id)).map(|(conn, _)| *conn).next()
+        sent.filter(|(_, m)| m.kind == MessageType::SetUp && m.call == call(id)).map(|(conn, _)| *conn).next()
     }
 
     /// The connections that were ever dialled to the first server.
@@ -171,18 +172,18 @@
     }
 
     pub fn set_ups(&self, id: u64) -> usize {
-        self.to_servers.iter().filter(|(_, m)| m.kind == Kind::SetUp && m.call == call(id)).count()
+        self.to_servers.iter().filter(|(_, m)| m.kind == MessageType::SetUp && m.call == call(id)).count()
     }
 
     /// All that was said of a call to its callers.
-    pub fn told(&self, id: u64) -> Vec<(u64, Kind, Option<u8>)> {
+    pub fn told(&self, id: u64) -> Vec<(u64, MessageType, Option<u8>)> {
         let of = self.to_callers.iter().filter(|(_, m)| m.call == call(id));
         of.map(|(link, m)| (link.0, m.kind, m.cause().ok())).collect()
     }
 
     /// Causes of the releases that servers were sent for a call, with their connections.
     pub fn released(&self, id: u64) -> Vec<ConnId> {
-        let of = self.to_servers.iter().filter(|(_, m)| m.kind == Kind::Release && m.call == call(id));
+        let of = self.to_servers.iter().filter(|(_, m)| m.kind == MessageType::Release && m.call == call(id));
         of.map(|(conn, _)| *conn).collect()
     }
 
@@ -192,15 +193,15 @@
         let conn = self.set_up_of(id).expect("a set-up");
         self.pass(20 * MS);
         self.server_says(conn, answer(id));
-        assert_eq!(self.told(id), [(1, Kind::Answer, None)]);
+        assert_eq!(self.told(id), [(1, MessageType::Answer, None)]);
         conn
     }
 }
 
 pub fn message(bytes: &[u8]) -> Message {
-    let mut frames = Frames::default();
-    frames.put(bytes);
-    let message = frames.take().expect("readable").expect("whole");
-    assert!(!frames.is_part(), "one message a write");
+    let mut frames = MessageDecoder::default();
+    frames.push(bytes);
+    let message = frames.next_message().expect("readable").expect("whole");
+    assert!(!frames.has_partial_message(), "one message a write");
     message
 }
--- a/crates/node/tests/endings.rs
+++ b/crates/node/tests/endings.rs
@@ -5,7 +5,7 @@
 use baydrift_call::LinkId;
 use baydrift_node::state::{ConnId, Input, Output};
 use baydrift_node::Config;
-use baydrift_platform::{Cause, Code, Kind, Message};
+use baydrift_platform::{Cause, Message, MessageType, ParameterCode};
 use baydrift_standin::{list_answer, relay_config, Listed};
 use common::{answer, call, config, one, set_up, two, Rig, MS, SECOND};
 
@@ -35,7 +35,7 @@
     for _ in 0..span / (500 * MS) {
         rig.pass(500 * MS);
         let conns: Vec<_> = rig.dialled_ever.keys().copied().collect();
-        conns.into_iter().for_each(|conn| rig.server_says(conn, Message::tested(call(0))));
+        conns.into_iter().for_each(|conn| rig.server_says(conn, Message::health_check_passed(call(0))));
     }
 }
 
@@ -58,7 +58,7 @@
     let second = rig.set_up_of(7).expect("another");
     assert!(first != second && rig.set_ups(7) == 2);
     rig.server_says(second, answer(7));
-    assert_eq!(rig.told(7), [(1, Kind::Answer, None)]);
+    assert_eq!(rig.told(7), [(1, MessageType::Answer, None)]);
     // What is over its worth goes once nothing is open there.
     rig.pass(SECOND);
     assert_eq!((rig.closed_servers.as_slice(), rig.node.held()[1]), (&[first][..], 1));
@@ -78,7 +78,11 @@
     for id in 20..40 {
         rig.says(1, set_up(id, "3000"));
         rig.server_says(first, answer(id));
-        assert_eq!(rig.told(id), [(1, Kind::Answer, None)], "a cold or paused server would take none or few");
+        assert_eq!(
+            rig.told(id),
+            [(1, MessageType::Answer, None)],
+            "a cold or paused server would take none or few"
+        );
     }
 }
 
@@ -233,7 +237,7 @@
     assert_eq!(rig.dialled_ever[&at].to_string(), "10.1.0.3:5080");
     assert_eq!(rig.told(6).len(), 1, "what stands at a server that left the list may finish");
     rig.server_says(conn, Message::release(call(6), Cause::NORMAL));
-    assert_eq!(rig.told(6).last(), Some(&(1, Kind::Release, Some(Cause::NORMAL))));
+    assert_eq!(rig.told(6).last(), Some(&(1, MessageType::Release, Some(Cause::NORMAL))));
 }
 
 // --- one configuration and another ---
@@ -256,16 +260,16 @@
         message.parameters.retain(|(own, _)| *own != code);
         message.with(code, value.to_owned())
     };
-    let refused = |rig: &Rig, id| rig.told(id) == [(1, Kind::Release, Some(Cause::INVALID))];
+    let refused = |rig: &Rig, id| rig.told(id) == [(1, MessageType::Release, Some(Cause::INVALID))];
     // The tenant of one is no tenant of the other, however the name reads.
     there.says(1, set_up(7, "400"));
-    here.says(1, with(7, Code::TENANT, "other co.; \u{e9}"));
+    here.says(1, with(7, ParameterCode::TENANT, "other co.; \u{e9}"));
     assert!(refused(&here, 7) && refused(&there, 7));
-    there.says(1, with(8, Code::TENANT, "other co.; \u{e9}"));
+    there.says(1, with(8, ParameterCode::TENANT, "other co.; \u{e9}"));
     assert_eq!(there.set_ups(8), 1);
     // A time that one allows and the other does not.
     here.says(1, set_up(9, "3000"));
-    there.says(1, with(9, Code::WAIT, "3000").with(Code::REPORT, ""));
+    there.says(1, with(9, ParameterCode::TIMEOUT, "3000").with(ParameterCode::LOAD_REPORT, ""));
     assert_eq!((here.set_ups(9), there.set_ups(9)), (1, 0));
 }
 
@@ -318,7 +322,7 @@
     let mut rig = Rig::new(&config(&[one()]));
     rig.all_up();
     rig.caller(1);
-    rig.says(1, Message::new(Kind::Test, call(0)));
+    rig.says(1, Message::new(MessageType::HealthCheck, call(0)));
     rig.hear(Input::CallerPart(LinkId(1)));
     rig.hear(Input::Stop);
     rig.pass(3_300 * MS);
@@ -343,7 +347,7 @@
     rig.pass(500 * MS);
     assert!(!rig.ended);
     rig.server_says(conn, answer(7));
-    assert_eq!(rig.told(7), [(2, Kind::Answer, None)]);
+    assert_eq!(rig.told(7), [(2, MessageType::Answer, None)]);
     rig.pass(100 * MS);
     assert!(rig.ended);
 }
@@ -362,7 +366,7 @@
         alive(&mut rig, 3 * SECOND);
         assert!(rig.told(7).is_empty());
         alive(&mut rig, SECOND);
-        assert_eq!(rig.told(7), [(1, Kind::Release, Some(cause))], "{effect}");
+        assert_eq!(rig.told(7), [(1, MessageType::Release, Some(cause))], "{effect}");
         assert_eq!(rig.released(7).len(), 1);
     }
 }
--- a/crates/node/tests/lists.rs
+++ b/crates/node/tests/lists.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use baydrift_node::state::{ConnId, Input};
-use baydrift_platform::{Cause, Kind, Message as Call};
+use baydrift_platform::{Cause, Message as Call, MessageType};
 use baydrift_standin::{list_answer, Listed};
 use common::{call, config, one, set_up, two, Rig, MS, SECOND};
 
@@ -82,7 +82,7 @@
     rig.all_up();
     assert_eq!(rig.told(7).len(), 1);
     tell(&mut rig, 2, &[left, new]);
-    assert_eq!(rig.told(7).last(), Some(&(1, Kind::Release, Some(Cause::TEMPORARY))));
+    assert_eq!(rig.told(7).last(), Some(&(1, MessageType::Release, Some(Cause::TEMPORARY))));
 }
 
 #[test]
@@ -96,7 +96,7 @@
         rig.hear(Input::ServerDown(conn));
     }
     rig.pass(2 * SECOND);
-    assert_eq!(rig.told(7).last(), Some(&(1, Kind::Release, Some(Cause::TEMPORARY))));
+    assert_eq!(rig.told(7).last(), Some(&(1, MessageType::Release, Some(Cause::TEMPORARY))));
 }
 
 /// A process that started anew has forgotten the calls from before, and those alone.
@@ -112,7 +112,7 @@
     let list = if at_one { [since(one()), two()] } else { [one(), since(two())] };
     rig.all_up();
     tell(&mut rig, 2, &list);
-    assert_eq!(rig.told(7).last(), Some(&(1, Kind::Release, Some(Cause::TEMPORARY))));
+    assert_eq!(rig.told(7).last(), Some(&(1, MessageType::Release, Some(Cause::TEMPORARY))));
 }
 
 /// Rule 3 is checked again at the moment of writing.
--- a/crates/node/tests/servers.rs
+++ b/crates/node/tests/servers.rs
@@ -4,7 +4,7 @@
 
 use baydrift_call::LinkId;
 use baydrift_node::state::{ConnId, Input};
-use baydrift_platform::{Cause, Code, Id, Kind, Message};
+use baydrift_platform::{CallId, Cause, Message, MessageType, ParameterCode};
 use common::{answer, call, config, one, set_up, two, Rig, MS, SECOND};
 
 /// One server, and a call whose first attempt there was reset and has been set up there again.
@@ -30,7 +30,7 @@
     rig.server_says(first, Message::release(call(7), Cause::BUSY));
     assert!(rig.told(7).is_empty());
     rig.server_says(second, answer(7));
-    assert_eq!(rig.told(7), [(1, Kind::Answer, None)]);
+    assert_eq!(rig.told(7), [(1, MessageType::Answer, None)]);
     // Nor does it end the call that stands.
     rig.server_says(first, Message::release(call(7), Cause::TEMPORARY));
     assert_eq!(rig.told(7).len(), 1);
@@ -56,7 +56,7 @@
     let stands = rig.standing(6);
     rig.says(1, set_up(7, "3000"));
     let conn = rig.set_up_of(7).expect("a set-up");
-    rig.server_says(conn, Message::new(Kind::Answer, call(7)));
+    rig.server_says(conn, Message::new(MessageType::Answer, call(7)));
     assert_eq!(rig.closed_servers, [conn]);
     rig.pass(290 * MS);
     assert_eq!(rig.set_ups(7), 1, "not within the guard");
@@ -76,9 +76,9 @@
 fn a_report_or_a_note_that_is_no_text_breaks_the_connection_with_all_its_set_ups() {
     let release = |cause| Message::release(call(7), cause);
     let bad = [
-        answer(7).with(Code::REPORT, &[0xff][..]),
-        release(Cause::NO_CIRCUIT).with(Code::REPORT, &[0xff][..]),
-        release(Cause::NO_CIRCUIT).with(Code::NOTE, &[0xff][..]),
+        answer(7).with(ParameterCode::LOAD_REPORT, &[0xff][..]),
+        release(Cause::NO_CIRCUIT).with(ParameterCode::LOAD_REPORT, &[0xff][..]),
+        release(Cause::NO_CIRCUIT).with(ParameterCode::NOTE, &[0xff][..]),
     ];
     for message in bad {
         let mut rig = Rig::serving();
@@ -109,7 +109,7 @@
     for other in dialled {
         rig.hear(Input::DialFailed(other, true));
     }
-    assert_eq!(rig.told(7).last(), Some(&(1, Kind::Release, Some(Cause::TEMPORARY))));
+    assert_eq!(rig.told(7).last(), Some(&(1, MessageType::Release, Some(Cause::TEMPORARY))));
 }
 
 /// A set-up that never left is told apart from one that may have run.
@@ -180,8 +180,8 @@
     let mut rig = Rig::serving();
     rig.says(1, set_up(6, "3000"));
     let one = rig.set_up_of(6).expect("a set-up");
-    let news =
-        Message::new(Kind::State, Id::default()).with(Code::REPORT, "idle:0;circuits:40;unknown:x;lat_ms:-1");
+    let news = Message::new(MessageType::LoadReport, CallId::default())
+        .with(ParameterCode::LOAD_REPORT, "idle:0;circuits:40;unknown:x;lat_ms:-1");
     rig.server_says(one, news);
     rig.says(1, set_up(7, "3000"));
     let two = rig.set_up_of(7).expect("a set-up");
@@ -196,7 +196,7 @@
         rig.all_up();
     }
     let bad = rig.set_up_of(8).expect("a set-up");
-    rig.server_says(bad, Message::new(Kind::SetUp, call(1)));
+    rig.server_says(bad, Message::new(MessageType::SetUp, call(1)));
     assert_eq!(rig.closed_servers, [bad]);
     rig.pass(400 * MS);
     let again = (1..=8).filter(|id| rig.set_ups(*id) > 1).count();
@@ -217,7 +217,7 @@
     rig.pass(500 * MS);
     assert!(rig.deaf && !rig.ended);
     rig.server_says(conn, answer(7));
-    assert_eq!(rig.told(7), [(2, Kind::Answer, None)]);
+    assert_eq!(rig.told(7), [(2, MessageType::Answer, None)]);
     rig.pass(2_400 * MS);
     assert_eq!(rig.told(8).len(), 1, "answered before the kill at 3.7 s");
     assert!(rig.ended);
@@ -243,7 +243,7 @@
     let next = *rig.dialled.keys().last().expect("dialled");
     rig.hear(Input::ServerUp(next));
     rig.server_says(next, Message::release(call(6), Cause::NORMAL));
-    assert_eq!(rig.told(6).last(), Some(&(1, Kind::Release, Some(Cause::NORMAL))));
+    assert_eq!(rig.told(6).last(), Some(&(1, MessageType::Release, Some(Cause::NORMAL))));
     rig.pass(SECOND);
     assert_eq!(rig.dialled_ever.len(), before + 1, "one for one");
 }
@@ -267,7 +267,7 @@
     let conn = rig.set_up_of(7).expect("a set-up");
     rig.pass(500 * MS);
     rig.server_says(conn, Message::release(call(7), Cause::NORMAL));
-    assert_eq!(rig.told(7), [(1, Kind::Release, Some(Cause::TEMPORARY))], "failed, at once");
+    assert_eq!(rig.told(7), [(1, MessageType::Release, Some(Cause::TEMPORARY))], "failed, at once");
     rig.pass(3 * SECOND);
     assert_eq!((rig.set_ups(7), rig.told(7).len()), (1, 1), "and never set up again");
 }
--- a/crates/node/tests/turn.rs
+++ b/crates/node/tests/turn.rs
@@ -4,7 +4,7 @@
 
 use baydrift_call::LinkId;
 use baydrift_node::state::{in_order, ConnId, Input};
-use baydrift_platform::{Cause, Code, Kind, Message};
+use baydrift_platform::{Cause, Message, MessageType, ParameterCode};
 use common::{call, set_up, Rig};
 
 fn offers(link: u64, id: u64) -> Input {
@@ -17,14 +17,19 @@
 
 fn names_standing(link: u64, id: u64) -> Input {
     let mut message = set_up(id, "3000");
-    message.parameters.retain(|(code, _)| *code != Code::FIGURES);
-    Input::FromCaller(LinkId(link), message.with(Code::FIGURES, "dest:0;width:1; at : s-two;via:-1"))
+    message.parameters.retain(|(code, _)| *code != ParameterCode::ATTRIBUTES);
+    Input::FromCaller(
+        LinkId(link),
+        message.with(ParameterCode::ATTRIBUTES, "dest:0;width:1; at : s-two;via:-1"),
+    )
 }
 
 /// A short word for each, to compare orders by.
 fn told(inputs: &[Input]) -> Vec<String> {
     let word = |input: &Input| match input {
-        Input::FromCaller(link, m) if m.kind == Kind::SetUp => format!("{} asks {}", link.0, m.call.0[7]),
+        Input::FromCaller(link, m) if m.kind == MessageType::SetUp => {
+            format!("{} asks {}", link.0, m.call.0[7])
+        }
         Input::FromCaller(link, m) => format!("{} releases {}", link.0, m.call.0[7]),
         Input::Withdrawn(link) => format!("{} withdraws", link.0),
         Input::CallerDown(link) => format!("{} leaves", link.0),
--- a/crates/platform/src/names.rs
+++ b/crates/platform/src/dns.rs
@@ -8,79 +8,81 @@
 use hickory_proto::op::{Message, MessageType, OpCode, Query, ResponseCode};
 use hickory_proto::rr::{Name, RData, Record, RecordType};
 
-use crate::list::{started_at, Line, Listed, SERVERS_MAX};
-use crate::Fault;
+use crate::server_list::{started_at, ListSnapshot, ListedServer, SERVERS_MAX};
+use crate::PlatformError;
 
 /// The name whose SRV records are the list.
-pub const LIST: &str = "_work._tcp.fleet.local.";
+pub const LIST_NAME: &str = "_work._tcp.fleet.local.";
 /// The longest answer.
 pub const ANSWER_MAX: usize = 8_000;
 
-fn list_name() -> Result<Name, Fault> {
-    Name::from_str(LIST).map_err(|_| Fault::Names("no name to ask for"))
+fn list_name() -> Result<Name, PlatformError> {
+    Name::from_str(LIST_NAME).map_err(|_| PlatformError::DnsAnswer("no name to ask for"))
 }
 
 /// The query for the list.
 ///
 /// # Errors
 /// Never in practice: the name and the message are fixed but for the id.
-pub fn query(id: u16) -> Result<Vec<u8>, Fault> {
+pub fn query(id: u16) -> Result<Vec<u8>, PlatformError> {
     let mut message = Message::new();
     message.set_id(id).set_message_type(MessageType::Query).set_op_code(OpCode::Query);
     message.add_query(Query::query(list_name()?, RecordType::SRV));
-    message.to_vec().map_err(|_| Fault::Names("the query cannot be written"))
+    message.to_vec().map_err(|_| PlatformError::DnsAnswer("the query cannot be written"))
 }
 
 /// Reads the whole list from an answer to the query of this id.
 ///
 /// # Errors
 /// When it is not that answer, reports a failure, is cut short or lacks what a list needs.
-pub fn read(bytes: &[u8], id: u16) -> Result<Listed, Fault> {
-    let message = Message::from_vec(bytes).map_err(|_| Fault::Names("cannot be read"))?;
+pub fn read(bytes: &[u8], id: u16) -> Result<ListSnapshot, PlatformError> {
+    let message = Message::from_vec(bytes).map_err(|_| PlatformError::DnsAnswer("cannot be read"))?;
     if message.id() != id || message.message_type() != MessageType::Response {
-        return Err(Fault::Names("is not to this query"));
+        return Err(PlatformError::DnsAnswer("is not to this query"));
     }
     if message.truncated() {
-        return Err(Fault::Names("is cut short"));
+        return Err(PlatformError::DnsAnswer("is cut short"));
     }
     if message.response_code() != ResponseCode::NoError {
-        return Err(Fault::Names("reports a failure"));
+        return Err(PlatformError::DnsAnswer("reports a failure"));
     }
     let list = list_name()?;
     if message.queries().first().is_some_and(|query| !query.name().eq_ignore_root_case(&list)) {
-        return Err(Fault::Names("is to another query"));
+        return Err(PlatformError::DnsAnswer("is to another query"));
     }
     let all = || message.answers().iter().chain(message.additionals()).chain(message.name_servers());
     let serial = all().find_map(|record| match record.data() {
         RData::SOA(soa) => Some(soa.serial()),
         _ => None,
     });
-    let seq = serial.ok_or(Fault::Names("has no serial"))?;
+    let seq = serial.ok_or(PlatformError::DnsAnswer("has no serial"))?;
     let about = hosts(all());
-    let mut lines = BTreeMap::new();
+    let mut servers = BTreeMap::new();
     for record in message.answers() {
         let RData::SRV(srv) = record.data() else { continue };
         if !record.name().eq_ignore_root_case(&list) {
             continue;
         }
         let label = srv.target().iter().next().and_then(|label| std::str::from_utf8(label).ok());
-        let name = label.ok_or(Fault::Names("names no server"))?.to_owned();
-        let host = about.get(&srv.target().to_lowercase()).ok_or(Fault::Names("lacks a server's host"))?;
-        let ip = host.address.ok_or(Fault::Names("lacks a server's address"))?;
+        let name = label.ok_or(PlatformError::DnsAnswer("names no server"))?.to_owned();
+        let host = about
+            .get(&srv.target().to_lowercase())
+            .ok_or(PlatformError::DnsAnswer("lacks a server's host"))?;
+        let ip = host.address.ok_or(PlatformError::DnsAnswer("lacks a server's address"))?;
         let state = if srv.priority() == 0 { ServerState::Ready } else { ServerState::Draining };
-        let line = Line {
+        let line = ListedServer {
             address: SocketAddr::new(ip, srv.port()),
             number: host.number,
             state,
             started_at: started_at(host.started_ms),
             name: name.clone(),
         };
-        lines.insert(name, line);
-        if lines.len() > SERVERS_MAX {
-            return Err(Fault::Names("names too many servers"));
+        servers.insert(name, line);
+        if servers.len() > SERVERS_MAX {
+            return Err(PlatformError::DnsAnswer("names too many servers"));
         }
     }
-    Ok(Listed { seq, lines })
+    Ok(ListSnapshot { seq, servers })
 }
 
 /// What A and TXT records tell of one host.
--- a/crates/platform/src/fault.rs
+++ b/crates/platform/src/error.rs
@@ -2,16 +2,16 @@
 
 /// Why something could not be read.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Fault {
+pub enum PlatformError {
     /// A message's length is out of its bounds.
-    #[error("a message claims {0} bytes; {least} to {most} are allowed", least = crate::message::HEAD, most = crate::message::MOST)]
-    Length(usize),
+    #[error("a message claims {0} bytes; {least} to {most} are allowed", least = crate::message::MIN_LENGTH, most = crate::message::MAX_LENGTH)]
+    InvalidLength(usize),
     /// No message has this type.
     #[error("unknown message type {0}")]
-    Kind(u8),
+    UnknownType(u8),
     /// A parameter runs past its message.
     #[error("parameter {code} at byte {at} runs past its message")]
-    Overrun {
+    ParameterOverrun {
         /// Its code.
         code: u8,
         /// Where it begins.
@@ -19,13 +19,13 @@
     },
     /// A parameter that may be there once is there twice.
     #[error("parameter {0} is given twice")]
-    Twice(u8),
+    DuplicateParameter(u8),
     /// A parameter is missing.
     #[error("parameter {0} is missing")]
-    Missing(u8),
+    MissingParameter(u8),
     /// A parameter's value is of no use.
     #[error("parameter {code}: {what}")]
-    Value {
+    InvalidValue {
         /// Its code.
         code: u8,
         /// What is wrong.
@@ -33,8 +33,8 @@
     },
     /// The list's text cannot be read.
     #[error("the list: {0}")]
-    List(String),
+    InvalidList(String),
     /// A name server's answer cannot be used.
     #[error("the name server's answer: {0}")]
-    Names(&'static str),
+    DnsAnswer(&'static str),
 }
--- a/crates/platform/src/message.rs
+++ b/crates/platform/src/message.rs
@@ -2,18 +2,18 @@
 
 use bytes::{Buf, Bytes, BytesMut};
 
-use crate::Fault;
+use crate::PlatformError;
 
 /// Bytes of type and id: the least that a length may say.
-pub const HEAD: usize = 9;
+pub const MIN_LENGTH: usize = 9;
 /// The most that a length may say: no message holds more than 16 KiB.
-pub const MOST: usize = 16 * 1024;
+pub const MAX_LENGTH: usize = 16 * 1024;
 
 /// A call's id on the wire. Opaque.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
-pub struct Id(pub [u8; 8]);
+pub struct CallId(pub [u8; 8]);
 
-impl std::fmt::Display for Id {
+impl std::fmt::Display for CallId {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         self.0.iter().try_for_each(|byte| write!(f, "{byte:02x}"))
     }
@@ -21,7 +21,7 @@
 
 /// The types of messages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum MessageType {
     /// A call is offered.
     SetUp,
     /// Means nothing.
@@ -31,30 +31,30 @@
     /// Refused, given up or over, by its cause.
     Release,
     /// A release was heard; means nothing.
-    Heard,
+    ReleaseAck,
     /// Does the connection work?
-    Test,
+    HealthCheck,
     /// It does, or not, by its cause.
-    Tested,
+    HealthCheckResult,
     /// News of a group.
-    State,
+    LoadReport,
 }
 
-impl Kind {
+impl MessageType {
     const ALL: [(u8, Self); 8] = [
         (1, Self::SetUp),
         (6, Self::Progress),
         (9, Self::Answer),
         (12, Self::Release),
-        (16, Self::Heard),
-        (52, Self::Test),
-        (53, Self::Tested),
-        (43, Self::State),
+        (16, Self::ReleaseAck),
+        (52, Self::HealthCheck),
+        (53, Self::HealthCheckResult),
+        (43, Self::LoadReport),
     ];
 
-    fn read(code: u8) -> Result<Self, Fault> {
+    fn read(code: u8) -> Result<Self, PlatformError> {
         let known = Self::ALL.iter().find(|(own, _)| *own == code);
-        known.map(|(_, kind)| *kind).ok_or(Fault::Kind(code))
+        known.map(|(_, kind)| *kind).ok_or(PlatformError::UnknownType(code))
     }
 
     fn code(self) -> u8 {
@@ -64,23 +64,23 @@
 
 /// The parameters that a front node knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Code;
+pub struct ParameterCode;
 
-impl Code {
+impl ParameterCode {
     /// The class, by name.
     pub const CLASS: u8 = 129;
     /// How long the sender waits, in milliseconds.
-    pub const WAIT: u8 = 132;
+    pub const TIMEOUT: u8 = 132;
     /// The tenant, by name.
     pub const TENANT: u8 = 135;
     /// The number called.
-    pub const NUMBER: u8 = 141;
+    pub const CALLED_NUMBER: u8 = 141;
     /// Further figures of a set-up.
-    pub const FIGURES: u8 = 144;
+    pub const ATTRIBUTES: u8 = 144;
     /// A word on a refusal.
     pub const NOTE: u8 = 150;
     /// A load report.
-    pub const REPORT: u8 = 156;
+    pub const LOAD_REPORT: u8 = 156;
     /// The cause, one byte.
     pub const CAUSE: u8 = 171;
     /// The description, any bytes.
@@ -114,16 +114,16 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Message {
     /// Its type.
-    pub kind: Kind,
+    pub kind: MessageType,
     /// The call that it is about.
-    pub call: Id,
-    /// Code and value of each parameter, in order.
+    pub call: CallId,
+    /// ParameterCode and value of each parameter, in order.
     pub parameters: Vec<(u8, Bytes)>,
 }
 
 impl Message {
     /// A message without parameters.
-    pub fn new(kind: Kind, call: Id) -> Self {
+    pub fn new(kind: MessageType, call: CallId) -> Self {
         Self { kind, call, parameters: Vec::new() }
     }
 
@@ -135,20 +135,20 @@
     }
 
     /// A release.
-    pub fn release(call: Id, cause: u8) -> Self {
-        Self::new(Kind::Release, call).with(Code::CAUSE, vec![cause])
+    pub fn release(call: CallId, cause: u8) -> Self {
+        Self::new(MessageType::Release, call).with(ParameterCode::CAUSE, vec![cause])
     }
 
     /// The word that a connection works.
-    pub fn tested(call: Id) -> Self {
-        Self::new(Kind::Tested, call).with(Code::CAUSE, vec![Cause::PASSED])
+    pub fn health_check_passed(call: CallId) -> Self {
+        Self::new(MessageType::HealthCheckResult, call).with(ParameterCode::CAUSE, vec![Cause::PASSED])
     }
 
     /// The message's bytes.
     ///
     /// # Errors
     /// As [`Message::write`].
-    pub fn to_bytes(&self) -> Result<Vec<u8>, Fault> {
+    pub fn to_bytes(&self) -> Result<Vec<u8>, PlatformError> {
         let mut bytes = Vec::new();
         self.write(&mut bytes).map(|()| bytes)
     }
@@ -157,10 +157,10 @@
     ///
     /// # Errors
     /// When it is there twice: which of the two counts nobody can tell.
-    pub fn one(&self, code: u8) -> Result<Option<&Bytes>, Fault> {
+    pub fn optional(&self, code: u8) -> Result<Option<&Bytes>, PlatformError> {
         let mut values = self.parameters.iter().filter(|(own, _)| *own == code);
         match (values.next(), values.next()) {
-            (_, Some(_)) => Err(Fault::Twice(code)),
+            (_, Some(_)) => Err(PlatformError::DuplicateParameter(code)),
             (found, None) => Ok(found.map(|(_, value)| value)),
         }
     }
@@ -169,27 +169,29 @@
     ///
     /// # Errors
     /// When it is missing, or there twice.
-    pub fn must(&self, code: u8) -> Result<&Bytes, Fault> {
-        self.one(code)?.ok_or(Fault::Missing(code))
+    pub fn required(&self, code: u8) -> Result<&Bytes, PlatformError> {
+        self.optional(code)?.ok_or(PlatformError::MissingParameter(code))
     }
 
     /// The value of a text parameter.
     ///
     /// # Errors
     /// When it is there twice or is no text.
-    pub fn text(&self, code: u8) -> Result<Option<&str>, Fault> {
-        let text = |value| std::str::from_utf8(value).map_err(|_| Fault::Value { code, what: "no text" });
-        self.one(code)?.map(|value| text(value)).transpose()
+    pub fn text(&self, code: u8) -> Result<Option<&str>, PlatformError> {
+        let text = |value| {
+            std::str::from_utf8(value).map_err(|_| PlatformError::InvalidValue { code, what: "no text" })
+        };
+        self.optional(code)?.map(|value| text(value)).transpose()
     }
 
     /// The cause.
     ///
     /// # Errors
     /// When it is missing, there twice, or not one byte.
-    pub fn cause(&self) -> Result<u8, Fault> {
-        match self.must(Code::CAUSE)?[..] {
+    pub fn cause(&self) -> Result<u8, PlatformError> {
+        match self.required(ParameterCode::CAUSE)?[..] {
             [cause] => Ok(cause),
-            _ => Err(Fault::Value { code: Code::CAUSE, what: "not one byte" }),
+            _ => Err(PlatformError::InvalidValue { code: ParameterCode::CAUSE, what: "not one byte" }),
         }
     }
 
@@ -197,10 +199,10 @@
     ///
     /// # Errors
     /// When it would hold more than a message may.
-    pub fn write(&self, out: &mut Vec<u8>) -> Result<(), Fault> {
-        let size = HEAD + self.parameters.iter().map(|(_, value)| 3 + value.len()).sum::<usize>();
-        if size > MOST {
-            return Err(Fault::Length(size));
+    pub fn write(&self, out: &mut Vec<u8>) -> Result<(), PlatformError> {
+        let size = MIN_LENGTH + self.parameters.iter().map(|(_, value)| 3 + value.len()).sum::<usize>();
+        if size > MAX_LENGTH {
+            return Err(PlatformError::InvalidLength(size));
         }
         out.extend_from_slice(&(size as u16).to_be_bytes());
         out.push(self.kind.code());
@@ -213,12 +215,12 @@
         Ok(())
     }
 
-    fn read(mut body: Bytes) -> Result<Self, Fault> {
+    fn read(mut body: Bytes) -> Result<Self, PlatformError> {
         let size = body.len();
-        if size < HEAD {
-            return Err(Fault::Length(size));
+        if size < MIN_LENGTH {
+            return Err(PlatformError::InvalidLength(size));
         }
-        let kind = Kind::read(body.get_u8())?;
+        let kind = MessageType::read(body.get_u8())?;
         let mut id = [0; 8];
         body.copy_to_slice(&mut id);
         let mut parameters = Vec::new();
@@ -226,27 +228,27 @@
             let at = size - body.len();
             let code = body.get_u8();
             if body.len() < 2 {
-                return Err(Fault::Overrun { code, at });
+                return Err(PlatformError::ParameterOverrun { code, at });
             }
             let length = usize::from(body.get_u16());
             if length > body.len() {
-                return Err(Fault::Overrun { code, at });
+                return Err(PlatformError::ParameterOverrun { code, at });
             }
             parameters.push((code, body.split_to(length)));
         }
-        Ok(Self { kind, call: Id(id), parameters })
+        Ok(Self { kind, call: CallId(id), parameters })
     }
 }
 
 /// Cuts messages from the bytes of one connection. Holds at most one message and what came with one read.
 #[derive(Debug, Default)]
-pub struct Frames {
+pub struct MessageDecoder {
     held: BytesMut,
 }
 
-impl Frames {
+impl MessageDecoder {
     /// Takes what was read.
-    pub fn put(&mut self, bytes: &[u8]) {
+    pub fn push(&mut self, bytes: &[u8]) {
         self.held.extend_from_slice(bytes);
     }
 
@@ -255,7 +257,7 @@
     /// # Errors
     /// When the stream cannot be read any further; nothing after this is of use. A length that is out of
     /// bounds is seen before any of the message has come.
-    pub fn take(&mut self) -> Result<Option<Message>, Fault> {
+    pub fn next_message(&mut self) -> Result<Option<Message>, PlatformError> {
         let Some(head) = self.held.get(..2) else {
             if self.held.is_empty() {
                 // An idle connection holds nothing.
@@ -264,11 +266,11 @@
             return Ok(None);
         };
         let length = usize::from(u16::from_be_bytes([head[0], head[1]]));
-        if !(HEAD..=MOST).contains(&length) {
-            return Err(Fault::Length(length));
+        if !(MIN_LENGTH..=MAX_LENGTH).contains(&length) {
+            return Err(PlatformError::InvalidLength(length));
         }
         if let Some(code) = self.held.get(2) {
-            Kind::read(*code)?;
+            MessageType::read(*code)?;
         }
         if self.held.len() < 2 + length {
             return Ok(None);
@@ -281,7 +283,7 @@
     }
 
     /// Whether part of a message is held.
-    pub fn is_part(&self) -> bool {
+    pub fn has_partial_message(&self) -> bool {
         !self.held.is_empty()
     }
 }
--- a/crates/platform/src/list.rs
+++ b/crates/platform/src/server_list.rs
@@ -6,7 +6,7 @@
 use baydrift::interface::{Entry, Micros, ServerId, ServerState};
 use serde::Deserialize;
 
-use crate::Fault;
+use crate::PlatformError;
 
 /// Most servers that a list may have.
 pub const SERVERS_MAX: usize = 256;
@@ -19,7 +19,7 @@
 
 /// One signalling server as it is listed.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Line {
+pub struct ListedServer {
     /// Its id.
     pub name: String,
     /// Where it listens.
@@ -32,7 +32,7 @@
     pub started_at: Option<Micros>,
 }
 
-impl Line {
+impl ListedServer {
     /// What the module is told of it.
     pub fn entry(&self) -> Entry {
         Entry {
@@ -46,41 +46,41 @@
 
 /// The whole list as of one event.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Listed {
+pub struct ListSnapshot {
     /// The event's number.
     pub seq: u32,
     /// The servers, by id.
-    pub lines: BTreeMap<String, Line>,
+    pub servers: BTreeMap<String, ListedServer>,
 }
 
 /// The list as this front node knows it.
 #[derive(Debug, Clone, Default)]
-pub struct Fleet {
-    listed: Listed,
+pub struct ServerList {
+    listed: ListSnapshot,
 }
 
 #[derive(Deserialize)]
-struct RawKnown {
+struct RawList {
     seq: u32,
-    results: Vec<RawResult>,
+    results: Vec<RawEvent>,
 }
 
 #[derive(Deserialize)]
-struct RawResult {
+struct RawEvent {
     #[serde(default)]
-    fleet: Option<RawFleet>,
+    fleet: Option<RawChanges>,
 }
 
 #[derive(Deserialize)]
-struct RawFleet {
+struct RawChanges {
     #[serde(default)]
     snapshot: bool,
     #[serde(default)]
-    endpoints: Vec<RawLine>,
+    endpoints: Vec<RawServer>,
 }
 
 #[derive(Deserialize)]
-struct RawLine {
+struct RawServer {
     name: String,
     #[serde(default)]
     address: String,
@@ -96,55 +96,65 @@
     (ms.is_finite() && ms > 0.0).then_some((ms * 1e3) as Micros)
 }
 
-impl Fleet {
+impl ServerList {
     /// The list that a configuration holds under `known`.
     ///
     /// # Errors
     /// When it cannot be read, or an event of it makes no sense.
-    pub fn from_known(known: serde_json::Value) -> Result<Self, Fault> {
-        let raw: RawKnown = serde_json::from_value(known).map_err(|e| Fault::List(e.to_string()))?;
-        let mut lines = BTreeMap::new();
+    pub fn from_config(known: serde_json::Value) -> Result<Self, PlatformError> {
+        let raw: RawList =
+            serde_json::from_value(known).map_err(|e| PlatformError::InvalidList(e.to_string()))?;
+        let mut servers = BTreeMap::new();
         for (first, fleet) in
             raw.results.into_iter().filter_map(|r| r.fleet).enumerate().map(|(i, f)| (i == 0, f))
         {
             if fleet.snapshot || first {
-                lines.clear();
+                servers.clear();
             }
             for line in fleet.endpoints {
                 let state = match line.status.as_str() {
                     "in_service" => ServerState::Ready,
                     "terminating" => ServerState::Draining,
                     "terminated" => {
-                        lines.remove(&line.name);
+                        servers.remove(&line.name);
                         continue;
                     }
-                    other => return Err(Fault::List(format!("{}: unknown status '{other}'", line.name))),
+                    other => {
+                        return Err(PlatformError::InvalidList(format!(
+                            "{}: unknown status '{other}'",
+                            line.name
+                        )))
+                    }
                 };
                 let address = line.address.parse();
-                let address = address
-                    .map_err(|_| Fault::List(format!("{}: no address '{}'", line.name, line.address)))?;
+                let address = address.map_err(|_| {
+                    PlatformError::InvalidList(format!("{}: no address '{}'", line.name, line.address))
+                })?;
                 let number = u16::try_from(line.group);
-                let number =
-                    number.map_err(|_| Fault::List(format!("{}: group {}", line.name, line.group)))?;
+                let number = number.map_err(|_| {
+                    PlatformError::InvalidList(format!("{}: group {}", line.name, line.group))
+                })?;
                 let name = line.name;
-                let line = Line {
+                let line = ListedServer {
                     name: name.clone(),
                     address,
                     number,
                     state,
                     started_at: started_at(line.since_ms),
                 };
-                lines.insert(name, line);
+                servers.insert(name, line);
             }
-            if lines.len() > SERVERS_MAX {
-                return Err(Fault::List(format!("more than {SERVERS_MAX} signalling servers")));
+            if servers.len() > SERVERS_MAX {
+                return Err(PlatformError::InvalidList(format!(
+                    "more than {SERVERS_MAX} signalling servers"
+                )));
             }
         }
-        Ok(Self { listed: Listed { seq: raw.seq, lines } })
+        Ok(Self { listed: ListSnapshot { seq: raw.seq, servers } })
     }
 
     /// Takes a newer list. `false` where it is none: an older one is never believed, whoever sends it.
-    pub fn take(&mut self, listed: Listed) -> bool {
+    pub fn update(&mut self, listed: ListSnapshot) -> bool {
         let newer = listed.seq > self.listed.seq;
         if newer {
             self.listed = listed;
@@ -158,12 +168,12 @@
     }
 
     /// The servers, by id.
-    pub fn lines(&self) -> impl Iterator<Item = &Line> {
-        self.listed.lines.values()
+    pub fn servers(&self) -> impl Iterator<Item = &ListedServer> {
+        self.listed.servers.values()
     }
 
     /// What the module is told: the whole list.
     pub fn entries(&self) -> Vec<Entry> {
-        self.lines().map(Line::entry).collect()
+        self.servers().map(ListedServer::entry).collect()
     }
 }
--- a/crates/platform/tests/messages.rs
+++ b/crates/platform/tests/messages.rs
@@ -1,28 +1,37 @@
 //! The codec: round trips, any bytes, any split.
 
-use baydrift_platform::message::{HEAD, MOST};
-use baydrift_platform::{Cause, Code, Fault, Frames, Id, Kind, Message};
+use baydrift_platform::message::{MAX_LENGTH, MIN_LENGTH};
+use baydrift_platform::{CallId, Cause, Message, MessageDecoder, MessageType, ParameterCode, PlatformError};
 use bytes::Bytes;
 use proptest::collection::vec;
 use proptest::prelude::*;
 
-fn kinds() -> impl Strategy<Value = Kind> {
-    use Kind::*;
-    prop::sample::select(vec![SetUp, Progress, Answer, Release, Heard, Test, Tested, State])
+fn kinds() -> impl Strategy<Value = MessageType> {
+    use MessageType::*;
+    prop::sample::select(vec![
+        SetUp,
+        Progress,
+        Answer,
+        Release,
+        ReleaseAck,
+        HealthCheck,
+        HealthCheckResult,
+        LoadReport,
+    ])
 }
 
 fn messages() -> impl Strategy<Value = Message> {
     let parameters = vec((any::<u8>(), vec(any::<u8>(), 0..200).prop_map(Bytes::from)), 0..8);
     (kinds(), any::<[u8; 8]>(), parameters).prop_map(|(kind, id, parameters)| Message {
         kind,
-        call: Id(id),
+        call: CallId(id),
         parameters,
     })
 }
 
-fn read_all(frames: &mut Frames, bytes: &[u8], out: &mut Vec<Message>) -> Result<(), Fault> {
-    frames.put(bytes);
-    while let Some(message) = frames.take()? {
+fn read_all(frames: &mut MessageDecoder, bytes: &[u8], out: &mut Vec<Message>) -> Result<(), PlatformError> {
+    frames.push(bytes);
+    while let Some(message) = frames.next_message()? {
         out.push(message);
     }
     Ok(())
@@ -41,17 +50,17 @@
         let mut cuts: Vec<_> = cuts.iter().map(|cut| cut.index(bytes.len() + 1)).collect();
         cuts.extend([0, bytes.len()]);
         cuts.sort_unstable();
-        let (mut frames, mut got) = (Frames::default(), Vec::new());
+        let (mut frames, mut got) = (MessageDecoder::default(), Vec::new());
         for pair in cuts.windows(2) {
             read_all(&mut frames, &bytes[pair[0]..pair[1]], &mut got).expect("readable");
         }
         prop_assert_eq!(got, sent);
-        prop_assert!(!frames.is_part());
+        prop_assert!(!frames.has_partial_message());
     }
 
     #[test]
     fn any_bytes_are_read_or_named_wrong(pieces in vec(vec(any::<u8>(), 0..300), 0..8)) {
-        let (mut frames, mut got) = (Frames::default(), Vec::new());
+        let (mut frames, mut got) = (MessageDecoder::default(), Vec::new());
         for piece in pieces {
             if read_all(&mut frames, &piece, &mut got).is_err() {
                 break;
@@ -65,10 +74,10 @@
 
     #[test]
     fn lengths_out_of_bounds_are_seen_before_anything_else_comes(length in any::<u16>()) {
-        let mut frames = Frames::default();
-        frames.put(&length.to_be_bytes());
-        let good = (HEAD..=MOST).contains(&usize::from(length));
-        prop_assert_eq!(frames.take().is_ok(), good);
+        let mut frames = MessageDecoder::default();
+        frames.push(&length.to_be_bytes());
+        let good = (MIN_LENGTH..=MAX_LENGTH).contains(&usize::from(length));
+        prop_assert_eq!(frames.next_message().is_ok(), good);
     }
 }
 
@@ -76,7 +85,8 @@
 #[test]
 fn a_release_is_laid_out_as_the_page_says() {
     let mut bytes = Vec::new();
-    let message = Message::release(Id([0x7f, 0xab, 0x30, 0x77, 0xf2, 0x81, 0x01, 0x14]), Cause::NO_CIRCUIT);
+    let message =
+        Message::release(CallId([0x7f, 0xab, 0x30, 0x77, 0xf2, 0x81, 0x01, 0x14]), Cause::NO_CIRCUIT);
     message.write(&mut bytes).expect("short");
     let want = [0, 13, 12, 0x7f, 0xab, 0x30, 0x77, 0xf2, 0x81, 0x01, 0x14, 171, 0, 1, 34];
     assert_eq!(bytes, want);
@@ -85,21 +95,22 @@
 
 #[test]
 fn a_parameter_past_its_message_and_unknown_types_are_faults() {
-    let mut frames = Frames::default();
-    frames.put(&[0, 13, 12, 1, 2, 3, 4, 5, 6, 7, 8, 171, 0, 9, 34]);
-    assert_eq!(frames.take(), Err(Fault::Overrun { code: 171, at: 9 }));
-    let mut frames = Frames::default();
-    frames.put(&[0, 13, 200]);
-    assert_eq!(frames.take(), Err(Fault::Kind(200)), "before the rest has come");
-    let long = Message::new(Kind::Answer, Id::default()).with(Code::DESCRIPTION, vec![0; MOST]);
-    assert!(matches!(long.write(&mut Vec::new()), Err(Fault::Length(_))));
+    let mut frames = MessageDecoder::default();
+    frames.push(&[0, 13, 12, 1, 2, 3, 4, 5, 6, 7, 8, 171, 0, 9, 34]);
+    assert_eq!(frames.next_message(), Err(PlatformError::ParameterOverrun { code: 171, at: 9 }));
+    let mut frames = MessageDecoder::default();
+    frames.push(&[0, 13, 200]);
+    assert_eq!(frames.next_message(), Err(PlatformError::UnknownType(200)), "before the rest has come");
+    let long = Message::new(MessageType::Answer, CallId::default())
+        .with(ParameterCode::DESCRIPTION, vec![0; MAX_LENGTH]);
+    assert!(matches!(long.write(&mut Vec::new()), Err(PlatformError::InvalidLength(_))));
 }
 
 #[test]
 fn causes_and_texts_are_read_strictly() {
-    let message = Message::new(Kind::Release, Id::default());
-    assert_eq!(message.cause(), Err(Fault::Missing(Code::CAUSE)));
-    assert!(message.clone().with(Code::CAUSE, vec![1, 2]).cause().is_err());
-    let twice = message.with(Code::CAUSE, vec![1]).with(Code::CAUSE, vec![1]);
-    assert_eq!(twice.cause(), Err(Fault::Twice(Code::CAUSE)));
+    let message = Message::new(MessageType::Release, CallId::default());
+    assert_eq!(message.cause(), Err(PlatformError::MissingParameter(ParameterCode::CAUSE)));
+    assert!(message.clone().with(ParameterCode::CAUSE, vec![1, 2]).cause().is_err());
+    let twice = message.with(ParameterCode::CAUSE, vec![1]).with(ParameterCode::CAUSE, vec![1]);
+    assert_eq!(twice.cause(), Err(PlatformError::DuplicateParameter(ParameterCode::CAUSE)));
 }
--- a/crates/platform/tests/lists.rs
+++ b/crates/platform/tests/server_list.rs
@@ -4,8 +4,8 @@
 use std::str::FromStr;
 
 use baydrift::interface::ServerState;
-use baydrift_platform::list::server_id;
-use baydrift_platform::{names, Fault, Fleet};
+use baydrift_platform::server_list::server_id;
+use baydrift_platform::{dns, PlatformError, ServerList};
 use hickory_proto::op::{Message, MessageType, Query, ResponseCode};
 use hickory_proto::rr::rdata::{A, SOA, SRV, TXT};
 use hickory_proto::rr::{Name, RData, Record, RecordType};
@@ -17,7 +17,7 @@
 
 /// An answer as the protocol's page shows it: one server ready, one draining.
 fn whole(id: u16, serial: u32) -> Message {
-    let list = name(names::LIST);
+    let list = name(dns::LIST_NAME);
     let mut message = Message::new();
     message.set_id(id).set_message_type(MessageType::Response);
     message.add_query(Query::query(list.clone(), RecordType::SRV));
@@ -46,9 +46,9 @@
 
 #[test]
 fn an_answer_is_the_whole_list() {
-    let listed = names::read(&bytes(&whole(5, 41)), 5).expect("a list");
+    let listed = dns::read(&bytes(&whole(5, 41)), 5).expect("a list");
     assert_eq!(listed.seq, 41);
-    let lines: Vec<_> = listed.lines.values().collect();
+    let lines: Vec<_> = listed.servers.values().collect();
     assert_eq!(lines.len(), 2);
     assert_eq!((lines[0].name.as_str(), lines[0].number, lines[0].state), ("s-one", 2, ServerState::Ready));
     assert_eq!((lines[0].address.to_string().as_str(), lines[0].started_at), ("10.1.0.9:5080", None));
@@ -59,24 +59,24 @@
 #[test]
 fn an_answer_that_is_none_is_named() {
     let good = whole(5, 41);
-    assert_eq!(names::read(&bytes(&good), 6), Err(Fault::Names("is not to this query")));
+    assert_eq!(dns::read(&bytes(&good), 6), Err(PlatformError::DnsAnswer("is not to this query")));
     let mut failed = good.clone();
     failed.set_response_code(ResponseCode::ServFail);
-    assert_eq!(names::read(&bytes(&failed), 5), Err(Fault::Names("reports a failure")));
+    assert_eq!(dns::read(&bytes(&failed), 5), Err(PlatformError::DnsAnswer("reports a failure")));
     let mut cut = good.clone();
     cut.set_truncated(true);
-    assert_eq!(names::read(&bytes(&cut), 5), Err(Fault::Names("is cut short")));
+    assert_eq!(dns::read(&bytes(&cut), 5), Err(PlatformError::DnsAnswer("is cut short")));
     let mut bare = good.clone();
     bare.take_additionals();
-    assert_eq!(names::read(&bytes(&bare), 5), Err(Fault::Names("lacks a server's host")));
+    assert_eq!(dns::read(&bytes(&bare), 5), Err(PlatformError::DnsAnswer("lacks a server's host")));
     let mut unnumbered = good.clone();
     unnumbered.take_name_servers();
-    assert_eq!(names::read(&bytes(&unnumbered), 5), Err(Fault::Names("has no serial")));
+    assert_eq!(dns::read(&bytes(&unnumbered), 5), Err(PlatformError::DnsAnswer("has no serial")));
     let short = bytes(&good);
     for end in 0..short.len() {
-        assert!(names::read(&short[..end], 5).is_err(), "cut at {end}");
+        assert!(dns::read(&short[..end], 5).is_err(), "cut at {end}");
     }
-    assert!(names::read(&names::query(5).expect("a query"), 5).is_err());
+    assert!(dns::read(&dns::query(5).expect("a query"), 5).is_err());
 }
 
 #[test]
@@ -88,21 +88,23 @@
         {"seq":40,"fleet":{"index":7,"snapshot":false,"endpoints":[
             {"name":"s-old","address":"10.1.0.8:5080","group":1,"status":"terminated","since_ms":0},
             {"name":"s-one","address":"10.1.0.9:5080","group":2,"status":"terminating","since_ms":0}]}}]}"#;
-    let mut fleet = Fleet::from_known(serde_json::from_str(known).expect("JSON")).expect("a list");
-    let states: Vec<_> = fleet.lines().map(|line| (line.name.clone(), line.state)).collect();
+    let mut fleet = ServerList::from_config(serde_json::from_str(known).expect("JSON")).expect("a list");
+    let states: Vec<_> = fleet.servers().map(|line| (line.name.clone(), line.state)).collect();
     assert_eq!(states, [("s-one".to_owned(), ServerState::Draining)]);
     for (seq, believed) in [(39, false), (40, false), (41, true), (40, false), (41, false)] {
-        let listed = names::read(&bytes(&whole(5, seq)), 5).expect("a list");
-        assert_eq!(fleet.take(listed), believed, "{seq}");
+        let listed = dns::read(&bytes(&whole(5, seq)), 5).expect("a list");
+        assert_eq!(fleet.update(listed), believed, "{seq}");
     }
-    assert_eq!((fleet.seq(), fleet.lines().count()), (41, 2));
+    assert_eq!((fleet.seq(), fleet.servers().count()), (41, 2));
 }
 
 #[test]
 fn a_wrong_known_names_what_is_wrong() {
     let with = |line: &str| {
         let text = format!(r#"{{"seq":1,"results":[{{"fleet":{{"snapshot":true,"endpoints":[{line}]}}}}]}}"#);
-        Fleet::from_known(serde_json::from_str(&text).expect("JSON")).map(|_| ()).map_err(|e| e.to_string())
+        ServerList::from_config(serde_json::from_str(&text).expect("JSON"))
+            .map(|_| ())
+            .map_err(|e| e.to_string())
     };
     let wrong = with(r#"{"name":"s-x","address":"10.1.0.9","group":2,"status":"in_service"}"#);
     assert_eq!(wrong, Err("the list: s-x: no address '10.1.0.9'".into()));
@@ -122,7 +124,7 @@
 proptest! {
     #[test]
     fn any_datagram_is_read_or_named_wrong(bytes in proptest::collection::vec(any::<u8>(), 0..600)) {
-        let _ = names::read(&bytes, 5);
+        let _ = dns::read(&bytes, 5);
     }
 
     #[test]
@@ -130,6 +132,6 @@
         let mut bytes = bytes(&whole(5, 41));
         let at = at.index(bytes.len());
         bytes[at] = to;
-        let _ = names::read(&bytes, 5);
+        let _ = dns::read(&bytes, 5);
     }
 }
--- a/crates/standin/src/names.rs
+++ b/crates/standin/src/names.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 
-use baydrift_platform::names::LIST;
+use baydrift_platform::dns::LIST_NAME;
 use hickory_proto::op::{Message, MessageType};
 use hickory_proto::rr::rdata::{A, SOA, SRV, TXT};
 use hickory_proto::rr::{Name, RData, Record};
@@ -107,7 +107,7 @@
 /// The answer to a query for the list, as of the event of this number; `None` where the query is none.
 pub fn list_answer(query: &[u8], serial: u32, servers: &[Listed]) -> Option<Vec<u8>> {
     let query = Message::from_vec(query).ok()?;
-    let list = Name::from_str(LIST).ok()?;
+    let list = Name::from_str(LIST_NAME).ok()?;
     let mut message = Message::new();
     message.set_id(query.id()).set_message_type(MessageType::Response).add_queries(query.queries().to_vec());
     for server in servers {
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use baydrift_audit::{Moment, Recorder};
-use baydrift_platform::{Cause, Code, Frames, Id, Kind, Message};
+use baydrift_platform::{CallId, Cause, Message, MessageDecoder, MessageType, ParameterCode};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot};
@@ -48,7 +48,7 @@
     /// Ends of calls that found no connection.
     owed: Mutex<Vec<Message>>,
     /// Calls that stand.
-    standing: Mutex<BTreeSet<Id>>,
+    standing: Mutex<BTreeSet<CallId>>,
     set_ups: AtomicU64,
 }
 
@@ -117,33 +117,33 @@
         self.recorder.put(moment);
     }
 
-    fn attempt(&self, line: u64, call: Id) -> String {
+    fn attempt(&self, line: u64, call: CallId) -> String {
         format!("{}.{line}.{call}", self.number)
     }
 
     async fn serve(self: Arc<Self>, id: u64, stream: TcpStream) {
         let (to_line, mut lines) = mpsc::unbounded_channel();
-        let state =
-            Message::new(Kind::State, Id::default()).with(Code::REPORT, "idle:1000;circuits:1000;lat_ms:-1");
+        let state = Message::new(MessageType::LoadReport, CallId::default())
+            .with(ParameterCode::LOAD_REPORT, "idle:1000;circuits:1000;lat_ms:-1");
         let _ = to_line.send(Line::Say(state));
         for owed in lock(&self.owed).drain(..) {
             let _ = to_line.send(Line::Say(owed));
         }
         lock(&self.lines).insert(id, to_line.clone());
         let (mut reader, mut writer) = stream.into_split();
-        let (mut frames, mut buffer) = (Frames::default(), vec![0; 4096]);
+        let (mut frames, mut buffer) = (MessageDecoder::default(), vec![0; 4096]);
         let mut open = BTreeSet::new();
         loop {
             tokio::select! {
                 read = reader.read(&mut buffer) => match read {
-                    Ok(n) if n > 0 => frames.put(&buffer[..n]),
+                    Ok(n) if n > 0 => frames.push(&buffer[..n]),
                     _ => break,
                 },
                 line = lines.recv() => {
                     let bytes = match line {
                         Some(Line::Say(message)) => {
                             let Ok(bytes) = message.to_bytes() else { break };
-                            if message.kind == Kind::Answer {
+                            if message.kind == MessageType::Answer {
                                 // One that was released meanwhile is not answered any more.
                                 if !open.remove(&message.call) {
                                     continue;
@@ -163,7 +163,7 @@
                     }
                 }
             }
-            while let Ok(Some(message)) = frames.take() {
+            while let Ok(Some(message)) = frames.next_message() {
                 self.heard(id, &message, &mut open, &to_line);
             }
         }
@@ -173,7 +173,13 @@
         }
     }
 
-    fn heard(&self, id: u64, message: &Message, open: &mut BTreeSet<Id>, line: &mpsc::UnboundedSender<Line>) {
+    fn heard(
+        &self,
+        id: u64,
+        message: &Message,
+        open: &mut BTreeSet<CallId>,
+        line: &mpsc::UnboundedSender<Line>,
+    ) {
         let (server, call) = (self.number, message.call);
         let manner = *lock(&self.manner);
         let say = |message| {
@@ -182,7 +188,7 @@
             }
         };
         match message.kind {
-            Kind::SetUp => {
+            MessageType::SetUp => {
                 self.set_ups.fetch_add(1, Ordering::Relaxed);
                 let (attempt, name) = (self.attempt(id, call), format!("caller|{call}"));
                 self.put(Moment::SetUp { server, front: 0, call: name, attempt, redirected: false });
@@ -192,27 +198,29 @@
                     return;
                 }
                 let mut description = b"from ".to_vec();
-                description.extend(message.must(Code::DESCRIPTION).map(|d| d.to_vec()).unwrap_or_default());
-                say(Message::new(Kind::Answer, call).with(Code::DESCRIPTION, description));
+                description.extend(
+                    message.required(ParameterCode::DESCRIPTION).map(|d| d.to_vec()).unwrap_or_default(),
+                );
+                say(Message::new(MessageType::Answer, call).with(ParameterCode::DESCRIPTION, description));
             }
-            Kind::Release => {
+            MessageType::Release => {
                 open.remove(&call);
                 lock(&self.standing).remove(&call);
                 self.put(Moment::Release { server, attempt: self.attempt(id, call) });
             }
-            Kind::Test => say(Message::tested(call)),
+            MessageType::HealthCheck => say(Message::health_check_passed(call)),
             _ => {}
         }
     }
 
     /// The call's own end, on its connection, or on another, or on the next.
-    async fn end(self: Arc<Self>, id: u64, call: Id) {
+    async fn end(self: Arc<Self>, id: u64, call: CallId) {
         tokio::time::sleep(self.hold).await;
         if *lock(&self.manner) == Manner::Silent || !lock(&self.standing).remove(&call) {
             return;
         }
-        let message =
-            Message::release(call, Cause::NORMAL).with(Code::REPORT, "idle:1000;circuits:1000;lat_ms:12");
+        let message = Message::release(call, Cause::NORMAL)
+            .with(ParameterCode::LOAD_REPORT, "idle:1000;circuits:1000;lat_ms:12");
         let lines = lock(&self.lines);
         match lines.get(&id).or_else(|| lines.values().next()) {
             Some(line) => drop(line.send(Line::Say(message))),
@@ -234,8 +242,8 @@
 
 #[derive(Default)]
 struct Waiting {
-    answers: BTreeMap<Id, oneshot::Sender<Told>>,
-    ends: BTreeMap<Id, oneshot::Sender<u8>>,
+    answers: BTreeMap<CallId, oneshot::Sender<Told>>,
+    ends: BTreeMap<CallId, oneshot::Sender<u8>>,
 }
 
 /// A caller's connection.
@@ -256,11 +264,11 @@
         let waiting = Arc::new(Mutex::new(Waiting::default()));
         let (heard, record) = (waiting.clone(), recorder.clone());
         tokio::spawn(async move {
-            let (mut frames, mut buffer) = (Frames::default(), vec![0; 4096]);
+            let (mut frames, mut buffer) = (MessageDecoder::default(), vec![0; 4096]);
             loop {
                 tokio::select! {
                     read = reader.read(&mut buffer) => match read {
-                        Ok(n) if n > 0 => frames.put(&buffer[..n]),
+                        Ok(n) if n > 0 => frames.push(&buffer[..n]),
                         _ => break,
                     },
                     bytes = from_caller.recv() => {
@@ -270,7 +278,7 @@
                         }
                     }
                 }
-                while let Ok(Some(message)) = frames.take() {
+                while let Ok(Some(message)) = frames.next_message() {
                     hear(&record, &heard, &message);
                 }
             }
@@ -319,18 +327,20 @@
     let mut waiting = lock(waiting);
     let cause = message.cause().unwrap_or_default();
     let told = match message.kind {
-        Kind::Answer => Told::Stands(message.must(Code::DESCRIPTION).map(|d| d.to_vec()).unwrap_or_default()),
-        Kind::Release => Told::Away(cause),
+        MessageType::Answer => {
+            Told::Stands(message.required(ParameterCode::DESCRIPTION).map(|d| d.to_vec()).unwrap_or_default())
+        }
+        MessageType::Release => Told::Away(cause),
         _ => return,
     };
     match waiting.answers.remove(&message.call) {
         Some(waits) => {
-            let code = if message.kind == Kind::Answer { STANDS } else { TURNED_AWAY };
+            let code = if message.kind == MessageType::Answer { STANDS } else { TURNED_AWAY };
             recorder.put(Moment::Answer { front: 0, call: name, code });
             let _ = waits.send(told);
         }
         // A second answer that is another one shows as a breach.
-        None if message.kind == Kind::Answer => {
+        None if message.kind == MessageType::Answer => {
             recorder.put(Moment::Answer { front: 0, call: name, code: STANDS })
         }
         None => {
