--- a/crates/platform/src/dns.rs
+++ b/crates/platform/src/dns.rs
@@ -1,4 +1,8 @@
-//! The list of signalling servers from the name server: DNS over UDP (RFC 1035, SRV by RFC 2782).
+//! The list of signalling servers in DNS over UDP (RFC 1035, SRV records by RFC 2782).
+//!
+//! SRV records list the servers: priority 0 means ready, any other priority draining. A or AAAA records give
+//! the address of each host, TXT records its server number (`cell`) and start time (`started`, in Unix
+//! milliseconds). The serial of the SOA record is the sequence number of the list.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -11,37 +15,38 @@
 use crate::server_list::{started_at, ListSnapshot, ListedServer, SERVERS_MAX};
 use crate::PlatformError;
 
-/// The name whose SRV records are the list.
+/// Domain name of the SRV records of the list.
 pub const LIST_NAME: &str = "_work._tcp.fleet.local.";
-/// The longest answer.
+/// Maximum size of an answer in bytes.
 pub const ANSWER_MAX: usize = 8_000;
 
 fn list_name() -> Result<Name, PlatformError> {
-    Name::from_str(LIST_NAME).map_err(|_| PlatformError::DnsAnswer("no name to ask for"))
+    Name::from_str(LIST_NAME).map_err(|_| PlatformError::DnsAnswer("cannot be requested: invalid query name"))
 }
 
-/// The query for the list.
+/// Encodes the query for the list.
 ///
 /// # Errors
-/// Never in practice: the name and the message are fixed but for the id.
+/// Not expected: everything but the id is constant.
 pub fn query(id: u16) -> Result<Vec<u8>, PlatformError> {
     let mut message = Message::new();
     message.set_id(id).set_message_type(MessageType::Query).set_op_code(OpCode::Query);
     message.add_query(Query::query(list_name()?, RecordType::SRV));
-    message.to_vec().map_err(|_| PlatformError::DnsAnswer("the query cannot be written"))
+    message.to_vec().map_err(|_| PlatformError::DnsAnswer("cannot be requested: the query cannot be encoded"))
 }
 
-/// Reads the whole list from an answer to the query of this id.
+/// Decodes the complete list from the answer to the query with this id.
 ///
 /// # Errors
-/// When it is not that answer, reports a failure, is cut short or lacks what a list needs.
+/// If the message is not the answer to that query, reports a failure, is truncated, lacks a required record
+/// or lists more than [`SERVERS_MAX`] servers.
 pub fn read(bytes: &[u8], id: u16) -> Result<ListSnapshot, PlatformError> {
-    let message = Message::from_vec(bytes).map_err(|_| PlatformError::DnsAnswer("cannot be read"))?;
+    let message = Message::from_vec(bytes).map_err(|_| PlatformError::DnsAnswer("cannot be decoded"))?;
     if message.id() != id || message.message_type() != MessageType::Response {
         return Err(PlatformError::DnsAnswer("is not to this query"));
     }
     if message.truncated() {
-        return Err(PlatformError::DnsAnswer("is cut short"));
+        return Err(PlatformError::DnsAnswer("is truncated"));
     }
     if message.response_code() != ResponseCode::NoError {
         return Err(PlatformError::DnsAnswer("reports a failure"));
@@ -56,7 +61,7 @@
         _ => None,
     });
     let seq = serial.ok_or(PlatformError::DnsAnswer("has no serial"))?;
-    let about = hosts(all());
+    let hosts = read_hosts(all());
     let mut servers = BTreeMap::new();
     for record in message.answers() {
         let RData::SRV(srv) = record.data() else { continue };
@@ -65,19 +70,19 @@
         }
         let label = srv.target().iter().next().and_then(|label| std::str::from_utf8(label).ok());
         let name = label.ok_or(PlatformError::DnsAnswer("names no server"))?.to_owned();
-        let host = about
+        let host = hosts
             .get(&srv.target().to_lowercase())
             .ok_or(PlatformError::DnsAnswer("lacks a server's host"))?;
         let ip = host.address.ok_or(PlatformError::DnsAnswer("lacks a server's address"))?;
         let state = if srv.priority() == 0 { ServerState::Ready } else { ServerState::Draining };
-        let line = ListedServer {
+        let server = ListedServer {
             address: SocketAddr::new(ip, srv.port()),
             number: host.number,
             state,
             started_at: started_at(host.started_ms),
             name: name.clone(),
         };
-        servers.insert(name, line);
+        servers.insert(name, server);
         if servers.len() > SERVERS_MAX {
             return Err(PlatformError::DnsAnswer("names too many servers"));
         }
@@ -85,7 +90,7 @@
     Ok(ListSnapshot { seq, servers })
 }
 
-/// What A and TXT records tell of one host.
+/// Data from the A, AAAA and TXT records of one host.
 #[derive(Default)]
 struct Host {
     address: Option<IpAddr>,
@@ -93,7 +98,7 @@
     started_ms: f64,
 }
 
-fn hosts<'a>(records: impl Iterator<Item = &'a Record>) -> BTreeMap<Name, Host> {
+fn read_hosts<'a>(records: impl Iterator<Item = &'a Record>) -> BTreeMap<Name, Host> {
     let mut hosts: BTreeMap<Name, Host> = BTreeMap::new();
     for record in records {
         match record.data() {
--- a/crates/platform/src/error.rs
+++ b/crates/platform/src/error.rs
@@ -1,40 +1,42 @@
-//! What was wrong with a message or a list.
+//! Errors in call messages, server lists and DNS answers.
 
-/// Why something could not be read.
+use crate::message::{MAX_LENGTH, MIN_LENGTH};
+
+/// Why an input could not be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PlatformError {
-    /// A message's length is out of its bounds.
-    #[error("a message claims {0} bytes; {least} to {most} are allowed", least = crate::message::MIN_LENGTH, most = crate::message::MAX_LENGTH)]
+    /// The length of a message, in bytes, is outside [`MIN_LENGTH`] to [`MAX_LENGTH`].
+    #[error("message length of {0} bytes; {MIN_LENGTH} to {MAX_LENGTH} are allowed")]
     InvalidLength(usize),
-    /// No message has this type.
+    /// The type byte belongs to no known message type.
     #[error("unknown message type {0}")]
     UnknownType(u8),
-    /// A parameter runs past its message.
-    #[error("parameter {code} at byte {at} runs past its message")]
+    /// A parameter extends past the end of its message.
+    #[error("parameter {code} at byte {at} extends past the end of the message")]
     ParameterOverrun {
-        /// Its code.
+        /// Parameter code.
         code: u8,
-        /// Where it begins.
+        /// Byte offset of the parameter within the message, without the length field.
         at: usize,
     },
-    /// A parameter that may be there once is there twice.
-    #[error("parameter {0} is given twice")]
+    /// A parameter that may occur at most once occurs twice.
+    #[error("parameter {0} occurs twice")]
     DuplicateParameter(u8),
-    /// A parameter is missing.
+    /// A required parameter is missing.
     #[error("parameter {0} is missing")]
     MissingParameter(u8),
-    /// A parameter's value is of no use.
+    /// The value of a parameter is malformed or out of range.
     #[error("parameter {code}: {what}")]
     InvalidValue {
-        /// Its code.
+        /// Parameter code.
         code: u8,
-        /// What is wrong.
+        /// What is wrong with the value.
         what: &'static str,
     },
-    /// The list's text cannot be read.
-    #[error("the list: {0}")]
+    /// The configured server list is malformed.
+    #[error("server list: {0}")]
     InvalidList(String),
-    /// A name server's answer cannot be used.
-    #[error("the name server's answer: {0}")]
+    /// An answer of the DNS server cannot be used.
+    #[error("DNS answer {0}")]
     DnsAnswer(&'static str),
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,9 +1,11 @@
-//! The users' platform as a front node meets it, without I/O.
+//! Protocols of the users' platform towards a front node, without I/O.
 //!
-//! [`message`] has the call messages and their framing, [`setup`] reads what a caller offers, [`report`] the
-//! load reports by name, [`list`] the list of signalling servers from its events and [`names`] from DNS.
+//! [`message`] has the call messages and their framing, [`setup`] the parameters of a set-up, [`report`] the
+//! load reports, whose field names are configured, [`server_list`] the configured list of signalling servers
+//! and its versions, and [`dns`] the same list as DNS records.
 //!
-//! Nothing here panics on input: what cannot be read is a typed [`PlatformError`] that names what and where.
+//! No input causes a panic: malformed input is reported as a [`PlatformError`] that names the field and the
+//! defect.
 
 pub mod dns;
 pub mod error;
--- a/crates/platform/src/message.rs
+++ b/crates/platform/src/message.rs
@@ -1,15 +1,19 @@
-//! Call messages: a length, a type, the call's id and parameters; and how they are cut from a stream.
+//! Call messages and their framing on a byte stream.
+//!
+//! A message is a two-byte length, a type byte, an eight-byte call id and any number of parameters. Each
+//! parameter is a code byte, a two-byte length and a value. Integers are big-endian; the length of a message
+//! does not include the length field itself.
 
 use bytes::{Buf, Bytes, BytesMut};
 
 use crate::PlatformError;
 
-/// Bytes of type and id: the least that a length may say.
+/// Minimum message length in bytes: type and call id, without parameters.
 pub const MIN_LENGTH: usize = 9;
-/// The most that a length may say: no message holds more than 16 KiB.
+/// Maximum message length in bytes.
 pub const MAX_LENGTH: usize = 16 * 1024;
 
-/// A call's id on the wire. Opaque.
+/// Opaque call identifier, displayed in hexadecimal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct CallId(pub [u8; 8]);
 
@@ -19,24 +23,24 @@
     }
 }
 
-/// The types of messages.
+/// Message types.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MessageType {
-    /// A call is offered.
+    /// Offers a call.
     SetUp,
-    /// Means nothing.
+    /// Progress indication; has no effect.
     Progress,
-    /// The call stands.
+    /// The call is established.
     Answer,
-    /// Refused, given up or over, by its cause.
+    /// The call is refused, cancelled or cleared, depending on the cause.
     Release,
-    /// A release was heard; means nothing.
+    /// Acknowledges a release; has no effect.
     ReleaseAck,
-    /// Does the connection work?
+    /// Health check of a connection.
     HealthCheck,
-    /// It does, or not, by its cause.
+    /// Response to a health check; the cause gives the result.
     HealthCheckResult,
-    /// News of a group.
+    /// Load report of a signalling server.
     LoadReport,
 }
 
@@ -53,8 +57,8 @@
     ];
 
     fn read(code: u8) -> Result<Self, PlatformError> {
-        let known = Self::ALL.iter().find(|(own, _)| *own == code);
-        known.map(|(_, kind)| *kind).ok_or(PlatformError::UnknownType(code))
+        let found = Self::ALL.iter().find(|(known, _)| *known == code);
+        found.map(|(_, kind)| *kind).ok_or(PlatformError::UnknownType(code))
     }
 
     fn code(self) -> u8 {
@@ -62,101 +66,101 @@
     }
 }
 
-/// The parameters that a front node knows.
+/// Codes of the parameters that a front node evaluates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ParameterCode;
 
 impl ParameterCode {
-    /// The class, by name.
+    /// Name of the class.
     pub const CLASS: u8 = 129;
-    /// How long the sender waits, in milliseconds.
+    /// How long the sender waits for the answer, in milliseconds.
     pub const TIMEOUT: u8 = 132;
-    /// The tenant, by name.
+    /// Name of the tenant.
     pub const TENANT: u8 = 135;
-    /// The number called.
+    /// Called number, in hexadecimal digits.
     pub const CALLED_NUMBER: u8 = 141;
-    /// Further figures of a set-up.
+    /// Further attributes of a set-up, as `name:value` pairs separated by semicolons.
     pub const ATTRIBUTES: u8 = 144;
-    /// A word on a refusal.
+    /// Detail on the reason of a refusal.
     pub const NOTE: u8 = 150;
-    /// A load report.
+    /// Load report, see [`crate::report`].
     pub const LOAD_REPORT: u8 = 156;
-    /// The cause, one byte.
+    /// Cause, one byte, see [`Cause`].
     pub const CAUSE: u8 = 171;
-    /// The description, any bytes.
+    /// Session description, opaque bytes.
     pub const DESCRIPTION: u8 = 174;
 }
 
-/// The causes that mean something here.
+/// Cause values that a front node distinguishes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Cause;
 
 impl Cause {
-    /// A test passed.
+    /// A health check passed.
     pub const PASSED: u8 = 1;
-    /// The call came to its end, or the set-up is given up.
+    /// Normal clearing of a call, or cancellation of a set-up.
     pub const NORMAL: u8 = 16;
-    /// Error: the number was busy.
+    /// The called number is busy; counts as an error.
     pub const BUSY: u8 = 17;
-    /// Full; towards a caller: refused, trying again is harmless.
+    /// The server has no free circuit. Towards a caller: refused, and safe to retry.
     pub const NO_CIRCUIT: u8 = 34;
-    /// Reset or cut; towards a caller: failed.
+    /// Temporary failure: the call was reset or cut. Towards a caller: the call failed.
     pub const TEMPORARY: u8 = 41;
-    /// Error.
+    /// Resource unavailable; counts as an error.
     pub const RESOURCE: u8 = 47;
-    /// Towards a caller: what it sent cannot be used.
+    /// Towards a caller: its message is invalid.
     pub const INVALID: u8 = 95;
-    /// Moot: it never left.
+    /// A timer expired before the set-up was sent; the attempt has no outcome.
     pub const TIMER: u8 = 102;
 }
 
-/// One message, its parameters as they came.
+/// A message with its parameters in the order received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Message {
-    /// Its type.
+    /// Message type.
     pub kind: MessageType,
-    /// The call that it is about.
+    /// Call that the message belongs to; all zero for messages about the connection or the server.
     pub call: CallId,
-    /// ParameterCode and value of each parameter, in order.
+    /// Code and value of each parameter.
     pub parameters: Vec<(u8, Bytes)>,
 }
 
 impl Message {
-    /// A message without parameters.
+    /// Creates a message without parameters.
     pub fn new(kind: MessageType, call: CallId) -> Self {
         Self { kind, call, parameters: Vec::new() }
     }
 
-    /// The same with one parameter more.
+    /// Appends a parameter.
     #[must_use]
     pub fn with(mut self, code: u8, value: impl Into<Bytes>) -> Self {
         self.parameters.push((code, value.into()));
         self
     }
 
-    /// A release.
+    /// Creates a release with a cause.
     pub fn release(call: CallId, cause: u8) -> Self {
         Self::new(MessageType::Release, call).with(ParameterCode::CAUSE, vec![cause])
     }
 
-    /// The word that a connection works.
+    /// Creates the response to a health check that passed.
     pub fn health_check_passed(call: CallId) -> Self {
         Self::new(MessageType::HealthCheckResult, call).with(ParameterCode::CAUSE, vec![Cause::PASSED])
     }
 
-    /// The message's bytes.
+    /// Encodes the message.
     ///
     /// # Errors
-    /// As [`Message::write`].
+    /// See [`Message::write`].
     pub fn to_bytes(&self) -> Result<Vec<u8>, PlatformError> {
         let mut bytes = Vec::new();
         self.write(&mut bytes).map(|()| bytes)
     }
 
-    /// The value of a parameter that may be there once.
+    /// Value of a parameter that may occur at most once.
     ///
     /// # Errors
-    /// When it is there twice: which of the two counts nobody can tell.
+    /// If it occurs twice, since the protocol does not define which value applies.
     pub fn optional(&self, code: u8) -> Result<Option<&Bytes>, PlatformError> {
         let mut values = self.parameters.iter().filter(|(own, _)| *own == code);
         match (values.next(), values.next()) {
@@ -165,29 +169,30 @@
         }
     }
 
-    /// The value of a parameter that must be there.
+    /// Value of a required parameter.
     ///
     /// # Errors
-    /// When it is missing, or there twice.
+    /// If it is missing or occurs twice.
     pub fn required(&self, code: u8) -> Result<&Bytes, PlatformError> {
         self.optional(code)?.ok_or(PlatformError::MissingParameter(code))
     }
 
-    /// The value of a text parameter.
+    /// Value of an optional text parameter.
     ///
     /// # Errors
-    /// When it is there twice or is no text.
+    /// If it occurs twice or is not valid UTF-8.
     pub fn text(&self, code: u8) -> Result<Option<&str>, PlatformError> {
         let text = |value| {
-            std::str::from_utf8(value).map_err(|_| PlatformError::InvalidValue { code, what: "no text" })
+            std::str::from_utf8(value)
+                .map_err(|_| PlatformError::InvalidValue { code, what: "not valid UTF-8" })
         };
         self.optional(code)?.map(|value| text(value)).transpose()
     }
 
-    /// The cause.
+    /// Value of the cause parameter.
     ///
     /// # Errors
-    /// When it is missing, there twice, or not one byte.
+    /// If it is missing, occurs twice, or is not one byte long.
     pub fn cause(&self) -> Result<u8, PlatformError> {
         match self.required(ParameterCode::CAUSE)?[..] {
             [cause] => Ok(cause),
@@ -195,10 +200,10 @@
         }
     }
 
-    /// Appends the message's bytes.
+    /// Appends the encoded message to `out`.
     ///
     /// # Errors
-    /// When it would hold more than a message may.
+    /// If the message is longer than [`MAX_LENGTH`].
     pub fn write(&self, out: &mut Vec<u8>) -> Result<(), PlatformError> {
         let size = MIN_LENGTH + self.parameters.iter().map(|(_, value)| 3 + value.len()).sum::<usize>();
         if size > MAX_LENGTH {
@@ -240,28 +245,30 @@
     }
 }
 
-/// Cuts messages from the bytes of one connection. Holds at most one message and what came with one read.
+/// Decodes messages from the byte stream of one connection.
+///
+/// Buffers at most one incomplete message plus the bytes of one read.
 #[derive(Debug, Default)]
 pub struct MessageDecoder {
-    held: BytesMut,
+    buffer: BytesMut,
 }
 
 impl MessageDecoder {
-    /// Takes what was read.
+    /// Appends bytes received on the connection.
     pub fn push(&mut self, bytes: &[u8]) {
-        self.held.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole message.
+    /// Decodes the next complete message; `None` if more bytes are needed.
     ///
     /// # Errors
-    /// When the stream cannot be read any further; nothing after this is of use. A length that is out of
-    /// bounds is seen before any of the message has come.
+    /// If the message is malformed. Framing is lost then, so the connection must be closed. An invalid length
+    /// or type is reported as soon as its bytes have arrived.
     pub fn next_message(&mut self) -> Result<Option<Message>, PlatformError> {
-        let Some(head) = self.held.get(..2) else {
-            if self.held.is_empty() {
-                // An idle connection holds nothing.
-                self.held = BytesMut::new();
+        let Some(head) = self.buffer.get(..2) else {
+            if self.buffer.is_empty() {
+                // Frees the buffer, so that an idle connection uses no memory for it.
+                self.buffer = BytesMut::new();
             }
             return Ok(None);
         };
@@ -269,21 +276,21 @@
         if !(MIN_LENGTH..=MAX_LENGTH).contains(&length) {
             return Err(PlatformError::InvalidLength(length));
         }
-        if let Some(code) = self.held.get(2) {
+        if let Some(code) = self.buffer.get(2) {
             MessageType::read(*code)?;
         }
-        if self.held.len() < 2 + length {
+        if self.buffer.len() < 2 + length {
             return Ok(None);
         }
-        self.held.advance(2);
-        // Copied, so that a description that is kept does not keep all that was read with it.
-        let body = Bytes::copy_from_slice(&self.held[..length]);
-        self.held.advance(length);
+        self.buffer.advance(2);
+        // Copied: a description that is retained would otherwise keep the whole receive buffer alive.
+        let body = Bytes::copy_from_slice(&self.buffer[..length]);
+        self.buffer.advance(length);
         Message::read(body).map(Some)
     }
 
-    /// Whether part of a message is held.
+    /// Whether bytes of an incomplete message are buffered.
     pub fn has_partial_message(&self) -> bool {
-        !self.held.is_empty()
+        !self.buffer.is_empty()
     }
 }
--- a/crates/platform/src/report.rs
+++ b/crates/platform/src/report.rs
@@ -1,9 +1,12 @@
-//! Load reports as text, by the names that the settings give.
+//! Load reports as text, with the field names that the settings define.
 
 use baydrift::config::Field;
 use baydrift::interface::Report;
 
-/// Reads a report such as `idle:12;circuits:40`. What is unknown, is no number or says 'not told' is passed over.
+/// Reads a report such as `idle:12;circuits:40`.
+///
+/// Unknown fields and values that are not numbers are ignored. Negative and non-finite values count as not
+/// reported, see [`Field::put`].
 pub fn read(text: &str, fields: &[(String, Field)]) -> Report {
     let mut report = Report::default();
     for part in text.split(';') {
--- a/crates/platform/src/server_list.rs
+++ b/crates/platform/src/server_list.rs
@@ -1,4 +1,4 @@
-//! The list of signalling servers, from its numbered events.
+//! The list of signalling servers and its numbered versions.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,32 +8,34 @@
 
 use crate::PlatformError;
 
-/// Most servers that a list may have.
+/// Maximum number of servers in a list.
 pub const SERVERS_MAX: usize = 256;
 
-/// The module's name for a server: a hash of its id (FNV-1a), so that all front nodes name it alike.
+/// Derives the numeric id of a server from its name.
+///
+/// Uses the FNV-1a hash, so that all front nodes assign the same id.
 pub fn server_id(name: &str) -> ServerId {
     name.bytes()
         .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
 }
 
-/// One signalling server as it is listed.
+/// A signalling server of the list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ListedServer {
-    /// Its id.
+    /// Server name, unique within the list.
     pub name: String,
-    /// Where it listens.
+    /// Address that the server accepts connections on.
     pub address: SocketAddr,
-    /// Its number: calls name their first choice by it.
+    /// Server number, by which a set-up names its preferred server.
     pub number: u16,
-    /// Its state; never gone: a server that is gone has no line.
+    /// Server state; a terminated server is not in the list.
     pub state: ServerState,
-    /// When its process started, in Unix microseconds; `None` when long ago.
+    /// Start time of the server process in Unix microseconds; `None` if it started long ago.
     pub started_at: Option<Micros>,
 }
 
 impl ListedServer {
-    /// What the module is told of it.
+    /// Converts the server to a list entry of the decision module.
     pub fn entry(&self) -> Entry {
         Entry {
             server: server_id(&self.name),
@@ -44,19 +46,19 @@
     }
 }
 
-/// The whole list as of one event.
+/// The complete list as of one event.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ListSnapshot {
-    /// The event's number.
+    /// Sequence number of the event.
     pub seq: u32,
-    /// The servers, by id.
+    /// Servers by name.
     pub servers: BTreeMap<String, ListedServer>,
 }
 
-/// The list as this front node knows it.
+/// The most recent list known to this front node.
 #[derive(Debug, Clone, Default)]
 pub struct ServerList {
-    listed: ListSnapshot,
+    snapshot: ListSnapshot,
 }
 
 #[derive(Deserialize)]
@@ -91,58 +93,61 @@
     since_ms: f64,
 }
 
-/// Unix milliseconds of a late start to microseconds; 0 for none.
+/// Converts a start time from Unix milliseconds to microseconds; `None` for 0 and for invalid values.
 pub(crate) fn started_at(ms: f64) -> Option<Micros> {
     (ms.is_finite() && ms > 0.0).then_some((ms * 1e3) as Micros)
 }
 
 impl ServerList {
-    /// The list that a configuration holds under `known`.
+    /// Reads the list from the value of the configuration key `known` by applying its events in order.
     ///
     /// # Errors
-    /// When it cannot be read, or an event of it makes no sense.
+    /// If the value is malformed, has an invalid entry, or lists more than [`SERVERS_MAX`] servers.
     pub fn from_config(known: serde_json::Value) -> Result<Self, PlatformError> {
         let raw: RawList =
             serde_json::from_value(known).map_err(|e| PlatformError::InvalidList(e.to_string()))?;
         let mut servers = BTreeMap::new();
-        for (first, fleet) in
-            raw.results.into_iter().filter_map(|r| r.fleet).enumerate().map(|(i, f)| (i == 0, f))
+        for (first, changes) in
+            raw.results.into_iter().filter_map(|r| r.fleet).enumerate().map(|(i, c)| (i == 0, c))
         {
-            if fleet.snapshot || first {
+            if changes.snapshot || first {
                 servers.clear();
             }
-            for line in fleet.endpoints {
-                let state = match line.status.as_str() {
+            for endpoint in changes.endpoints {
+                let state = match endpoint.status.as_str() {
                     "in_service" => ServerState::Ready,
                     "terminating" => ServerState::Draining,
                     "terminated" => {
-                        servers.remove(&line.name);
+                        servers.remove(&endpoint.name);
                         continue;
                     }
                     other => {
                         return Err(PlatformError::InvalidList(format!(
                             "{}: unknown status '{other}'",
-                            line.name
+                            endpoint.name
                         )))
                     }
                 };
-                let address = line.address.parse();
+                let address = endpoint.address.parse();
                 let address = address.map_err(|_| {
-                    PlatformError::InvalidList(format!("{}: no address '{}'", line.name, line.address))
+                    PlatformError::InvalidList(format!(
+                        "{}: invalid address '{}'",
+                        endpoint.name, endpoint.address
+                    ))
                 })?;
-                let number = u16::try_from(line.group);
+                let number = u16::try_from(endpoint.group);
                 let number = number.map_err(|_| {
-                    PlatformError::InvalidList(format!("{}: group {}", line.name, line.group))
+                    PlatformError::InvalidList(format!("{}: invalid group {}", endpoint.name, endpoint.group))
                 })?;
-                let name = line.name;
-                let line = ListedServer {
+                let name = endpoint.name;
+                let server = ListedServer {
                     name: name.clone(),
                     address,
                     number,
                     state,
-                    started_at: started_at(line.since_ms),
+                    started_at: started_at(endpoint.since_ms),
                 };
-                servers.insert(name, line);
+                servers.insert(name, server);
             }
             if servers.len() > SERVERS_MAX {
                 return Err(PlatformError::InvalidList(format!(
@@ -150,29 +155,31 @@
                 )));
             }
         }
-        Ok(Self { listed: ListSnapshot { seq: raw.seq, servers } })
+        Ok(Self { snapshot: ListSnapshot { seq: raw.seq, servers } })
     }
 
-    /// Takes a newer list. `false` where it is none: an older one is never believed, whoever sends it.
-    pub fn update(&mut self, listed: ListSnapshot) -> bool {
-        let newer = listed.seq > self.listed.seq;
+    /// Replaces the list by one with a higher sequence number; returns whether it was replaced.
+    ///
+    /// Older lists are ignored, whichever DNS server sends them.
+    pub fn update(&mut self, snapshot: ListSnapshot) -> bool {
+        let newer = snapshot.seq > self.snapshot.seq;
         if newer {
-            self.listed = listed;
+            self.snapshot = snapshot;
         }
         newer
     }
 
-    /// The number of the last event.
+    /// Sequence number of the last event.
     pub fn seq(&self) -> u32 {
-        self.listed.seq
+        self.snapshot.seq
     }
 
-    /// The servers, by id.
+    /// Servers in the order of their names.
     pub fn servers(&self) -> impl Iterator<Item = &ListedServer> {
-        self.listed.servers.values()
+        self.snapshot.servers.values()
     }
 
-    /// What the module is told: the whole list.
+    /// Converts the complete list to entries of the decision module.
     pub fn entries(&self) -> Vec<Entry> {
         self.servers().map(ListedServer::entry).collect()
     }
--- a/crates/platform/src/setup.rs
+++ b/crates/platform/src/setup.rs
@@ -1,4 +1,4 @@
-//! What a caller offers, read from a set-up.
+//! Decoding of set-up messages.
 
 use bytes::Bytes;
 
@@ -6,36 +6,38 @@
 
 use crate::{Message, MessageType, ParameterCode, PlatformError};
 
-/// A set-up's own figures, checked against nothing but their form and the bounds given.
+/// Parameters of a set-up, validated for format and range only.
+///
+/// Whether the class and the tenant are configured is not checked here.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SetUp {
-    /// The class's name.
+    /// Name of the class.
     pub class: String,
-    /// The tenant's name, where one is named.
+    /// Name of the tenant, if the set-up has one.
     pub tenant: Option<String>,
-    /// The number called as it came, and as a number; 0 for none.
+    /// Called number: the parameter as received, and its numeric value, 0 if there is none.
     pub number: (Option<Bytes>, u64),
-    /// How long the caller waits.
+    /// How long the caller waits for the answer.
     pub caller_timeout: Micros,
-    /// The destination's number.
+    /// Number of the preferred signalling server.
     pub destination: Option<u16>,
-    /// Circuits that the call takes.
+    /// Number of circuits that the call occupies.
     pub width: f64,
-    /// It stood, was cut and comes again.
+    /// The call was established before and was dropped.
     pub was_dropped: bool,
-    /// Dialled again, where callers mark that.
+    /// The caller redials; only meaningful where callers mark redials.
     pub redial: bool,
-    /// It stands at this signalling server already.
+    /// Name of the signalling server at which the call is established already.
     pub current_server: Option<String>,
-    /// What the signalling server is to get.
+    /// Session description for the signalling server.
     pub description: Bytes,
 }
 
-/// A number within its bounds, from text.
-fn figure(code: u8, text: &str, least: f64, most: f64) -> Result<f64, PlatformError> {
+/// Parses a number and checks that it lies between `min` and `max`, both inclusive.
+fn parse_number(code: u8, text: &str, min: f64, max: f64) -> Result<f64, PlatformError> {
     let value: f64 =
-        text.trim().parse().map_err(|_| PlatformError::InvalidValue { code, what: "no number" })?;
-    if value.is_finite() && (least..=most).contains(&value) {
+        text.trim().parse().map_err(|_| PlatformError::InvalidValue { code, what: "not a number" })?;
+    if value.is_finite() && (min..=max).contains(&value) {
         Ok(value)
     } else {
         Err(PlatformError::InvalidValue { code, what: "out of range" })
@@ -43,12 +45,14 @@
 }
 
 impl SetUp {
-    /// Reads a set-up; one that stands already (`at`) needs neither time nor description.
+    /// Decodes a set-up. A call that is established already (attribute `at`) needs neither a timeout nor a
+    /// description.
     ///
     /// # Errors
-    /// Names the first parameter that is missing, twice there, or of no use.
-    pub fn read(message: &Message, longest_wait: Micros) -> Result<Self, PlatformError> {
-        let mut offer = Self {
+    /// If a parameter is missing, occurs twice or has an invalid value; the error names the first such
+    /// parameter.
+    pub fn read(message: &Message, max_timeout: Micros) -> Result<Self, PlatformError> {
+        let mut setup = Self {
             class: message
                 .text(ParameterCode::CLASS)?
                 .ok_or(PlatformError::MissingParameter(ParameterCode::CLASS))?
@@ -64,40 +68,44 @@
             description: message.optional(ParameterCode::DESCRIPTION)?.cloned().unwrap_or_default(),
         };
         if let Some(text) = message.text(ParameterCode::CALLED_NUMBER)?.filter(|text| !text.is_empty()) {
-            let wrong =
-                PlatformError::InvalidValue { code: ParameterCode::CALLED_NUMBER, what: "no number called" };
+            let invalid = PlatformError::InvalidValue {
+                code: ParameterCode::CALLED_NUMBER,
+                what: "not a called number of up to 16 hexadecimal digits",
+            };
             let digits = text.len() <= 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
-            offer.number.1 = u64::from_str_radix(text, 16).ok().filter(|_| digits).ok_or(wrong)?;
+            setup.number.1 = u64::from_str_radix(text, 16).ok().filter(|_| digits).ok_or(invalid)?;
         }
         if let Some(text) = message.text(ParameterCode::ATTRIBUTES)? {
-            text.split(';').filter(|part| !part.is_empty()).try_for_each(|part| offer.figure(part))?;
+            text.split(';')
+                .filter(|part| !part.is_empty())
+                .try_for_each(|part| setup.apply_attribute(part))?;
         }
-        if offer.current_server.is_some() {
-            return Ok(offer);
+        if setup.current_server.is_some() {
+            return Ok(setup);
         }
-        let wait = message
+        let timeout = message
             .text(ParameterCode::TIMEOUT)?
             .ok_or(PlatformError::MissingParameter(ParameterCode::TIMEOUT))?;
-        offer.caller_timeout =
-            (figure(ParameterCode::TIMEOUT, wait, 1.0, longest_wait as f64 / 1e3)? * 1e3) as Micros;
+        setup.caller_timeout =
+            (parse_number(ParameterCode::TIMEOUT, timeout, 1.0, max_timeout as f64 / 1e3)? * 1e3) as Micros;
         message.required(ParameterCode::DESCRIPTION)?;
-        Ok(offer)
+        Ok(setup)
     }
 
-    /// One of the further figures. Names that are unknown are passed over.
-    fn figure(&mut self, part: &str) -> Result<(), PlatformError> {
+    /// Applies one attribute. Unknown attributes are ignored.
+    fn apply_attribute(&mut self, part: &str) -> Result<(), PlatformError> {
         let code = ParameterCode::ATTRIBUTES;
         let (name, value) = part
             .split_once(':')
-            .ok_or(PlatformError::InvalidValue { code, what: "a figure without value" })?;
+            .ok_or(PlatformError::InvalidValue { code, what: "an attribute without a value" })?;
         match name.trim() {
-            "dest" => self.destination = index(figure(code, value, -1.0, f64::from(u16::MAX))?),
-            "width" => self.width = figure(code, value, 0.0, f64::from(u16::MAX))?,
+            "dest" => self.destination = server_number(parse_number(code, value, -1.0, f64::from(u16::MAX))?),
+            "width" => self.width = parse_number(code, value, 0.0, f64::from(u16::MAX))?,
             "via" => {
-                figure(code, value, -1.0, f64::from(u16::MAX))?;
+                parse_number(code, value, -1.0, f64::from(u16::MAX))?;
             }
-            "again" => self.was_dropped = figure(code, value, 0.0, 1.0)? > 0.0,
-            "retry" => self.redial = figure(code, value, 0.0, 1.0)? > 0.0,
+            "again" => self.was_dropped = parse_number(code, value, 0.0, 1.0)? > 0.0,
+            "retry" => self.redial = parse_number(code, value, 0.0, 1.0)? > 0.0,
             "at" => self.current_server = Some(value.trim().to_owned()).filter(|at| !at.is_empty()),
             _ => {}
         }
@@ -105,16 +113,17 @@
     }
 }
 
-/// Whether a message asks for a call, other than one that stands already.
+/// Whether a message is a set-up of a new call, that is, of one not yet established at a server.
 pub fn is_offer(message: &Message) -> bool {
-    let names = |part: &str| {
+    let names_server = |part: &str| {
         part.split_once(':').is_some_and(|(name, at)| name.trim() == "at" && !at.trim().is_empty())
     };
-    let stands = |text: &str| text.split(';').any(names);
+    let is_established = |text: &str| text.split(';').any(names_server);
     message.kind == MessageType::SetUp
-        && !message.text(ParameterCode::ATTRIBUTES).ok().flatten().is_some_and(stands)
+        && !message.text(ParameterCode::ATTRIBUTES).ok().flatten().is_some_and(is_established)
 }
 
-fn index(value: f64) -> Option<u16> {
+/// Converts a server number; negative values mean none.
+fn server_number(value: f64) -> Option<u16> {
     (value >= 0.0).then_some(value as u16)
 }
