--- a/crates/desk/src/commands.rs
+++ b/crates/desk/src/commands.rs
@@ -299,7 +299,10 @@
             CommandKind::AuditValue => self.audit(now, link, id, context, command),
             CommandKind::AuditCapability => {
                 let packages = ["bdc-1", "ocp-1"].map(Item::new).to_vec();
-                Ok(Done::Replied(command.termination.clone(), vec![Item::new("Packages").grouping(packages)]))
+                Ok(Done::Replied(
+                    command.termination.clone(),
+                    vec![Item::new("Packages").with_group(packages)],
+                ))
             }
             CommandKind::Modify => self.modify(link, context, command),
             CommandKind::ServiceChange => self.service_change(now, link, id, command, out),
@@ -500,7 +503,7 @@
             for event in descriptor.items() {
                 let known = if root { "ocp/mg_overload" } else { "bdc/cut" };
                 if !event.name.eq_ignore_ascii_case(known) {
-                    return no(code::NO_SUCH_EVENT, "no such event here");
+                    return no(code::UNKNOWN_EVENT, "no such event here");
                 }
             }
             let request = descriptor.text().unwrap_or("1").to_owned();
@@ -623,7 +626,7 @@
         event: &str,
         out: &mut Vec<DeskOutput>,
     ) {
-        let observed = Item::new("ObservedEvents").with(request).grouping(vec![Item::new(event)]);
+        let observed = Item::new("ObservedEvents").with(request).with_group(vec![Item::new(event)]);
         let command = Command {
             kind: CommandKind::Notify,
             optional: false,
@@ -655,5 +658,5 @@
 /// How long a call has stood, ms.
 fn statistics(now: Micros, entry: &Entry) -> Item {
     let ms = if entry.stands { now.saturating_sub(entry.since) / 1_000 } else { 0 };
-    Item::new("Statistics").grouping(vec![Item::new("bdc/dur").with(ms.to_string())])
+    Item::new("Statistics").with_group(vec![Item::new("bdc/dur").with(ms.to_string())])
 }
--- a/crates/desk/src/text.rs
+++ b/crates/desk/src/text.rs
@@ -190,7 +190,7 @@
         if text.len() <= REPLY_MAX {
             return text.into();
         }
-        let error = ErrorDescriptor::new(code::TOO_BIG, "the reply does not fit a datagram");
+        let error = ErrorDescriptor::new(code::PDU_TOO_LARGE, "the reply does not fit a datagram");
         self.message(Transaction::Reply { id, immediate_ack, body: ReplyBody::Error(error) }).into()
     }
 
@@ -258,8 +258,9 @@
     /// A command failed: unless it was optional the rest of the transaction is not run.
     pub(crate) fn fail(&mut self, command: &Command, error: ErrorDescriptor) {
         let text = error.text.replace('"', "'");
-        let item =
-            Item::new("Error").with(error.code.to_string()).grouping(vec![Item::new(format!("\"{text}\""))]);
+        let item = Item::new("Error")
+            .with(error.code.to_string())
+            .with_group(vec![Item::new(format!("\"{text}\""))]);
         self.put(command.kind, &command.termination, vec![item]);
         if !command.optional {
             self.commands.clear();
--- a/crates/h248/src/error.rs
+++ b/crates/h248/src/error.rs
@@ -33,7 +33,7 @@
     /// Descriptor not legal in this Command.
     pub const ILLEGAL_DESCRIPTOR: u16 = 447;
     /// Descriptor appears twice in a Command.
-    pub const DESCRIPTOR_TWICE: u16 = 448;
+    pub const DUPLICATE_DESCRIPTOR: u16 = 448;
     /// Unsupported or unknown parameter or property value.
     pub const UNKNOWN_VALUE: u16 = 449;
     /// Internal software failure.
@@ -45,9 +45,9 @@
     /// Insufficient resources.
     pub const INSUFFICIENT_RESOURCES: u16 = 510;
     /// Unequipped to detect the requested event.
-    pub const NO_SUCH_EVENT: u16 = 512;
+    pub const UNKNOWN_EVENT: u16 = 512;
     /// Response exceeds the maximum transport PDU size.
-    pub const TOO_BIG: u16 = 533;
+    pub const PDU_TOO_LARGE: u16 = 533;
 }
 
 /// Why a text is no message.
--- a/crates/h248/src/grammar.rs
+++ b/crates/h248/src/grammar.rs
@@ -190,7 +190,7 @@
 pub(crate) fn tree(text: &str) -> Result<Tree, Error> {
     if text.len() > TEXT_MAX {
         let what = format!("{} bytes of text; {TEXT_MAX} are read", text.len());
-        return Err(Error::at(text, 0, code::TOO_BIG, what));
+        return Err(Error::at(text, 0, code::PDU_TOO_LARGE, what));
     }
     let mut input = LocatingSlice::new(text);
     message.parse_next(&mut input).map_err(|error| {
--- a/crates/h248/src/item.rs
+++ b/crates/h248/src/item.rs
@@ -89,7 +89,7 @@
     }
 
     /// With a group.
-    pub fn grouping(mut self, group: Vec<Item>) -> Self {
+    pub fn with_group(mut self, group: Vec<Item>) -> Self {
         self.group = Some(group);
         self
     }
--- a/crates/h248/src/message.rs
+++ b/crates/h248/src/message.rs
@@ -270,7 +270,7 @@
     // A quoted string has no quotes in it.
     let text = error.text.replace('"', "'");
     let quoted = Item::new(format!("\"{text}\""));
-    Item::new("Error").with(error.code.to_string()).grouping(vec![quoted])
+    Item::new("Error").with(error.code.to_string()).with_group(vec![quoted])
 }
 
 fn command_item(
@@ -287,7 +287,7 @@
     if descriptors.is_empty() {
         item
     } else {
-        item.grouping(descriptors.to_vec())
+        item.with_group(descriptors.to_vec())
     }
 }
 
@@ -308,7 +308,7 @@
                         };
                         command_item(c.kind, prefix, &c.termination, &c.descriptors, style)
                     });
-                    Item::new("Context").with(action.context.text()).grouping(commands.collect())
+                    Item::new("Context").with(action.context.text()).with_group(commands.collect())
                 };
                 write_group(&actions.iter().map(action).collect::<Vec<_>>(), style, 0, Place::Top, to);
             }
@@ -324,7 +324,7 @@
                             .map(|r| command_item(r.kind, "", &r.termination, &r.descriptors, style))
                             .collect();
                         inner.extend(action.error.as_ref().map(error_item));
-                        Item::new("Context").with(action.context.text()).grouping(inner)
+                        Item::new("Context").with(action.context.text()).with_group(inner)
                     })),
                 }
                 write_group(&items, style, 0, Place::Top, to);
--- a/crates/h248/src/read.rs
+++ b/crates/h248/src/read.rs
@@ -149,7 +149,7 @@
             let same = |other: &Item| other.name.eq_ignore_ascii_case(&descriptor.name);
             if descriptors[..place].iter().any(same) {
                 let what = format!("{} appears twice", descriptor.name);
-                return self.wrong(descriptor, code::DESCRIPTOR_TWICE, what);
+                return self.wrong(descriptor, code::DUPLICATE_DESCRIPTOR, what);
             }
         }
         Ok(Command { kind, optional, wildcard, termination, descriptors })
--- a/crates/h248/tests/text.rs
+++ b/crates/h248/tests/text.rs
@@ -80,7 +80,7 @@
         ("!/1 a T=1{C=0{}}", 1, 11, code::SYNTAX_IN_ACTION, "0 is no ContextID"),
         ("!/1 a T=1{C=1{Sing=a}}", 1, 15, code::UNKNOWN_COMMAND, "Sing is no command"),
         ("!/1 a T=1{C=1{A}}", 1, 15, code::SYNTAX_IN_COMMAND, "A wants = and a value"),
-        ("!/1 a T=1{C=1{A=t{M{},M{}}}}", 1, 23, code::DESCRIPTOR_TWICE, "Media appears twice"),
+        ("!/1 a T=1{C=1{A=t{M{},M{}}}}", 1, 23, code::DUPLICATE_DESCRIPTOR, "Media appears twice"),
         ("!/1 a K{9-3}", 1, 9, code::SYNTAX_IN_TRANSACTION, "9-3 is no range of ids"),
         ("!/1 a SM=1{}", 1, 7, code::NOT_IMPLEMENTED, "segments are not taken"),
     ];
@@ -125,7 +125,7 @@
         let text = format!("!/1 a T=1{}", open.repeat(TEXT_MAX / open.len() - 20));
         assert!(parse(&text).is_err());
     }
-    assert_eq!(parse(&" ".repeat(TEXT_MAX + 1)).unwrap_err().code, code::TOO_BIG);
+    assert_eq!(parse(&" ".repeat(TEXT_MAX + 1)).unwrap_err().code, code::PDU_TOO_LARGE);
     let deep = format!("!/1 a T=1{{C=1{{A=t{}{}}}}}", "{x".repeat(40), "}".repeat(40));
     assert!(parse(&deep).unwrap_err().text.contains("nested too deep"));
 }
@@ -158,7 +158,7 @@
     });
     leaf.prop_recursive(3, 20, 4, |inner| {
         (name(), proptest::collection::vec(inner, 0..4))
-            .prop_map(|(name, group)| Item::new(name).grouping(group))
+            .prop_map(|(name, group)| Item::new(name).with_group(group))
     })
 }
 
