--- a/crates/h248/src/error.rs
+++ b/crates/h248/src/error.rs
@@ -1,6 +1,6 @@
-//! Error codes of RFC 3525 (and H.248.8), and errors with a place.
+//! Error codes of RFC 3525 and H.248.8, and parse errors with their position.
 
-/// Error codes.
+/// Error codes of RFC 3525 and H.248.8.
 pub mod code {
     /// Syntax error in message.
     pub const SYNTAX_IN_MESSAGE: u16 = 400;
@@ -50,48 +50,48 @@
     pub const PDU_TOO_LARGE: u16 = 533;
 }
 
-/// Why a text is no message.
+/// Parse error: why a text is not a valid message.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{line}:{column}: {text} ({code})")]
 pub struct Error {
-    /// The code that it is answered with.
+    /// Error code for the reply.
     pub code: u16,
-    /// Line, from 1.
+    /// Line, counted from 1.
     pub line: usize,
-    /// Column in bytes, from 1.
+    /// Column in bytes, counted from 1.
     pub column: usize,
-    /// What was expected, or is wrong.
+    /// What was expected, or what is invalid. Sent to the peer as part of the error descriptor.
     pub text: String,
-    /// The transaction in which it is, where that much could be read: its reply carries the code.
+    /// TransactionID of the request with the error, if it could be parsed; the reply to it carries the code.
     pub transaction: Option<u32>,
 }
 
 impl Error {
-    /// An error at an offset of a text.
-    pub(crate) fn at(text: &str, offset: usize, code: u16, what: impl Into<String>) -> Self {
+    /// Creates an error at a byte offset of the text.
+    pub(crate) fn at(text: &str, offset: usize, code: u16, message: impl Into<String>) -> Self {
         let before = text.as_bytes().get(..offset.min(text.len())).unwrap_or_default();
         let line = before.iter().filter(|b| **b == b'\n').count() + 1;
         let column = before.iter().rev().take_while(|b| **b != b'\n').count() + 1;
-        Self { code, line, column, text: what.into(), transaction: None }
+        Self { code, line, column, text: message.into(), transaction: None }
     }
 
-    /// As the descriptor that tells of it.
+    /// Converts the error to the error descriptor that reports it.
     pub fn descriptor(&self) -> ErrorDescriptor {
         ErrorDescriptor { code: self.code, text: format!("{}:{}: {}", self.line, self.column, self.text) }
     }
 }
 
-/// An error descriptor.
+/// Error descriptor.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ErrorDescriptor {
-    /// Its code.
+    /// Error code.
     pub code: u16,
-    /// Its text.
+    /// Error text.
     pub text: String,
 }
 
 impl ErrorDescriptor {
-    /// A code with a text.
+    /// Creates an error descriptor.
     pub fn new(code: u16, text: impl Into<String>) -> Self {
         Self { code, text: text.into() }
     }
--- a/crates/h248/src/item.rs
+++ b/crates/h248/src/item.rs
@@ -1,10 +1,10 @@
-//! The tree that all text commands share: a name, perhaps a value, perhaps a group of more.
+//! Syntax tree of the text encoding: an item is a name with an optional value and an optional group of items.
 
 use std::fmt::Write;
 
-use crate::message::Place;
+use crate::message::Scope;
 
-/// How a name and its value stand to each other (`INEQUAL` and `EQUAL` of Annex B.2).
+/// Relation between a name and its value (`EQUAL` and `INEQUAL` of Annex B.2).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Relation {
     /// `=`.
@@ -17,19 +17,19 @@
     Greater,
 }
 
-/// A value.
+/// Value of an item.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Value {
-    /// A token: no quotes, none of the separators in it.
+    /// Token without quotes and separators.
     Token(String),
-    /// A quoted string.
+    /// Quoted string.
     Quoted(String),
-    /// `[a, b]`, or `{a, b}` where a sub-list stands for one value.
+    /// List of values, `[a, b]`.
     List(Vec<Value>),
 }
 
 impl Value {
-    /// Its text, quoted or not.
+    /// Text of a token or quoted string; `None` for a list.
     pub fn text(&self) -> Option<&str> {
         match self {
             Self::Token(text) | Self::Quoted(text) => Some(text),
@@ -38,22 +38,25 @@
     }
 }
 
-/// A name with what belongs to it.
+/// Name with its value, group or octets.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Item {
-    /// Its name, as it was written.
+    /// Name.
     pub name: String,
-    /// Its value.
+    /// Relation and value.
     pub value: Option<(Relation, Value)>,
-    /// What it groups; `None` without braces.
+    /// Items in braces; `None` without braces.
     pub group: Option<Vec<Item>>,
-    /// The octets of a Local or Remote descriptor, kept as they came, without escapes.
+    /// Octets of a Local or Remote descriptor, unescaped.
     pub octets: Option<String>,
-    /// Where it was read; no part of what it says.
+    /// Position in the parsed text; not part of the content.
     pub offset: Offset,
 }
 
-/// A place in a text. All places are equal, so that what is written reads back the same.
+/// Byte offset in a text.
+///
+/// All offsets compare equal, so that items compare by content: a message that is written and parsed again
+/// equals the original.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Offset(pub usize);
 
@@ -65,57 +68,58 @@
 
 impl Eq for Offset {}
 
-/// How to write.
+/// Output style of the writer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Style {
-    /// Short tokens, no space that is not needed.
+    /// Short tokens and minimal white space.
     Compact,
-    /// Long tokens, a line for each item.
+    /// Long tokens and one line per item.
     Pretty,
 }
 
 impl Item {
-    /// A bare name.
+    /// Creates an item of a name only.
     pub fn new(name: impl Into<String>) -> Self {
         Self { name: name.into(), value: None, group: None, octets: None, offset: Offset::default() }
     }
 
-    /// With a value after `=`: a token where it can be one, else quoted.
+    /// Sets the value with relation `=`: as a token if the text is a valid one, else as a quoted string.
     pub fn with(mut self, value: impl Into<String>) -> Self {
         let text = value.into();
-        let plain = !text.is_empty() && text.bytes().all(is_safe);
-        self.value = Some((Relation::Equal, if plain { Value::Token(text) } else { Value::Quoted(text) }));
+        let is_token = !text.is_empty() && text.bytes().all(is_safe);
+        self.value = Some((Relation::Equal, if is_token { Value::Token(text) } else { Value::Quoted(text) }));
         self
     }
 
-    /// With a group.
+    /// Sets the group.
     pub fn with_group(mut self, group: Vec<Item>) -> Self {
         self.group = Some(group);
         self
     }
 
-    /// The text of its value.
+    /// Text of the value; `None` without a value and for a list.
     pub fn text(&self) -> Option<&str> {
         self.value.as_ref().and_then(|(_, value)| value.text())
     }
 
-    /// Whether it has one of these names, whatever the case (Annex B.1: tokens are case-insensitive).
+    /// Whether the name is one of the two forms of a token, ignoring case (Annex B.1: tokens are
+    /// case-insensitive).
     pub fn is(&self, long: &str, short: &str) -> bool {
         self.name.eq_ignore_ascii_case(long) || self.name.eq_ignore_ascii_case(short)
     }
 
-    /// What it groups, nothing without braces.
+    /// Items of the group; empty without a group.
     pub fn items(&self) -> &[Item] {
         self.group.as_deref().unwrap_or_default()
     }
 
-    /// The first item of a name in its group.
+    /// First item of the group whose name is one of the two forms of a token.
     pub fn find(&self, long: &str, short: &str) -> Option<&Item> {
         self.items().iter().find(|item| item.is(long, short))
     }
 
-    pub(crate) fn write(&self, style: Style, depth: usize, place: Place, to: &mut String) {
-        to.push_str(place.spelled(&self.name, style));
+    pub(crate) fn write(&self, style: Style, depth: usize, scope: Scope, to: &mut String) {
+        to.push_str(scope.spelling(&self.name, style));
         if let Some((relation, value)) = &self.value {
             let sign = match relation {
                 Relation::Equal => '=',
@@ -138,13 +142,13 @@
             to.push('}');
         }
         if let Some(group) = &self.group {
-            write_group(group, style, depth, place.inside(&self.name), to);
+            write_group(group, style, depth, scope.inside(&self.name), to);
         }
     }
 }
 
-pub(crate) fn write_group(group: &[Item], style: Style, depth: usize, place: Place, to: &mut String) {
-    let line = |to: &mut String, depth: usize| {
+pub(crate) fn write_group(group: &[Item], style: Style, depth: usize, scope: Scope, to: &mut String) {
+    let break_line = |to: &mut String, depth: usize| {
         if style == Style::Pretty {
             to.push('\n');
             (0..depth).for_each(|_| to.push_str("  "));
@@ -154,15 +158,15 @@
         to.push(' ');
     }
     to.push('{');
-    for (nth, item) in group.iter().enumerate() {
-        if nth > 0 {
+    for (index, item) in group.iter().enumerate() {
+        if index > 0 {
             to.push(',');
         }
-        line(to, depth + 1);
-        item.write(style, depth + 1, place, to);
+        break_line(to, depth + 1);
+        item.write(style, depth + 1, scope, to);
     }
     if !group.is_empty() {
-        line(to, depth);
+        break_line(to, depth);
     }
     to.push('}');
 }
@@ -177,8 +181,8 @@
         }
         Value::List(values) => {
             to.push('[');
-            for (place, value) in values.iter().enumerate() {
-                if place > 0 {
+            for (index, value) in values.iter().enumerate() {
+                if index > 0 {
                     to.push(',');
                 }
                 write_value(value, to);
@@ -188,7 +192,8 @@
     }
 }
 
-/// `SafeChar` of Annex B.2, and the few more that identifiers and addresses need.
+/// Whether a byte may occur in a token: `SafeChar` of Annex B.2, and further characters of identifiers and
+/// addresses.
 pub(crate) fn is_safe(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || b"+-&!_/'?@^`~*$\\()%|.".contains(&byte)
 }
--- a/crates/h248/src/lib.rs
+++ b/crates/h248/src/lib.rs
@@ -1,11 +1,13 @@
-//! H.248.1 text commands as RFC 3525 has them (Annex B), without I/O.
+//! H.248.1 (Megaco) messages in the text encoding of RFC 3525, Annex B, without I/O.
 //!
-//! [`parse`] reads a message with a combinator grammar into a tree of [`Item`]s and then into typed
-//! [`Message`]s; what is wrong is an [`Error`] with line, column, what was expected, and the code that RFC 3525
-//! answers it with. [`Message::write`] writes it back, compact or pretty; what is written reads back the same.
+//! [`parse`] reads a message with a combinator grammar into a tree of [`Item`]s and converts it to a typed
+//! [`Message`]. A syntax error is reported as an [`Error`] with line, column, what was expected, and the
+//! error code of RFC 3525 for the reply. [`Message::write`] writes a message in compact or pretty style;
+//! parsing the result gives an equal message. [`frame`] and [`unframe`] handle TPKT packets for transport
+//! over TCP.
 //!
-//! Bounds: a message has at most [`TEXT_MAX`] bytes and nests at most [`DEPTH_MAX`] deep. Parsing looks at each
-//! byte a bounded number of times.
+//! Limits: a message has at most [`TEXT_MAX`] bytes and a nesting depth of at most [`DEPTH_MAX`]. Parsing
+//! visits each byte a bounded number of times.
 
 mod error;
 mod grammar;
--- a/crates/h248/src/message.rs
+++ b/crates/h248/src/message.rs
@@ -5,8 +5,10 @@
 use crate::error::ErrorDescriptor;
 use crate::item::{write_group, Item, Style};
 
-/// Tokens of Annex B.2 with their short forms, by what groups them: a parameter of an event may be called "E"
-/// and is no Events descriptor.
+/// Tokens at the top level, as long and short form of Annex B.2.
+///
+/// Tokens are kept per scope, because a name is a token only where the grammar expects it: a parameter of an
+/// event may be called "E" without being an Events descriptor.
 const TOP: &[(&str, &str)] = &[
     ("Context", "C"),
     ("Error", "ER"),
@@ -16,6 +18,7 @@
     ("Transaction", "T"),
     ("TransactionResponseAck", "K"),
 ];
+/// Descriptors of a command.
 const DESCRIPTORS: &[(&str, &str)] = &[
     ("Audit", "AT"),
     ("DigitMap", "DM"),
@@ -31,6 +34,7 @@
     ("Signals", "SG"),
     ("Statistics", "SA"),
 ];
+/// Parts of Media and Stream descriptors.
 const STREAM: &[(&str, &str)] = &[
     ("Local", "L"),
     ("LocalControl", "O"),
@@ -39,6 +43,7 @@
     ("Stream", "ST"),
     ("TerminationState", "TS"),
 ];
+/// Parameters of a ServiceChange descriptor.
 const SERVICES: &[(&str, &str)] = &[
     ("Delay", "DL"),
     ("Method", "MT"),
@@ -48,11 +53,12 @@
     ("ServiceChangeAddress", "AD"),
     ("Version", "V"),
 ];
+/// Properties of a LocalControl descriptor.
 const CONTROL: &[(&str, &str)] = &[("Mode", "MO"), ("ReserveGroup", "RG"), ("ReserveValue", "RV")];
 
-/// Where an item stands.
+/// Scope of an item in a message, which determines the tokens that apply to its name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Place {
+pub(crate) enum Scope {
     Top,
     Context,
     Command,
@@ -63,7 +69,7 @@
     Other,
 }
 
-impl Place {
+impl Scope {
     fn tokens(self) -> &'static [(&'static str, &'static str)] {
         match self {
             Self::Top => TOP,
@@ -75,7 +81,7 @@
         }
     }
 
-    /// Where the items that one here groups stand.
+    /// Scope of the items in the group of an item with this long name.
     pub(crate) fn inside(self, name: &str) -> Self {
         match (self, name) {
             (Self::Top, "Context") => Self::Context,
@@ -88,37 +94,37 @@
         }
     }
 
-    /// The long form of a token here; other names as they are.
+    /// Long form of a token of this scope; other names are returned unchanged.
     pub(crate) fn long(self, name: &str) -> &str {
         let is = |token: &str| token.eq_ignore_ascii_case(name);
         self.tokens().iter().find(|(long, short)| is(long) || is(short)).map_or(name, |(long, _)| long)
     }
 
-    /// A long token as a style spells it.
-    pub(crate) fn spelled(self, name: &str, style: Style) -> &str {
+    /// Form of a long token in a style; other names are returned unchanged.
+    pub(crate) fn spelling(self, name: &str, style: Style) -> &str {
         let known = self.tokens().iter().find(|(long, _)| *long == name && style == Style::Compact);
         known.map_or(name, |(_, short)| short)
     }
 }
 
-/// An item and all that it groups, with tokens in their long form.
-pub(crate) fn canonical(item: Item, place: Place) -> Item {
-    let name = place.long(&item.name).to_owned();
-    let inside = place.inside(&name);
-    let group = item.group.map(|group| group.into_iter().map(|item| canonical(item, inside)).collect());
+/// Replaces all tokens of an item and its group by their long form.
+pub(crate) fn canonical(item: Item, scope: Scope) -> Item {
+    let name = scope.long(&item.name).to_owned();
+    let inner = scope.inside(&name);
+    let group = item.group.map(|group| group.into_iter().map(|item| canonical(item, inner)).collect());
     Item { name, group, ..item }
 }
 
-/// A ContextID.
+/// ContextID.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Context {
-    /// `-`: the null context.
+    /// Null context, `-`.
     Null,
-    /// `$`: choose one.
+    /// Choose wildcard, `$`: the gateway creates a context.
     Choose,
-    /// `*`: all.
+    /// All wildcard, `*`.
     All,
-    /// One.
+    /// A specific context.
     Id(u32),
 }
 
@@ -133,7 +139,7 @@
     }
 }
 
-/// Commands.
+/// Commands of RFC 3525, section 7.2.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[allow(missing_docs)]
 pub enum CommandKind {
@@ -148,7 +154,7 @@
 }
 
 impl CommandKind {
-    /// All, with their tokens.
+    /// All commands, each with its long and its short token.
     pub const ALL: [(Self, &'static str, &'static str); 8] = [
         (Self::Add, "Add", "A"),
         (Self::Modify, "Modify", "MF"),
@@ -160,114 +166,114 @@
         (Self::ServiceChange, "ServiceChange", "SC"),
     ];
 
-    /// Its long token.
+    /// Long token.
     pub fn name(self) -> &'static str {
         Self::ALL.iter().find(|(kind, ..)| *kind == self).map_or("", |(_, long, _)| long)
     }
 }
 
-/// A command of a request.
+/// Command of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Command {
-    /// Which.
+    /// Command name.
     pub kind: CommandKind,
-    /// `O-`: its failure does not end the transaction.
+    /// Prefix `O-`: a failure of the command does not end the transaction.
     pub optional: bool,
-    /// `W-`: a wildcarded answer is wanted.
+    /// Prefix `W-`: a wildcarded response is requested.
     pub wildcard: bool,
     /// TerminationID.
     pub termination: String,
-    /// Its descriptors.
+    /// Descriptors, with tokens in their long form.
     pub descriptors: Vec<Item>,
 }
 
-/// An action of a request.
+/// Action of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Action {
-    /// Its context.
+    /// Context that the action applies to.
     pub context: Context,
-    /// Its commands, in order.
+    /// Commands, in order.
     pub commands: Vec<Command>,
 }
 
-/// A command's reply.
+/// Reply to a command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CommandReply {
-    /// Which command.
+    /// Command name.
     pub kind: CommandKind,
     /// TerminationID.
     pub termination: String,
-    /// Its descriptors, an error descriptor among them where it failed.
+    /// Descriptors; an error descriptor among them if the command failed.
     pub descriptors: Vec<Item>,
 }
 
-/// An action's reply.
+/// Reply to an action.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ActionReply {
-    /// Its context.
+    /// Context that the action applies to.
     pub context: Context,
-    /// Replies of its commands, in order.
+    /// Replies to the commands, in order.
     pub replies: Vec<CommandReply>,
-    /// What ended it.
+    /// Error that ended the action.
     pub error: Option<ErrorDescriptor>,
 }
 
-/// What a reply says.
+/// Content of a transaction reply.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReplyBody {
     /// The whole transaction failed.
     Error(ErrorDescriptor),
-    /// Replies of its actions, in order.
+    /// Replies to the actions, in order.
     Actions(Vec<ActionReply>),
 }
 
-/// One of a message's transactions.
+/// Transaction of a message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Transaction {
     /// TransactionRequest.
     Request {
         /// TransactionID.
         id: u32,
-        /// Its actions.
+        /// Actions, in order.
         actions: Vec<Action>,
     },
     /// TransactionReply.
     Reply {
         /// TransactionID.
         id: u32,
-        /// An acknowledgement is wanted at once.
+        /// `ImmAckRequired`: the sender requests an immediate acknowledgement.
         immediate_ack: bool,
-        /// What it says.
+        /// Content.
         body: ReplyBody,
     },
-    /// TransactionPending.
+    /// TransactionPending, with its TransactionID.
     Pending(u32),
-    /// TransactionResponseAck: ranges, both ends within.
+    /// TransactionResponseAck: ranges of TransactionIDs, first and last, both inclusive.
     Ack(Vec<(u32, u32)>),
 }
 
-/// What a message carries.
+/// Body of a message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Body {
-    /// The last message could not be read.
+    /// Message-level error: the message received could not be parsed.
     Error(ErrorDescriptor),
-    /// Transactions.
+    /// Transactions, in order.
     Transactions(Vec<Transaction>),
 }
 
-/// A message.
+/// Megaco message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Message {
-    /// Version.
+    /// Protocol version.
     pub version: u32,
-    /// mId of its sender.
+    /// Message identifier (`mId`) of the sender.
     pub mid: String,
-    /// What it carries.
+    /// Body.
     pub body: Body,
 }
 
 pub(crate) fn error_item(error: &ErrorDescriptor) -> Item {
-    // A quoted string has no quotes in it.
+    // The grammar has no escape for a quote within a quoted string.
     let text = error.text.replace('"', "'");
     let quoted = Item::new(format!("\"{text}\""));
     Item::new("Error").with(error.code.to_string()).with_group(vec![quoted])
@@ -293,11 +299,11 @@
 
 impl Transaction {
     fn write(&self, style: Style, to: &mut String) {
-        let eq = if style == Style::Pretty { " = " } else { "=" };
-        let name = |long| Place::Top.spelled(long, style);
+        let equal = if style == Style::Pretty { " = " } else { "=" };
+        let name = |long| Scope::Top.spelling(long, style);
         match self {
             Self::Request { id, actions } => {
-                let _ = write!(to, "{}{eq}{id}", name("Transaction"));
+                let _ = write!(to, "{}{equal}{id}", name("Transaction"));
                 let action = |action: &Action| {
                     let commands = action.commands.iter().map(|c| {
                         let prefix = match (c.optional, c.wildcard) {
@@ -310,10 +316,10 @@
                     });
                     Item::new("Context").with(action.context.text()).with_group(commands.collect())
                 };
-                write_group(&actions.iter().map(action).collect::<Vec<_>>(), style, 0, Place::Top, to);
+                write_group(&actions.iter().map(action).collect::<Vec<_>>(), style, 0, Scope::Top, to);
             }
             Self::Reply { id, immediate_ack, body } => {
-                let _ = write!(to, "{}{eq}{id}", name("Reply"));
+                let _ = write!(to, "{}{equal}{id}", name("Reply"));
                 let mut items = Vec::new();
                 items.extend(immediate_ack.then(|| Item::new("ImmAckRequired")));
                 match body {
@@ -327,24 +333,24 @@
                         Item::new("Context").with(action.context.text()).with_group(inner)
                     })),
                 }
-                write_group(&items, style, 0, Place::Top, to);
+                write_group(&items, style, 0, Scope::Top, to);
             }
             Self::Pending(id) => {
-                let _ = write!(to, "{}{eq}{id}{{}}", name("Pending"));
+                let _ = write!(to, "{}{equal}{id}{{}}", name("Pending"));
             }
             Self::Ack(ranges) => {
-                let range = |(from, to): &(u32, u32)| {
-                    Item::new(if from == to { from.to_string() } else { format!("{from}-{to}") })
+                let range = |(first, last): &(u32, u32)| {
+                    Item::new(if first == last { first.to_string() } else { format!("{first}-{last}") })
                 };
                 to.push_str(name("TransactionResponseAck"));
-                write_group(&ranges.iter().map(range).collect::<Vec<_>>(), style, 0, Place::Top, to);
+                write_group(&ranges.iter().map(range).collect::<Vec<_>>(), style, 0, Scope::Top, to);
             }
         }
     }
 }
 
 impl Message {
-    /// The message as text.
+    /// Writes the message as text.
     pub fn write(&self, style: Style) -> String {
         let mut to = String::new();
         let start = if style == Style::Pretty { "MEGACO" } else { "!" };
@@ -353,7 +359,7 @@
         match &self.body {
             Body::Error(error) => {
                 separate(&mut to);
-                error_item(error).write(style, 0, Place::Top, &mut to);
+                error_item(error).write(style, 0, Scope::Top, &mut to);
             }
             Body::Transactions(transactions) => transactions.iter().for_each(|transaction| {
                 separate(&mut to);
--- a/crates/h248/src/tpkt.rs
+++ b/crates/h248/src/tpkt.rs
@@ -1,53 +1,54 @@
-//! TPKT (RFC 1006, section 6): text over TCP in packets that tell their length (RFC 3525, Annex D.2).
+//! TPKT framing (RFC 1006, section 6) of messages over TCP (RFC 3525, Annex D.2).
 
-/// Longest packet: version, reserved, and two octets of length that count themselves.
+/// Maximum packet length in octets, including the header of four octets: version, reserved and the length.
 pub const TPKT_MAX: usize = 65_535;
-const HEAD: usize = 4;
+const HEADER_LENGTH: usize = 4;
 const VERSION: u8 = 3;
 
-/// Why nothing more can be read from a stream of packets.
+/// Framing error. After an error in [`unframe`], the stream cannot be resynchronised.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum TpktError {
-    /// Another version than 3.
-    #[error("version {0} where a packet starts: TPKT has 3")]
+    /// The version is not 3.
+    #[error("TPKT version {0}; expected 3")]
     Version(u8),
-    /// A length that is less than the header's own.
-    #[error("a packet of {0} octets: its header alone has 4")]
+    /// The packet length is less than that of the header.
+    #[error("TPKT length of {0} octets is less than the 4 octets of the header")]
     Length(usize),
-    /// More text than a packet holds.
-    #[error("{0} octets of text do not fit a packet")]
+    /// The text is too long for a packet.
+    #[error("text of {0} octets does not fit in a TPKT packet")]
     TooLong(usize),
 }
 
-/// A packet around a text.
+/// Creates a packet with a text.
 ///
 /// # Errors
-/// Where the text is too long for one.
+/// If the packet would be longer than [`TPKT_MAX`].
 pub fn frame(text: &[u8]) -> Result<Vec<u8>, TpktError> {
-    let length = u16::try_from(text.len() + HEAD).map_err(|_| TpktError::TooLong(text.len()))?;
+    let length = u16::try_from(text.len() + HEADER_LENGTH).map_err(|_| TpktError::TooLong(text.len()))?;
     let mut packet = vec![VERSION, 0];
     packet.extend_from_slice(&length.to_be_bytes());
     packet.extend_from_slice(text);
     Ok(packet)
 }
 
-/// The text of the first packet and how many octets it took; `None` while it is not all there.
+/// Returns the text of the first packet of a stream and the length of that packet in octets; `None` if the
+/// packet is incomplete.
 ///
 /// # Errors
-/// Where no packet starts.
+/// If the stream does not start with a valid packet header.
 pub fn unframe(stream: &[u8]) -> Result<Option<(&[u8], usize)>, TpktError> {
-    let Some(head) = stream.get(..HEAD) else {
+    let Some(header) = stream.get(..HEADER_LENGTH) else {
         return match stream.first() {
             Some(version) if *version != VERSION => Err(TpktError::Version(*version)),
             _ => Ok(None),
         };
     };
-    if head[0] != VERSION {
-        return Err(TpktError::Version(head[0]));
+    if header[0] != VERSION {
+        return Err(TpktError::Version(header[0]));
     }
-    let length = usize::from(u16::from_be_bytes([head[2], head[3]]));
-    if length < HEAD {
+    let length = usize::from(u16::from_be_bytes([header[2], header[3]]));
+    if length < HEADER_LENGTH {
         return Err(TpktError::Length(length));
     }
-    Ok(stream.get(HEAD..length).map(|text| (text, length)))
+    Ok(stream.get(HEADER_LENGTH..length).map(|text| (text, length)))
 }
--- a/crates/h248/tests/text.rs
+++ b/crates/h248/tests/text.rs
@@ -1,4 +1,4 @@
-//! Texts: good ones read as what they are and write back the same; bad ones are told with their place.
+//! Parsing and writing of text messages: round trips, errors with position and code, limits and TPKT framing.
 
 use baydrift_h248::{
     code, frame, parse, unframe, Action, ActionReply, Body, Command, CommandKind, CommandReply, Context,
@@ -18,7 +18,7 @@
     }
 }";
 
-fn requests(message: &Message) -> &[Transaction] {
+fn transactions(message: &Message) -> &[Transaction] {
     match &message.body {
         Body::Transactions(all) => all,
         other => panic!("{other:?}"),
@@ -26,12 +26,12 @@
 }
 
 #[test]
-fn long_and_short_tokens_say_the_same() {
+fn long_and_short_tokens_are_equivalent() {
     let long = parse(SETUP).unwrap();
     let short = "!/1 [127.0.0.1]:2944 T=9998{C=${A=trunk/${M{O{bdc/ctx=\"grid@test\",bdc/num=5550100}},E=4{bdc/cut}},\
                  O-W-S=trunk/*{AT{SA}}}}";
     let short = parse(short).unwrap();
-    let Transaction::Request { id: 9998, actions } = &requests(&long)[0] else { panic!() };
+    let Transaction::Request { id: 9998, actions } = &transactions(&long)[0] else { panic!() };
     let [Action { context: Context::Choose, commands }] = &actions[..] else { panic!() };
     assert_eq!((commands[0].kind, commands[0].termination.as_str()), (CommandKind::Add, "trunk/$"));
     assert_eq!(
@@ -40,18 +40,18 @@
     );
     let media = commands[0].descriptors[0].find("LocalControl", "O").unwrap();
     assert_eq!(media.find("bdc/ctx", "").unwrap().text(), Some("grid@test"));
-    // Styles are the writer's: both write the same.
+    // The style is chosen by the writer and does not depend on the input.
     assert_eq!(long.write(Style::Compact), short.write(Style::Compact));
     assert_eq!(long.write(Style::Pretty), short.write(Style::Pretty));
 }
 
 #[test]
-fn every_kind_of_transaction_is_read() {
+fn all_transaction_types_parsed() {
     let text = "MEGACO/1 <gw.test>:55 Reply = 7 { ImmAckRequired, Context = 12 { Add = trunk/1 } } \
                 Reply=8{Context=-{ServiceChange=ROOT{Error=510{\"full\"}}}} P=9{ER=403{\"1:2: x\"}} Pending = 10 {} \
                 TransactionResponseAck { 3, 5-9 }";
     let message = parse(text).unwrap();
-    let all = requests(&message);
+    let all = transactions(&message);
     assert!(matches!(&all[0], Transaction::Reply { id: 7, immediate_ack: true, .. }));
     let Transaction::Reply { body: ReplyBody::Actions(actions), .. } = &all[1] else { panic!() };
     assert_eq!(actions[0].replies[0].descriptors[0].text(), Some("510"));
@@ -59,7 +59,7 @@
     assert_eq!(error, &ErrorDescriptor::new(403, "1:2: x"));
     assert_eq!(all[3], Transaction::Pending(10));
     assert_eq!(all[4], Transaction::Ack(vec![(3, 3), (5, 9)]));
-    // Four billion ids in one range cost nothing to read.
+    // A range is not expanded, so one of four billion ids takes no memory.
     assert!(parse("!/1 a K{1-4294967295}").is_ok());
     let Body::Error(error) = parse("MEGACO/1 [1.2.3.4] Error = 400 { \"no\" }").unwrap().body else {
         panic!()
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_told_with_place_and_code() {
+fn errors_have_position_and_code() {
     let cases = [
         ("HELLO", 1, 1, code::SYNTAX_IN_MESSAGE, "expected MEGACO or !"),
         ("MEGACO/9 a T=1{C=-{}}", 1, 1, code::VERSION, "version 9 is not spoken"),
@@ -92,7 +92,7 @@
             "{text}"
         );
     }
-    // Where the transaction's id could be read, its reply can carry the error.
+    // If the TransactionID could be parsed, the reply to it can carry the error.
     assert_eq!(parse("!/1 a T=77{C=1{Sing=a}}").unwrap_err().transaction, Some(77));
     for broken in ["!/1 a T=1{C=1{A=t}", "!/1 a T=1{C=\"x}", "!/1 a T=1{C=1{A=t{L{v=0"] {
         let error = parse(broken).unwrap_err();
@@ -101,18 +101,19 @@
 }
 
 #[test]
-fn local_descriptors_keep_their_octets() {
+fn local_descriptor_octets_preserved() {
     let text = "!/1 a T=1{C=1{MF=t{M{ST=1{L{v=0\r\nc=IN IP4 $ {x\\}\r\n}}}}}}";
     let message = parse(text).unwrap();
-    let Transaction::Request { actions, .. } = &requests(&message)[0] else { panic!() };
+    let Transaction::Request { actions, .. } = &transactions(&message)[0] else { panic!() };
     let stream = actions[0].commands[0].descriptors[0].find("Stream", "ST").unwrap();
     assert_eq!(stream.find("Local", "L").unwrap().octets.as_deref(), Some("v=0\r\nc=IN IP4 $ {x}\r\n"));
     assert_eq!(parse(&message.write(Style::Compact)).unwrap(), message);
 }
 
 #[test]
-fn brackets_are_a_list_unless_they_hold_an_address() {
-    // Found by the fuzz target: a list in a list of one name read back as an identity.
+fn bracketed_address_is_message_id_not_list() {
+    // Guards against a round-trip failure found by fuzzing: a nested list of one name was parsed as a message
+    // identifier.
     for text in ["x=[a,[ cCd]]", "x=[ 1.2.3.4 ]", "x=[1.2.3.4]:9", "x=[[1.2.3.4],[::1]]", "x=[a.b]"] {
         let message = parse(&format!("!/1 a T=1{{C=1{{A=t{{{text}}}}}}}")).unwrap();
         assert_eq!(parse(&message.write(Style::Compact)).as_ref(), Ok(&message), "{text}");
@@ -120,7 +121,7 @@
 }
 
 #[test]
-fn depth_and_size_are_bounded() {
+fn depth_and_size_limited() {
     for open in ["{", "[", "T=1{C=1{A=t{", "A{", "x=[["] {
         let text = format!("!/1 a T=1{}", open.repeat(TEXT_MAX / open.len() - 20));
         assert!(parse(&text).is_err());
@@ -131,7 +132,7 @@
 }
 
 #[test]
-fn packets_tell_their_length_and_lies_are_caught() {
+fn tpkt_framing_and_invalid_headers() {
     let packet = frame(b"!/1 a K{1}").unwrap();
     for cut in 0..packet.len() {
         assert_eq!(unframe(&packet[..cut]), Ok(None), "{cut}");
@@ -164,9 +165,9 @@
 
 fn descriptors() -> impl Strategy<Value = Vec<Item>> {
     proptest::collection::vec(item(), 0..4).prop_map(|mut items| {
-        // Descriptors of a command have names of their own.
-        for (place, item) in items.iter_mut().enumerate() {
-            item.name = format!("d{place}{}", item.name);
+        // A descriptor may occur only once in a command, so each gets a unique name.
+        for (index, item) in items.iter_mut().enumerate() {
+            item.name = format!("d{index}{}", item.name);
         }
         items
     })
@@ -216,7 +217,7 @@
         }),
         (1u32..).prop_map(Transaction::Pending),
         proptest::collection::vec((0u32..1 << 31, 0u32..1 << 30), 1..4).prop_map(|all| Transaction::Ack(
-            all.into_iter().map(|(from, more)| (from, from + more)).collect()
+            all.into_iter().map(|(first, extra)| (first, first + extra)).collect()
         )),
     ]
 }
@@ -225,7 +226,7 @@
     #![proptest_config(ProptestConfig { cases: 512, rng_seed: RngSeed::Fixed(4), failure_persistence: None, ..Default::default() })]
 
     #[test]
-    fn what_is_written_reads_back(all in proptest::collection::vec(transaction(), 1..4)) {
+    fn write_parse_round_trip(all in proptest::collection::vec(transaction(), 1..4)) {
         let message = Message { version: 1, mid: "<gw.test>:2944".into(), body: Body::Transactions(all) };
         for style in [Style::Compact, Style::Pretty] {
             let text = message.write(style);
@@ -234,7 +235,7 @@
     }
 
     #[test]
-    fn any_text_is_read_or_refused(noise in "[ -~\n]{0,200}", tokens in proptest::collection::vec(proptest::sample::select(
+    fn arbitrary_text_never_panics(noise in "[ -~\n]{0,200}", tokens in proptest::collection::vec(proptest::sample::select(
         vec!["!/1 a ", "T=1", "{", "}", "C=$", "A=t", ",", "\"", "[", "]", ";", "\n", "=", "L", "ER=4", "K", "1-2"]), 0..60)) {
         for text in [noise.clone(), format!("!/1 a {noise}"), tokens.concat(), format!("!/1 a T=1{{{}", tokens.concat())] {
             if let Ok(message) = parse(&text) {
