--- a/crates/h248/examples/fuzz.rs
+++ b/crates/h248/examples/fuzz.rs
@@ -1,12 +1,15 @@
-//! Mutated texts for a while: `cargo run --release -p baydrift-h248 --example fuzz -- SECONDS [SEED]`.
+//! Fuzzer for the parser and the writer.
 //!
-//! Each text is read; what is read must write back the same in both styles. Ends with the count, and the longest
-//! time that one text took with the text's length.
+//! Usage: `cargo run --release -p baydrift-h248 --example fuzz -- SECONDS [SEED]`.
+//!
+//! Parses mutated messages for the given time. Each message that parses has to survive a round trip in both
+//! styles. Prints the number of texts and the longest parse time, with the length of that text.
 
 use std::time::{Duration, Instant};
 
 use baydrift_h248::{parse, Style, TEXT_MAX};
 
+/// Valid messages that mutations start from.
 const CORPUS: [&str; 6] = [
     "MEGACO/1 [127.0.0.1]:2944 Transaction = 9998 { Context = $ { Add = trunk/$ { Media { LocalControl { bdc/ctx = \
      \"grid@test\", bdc/num=5550100 } }, Events = 4 { bdc/cut } }, O-W-Subtract = trunk/* { Audit { Statistics } } } }",
@@ -16,46 +19,48 @@
     "!/1 a T=1{C=1{A=t{x=[a,\"b\",[c,d]],y#3,z<4{w>5}}}} ; end",
     "MEGACO/1 [1.2.3.4] Error = 400 { \"no\" }",
 ];
+/// Fragments that mutations insert.
 const PIECES: [&str; 16] =
     ["{", "}", ",", "=", "\"", "[", "]", ";", "\n", "T=", "C=$", "A=t", "L{", "ER=4", "4294967295", "\u{e9}"];
 
-/// xorshift: a run repeats from its seed.
-struct Draw(u64);
+/// Xorshift random number generator, so that a run can be repeated from its seed.
+struct XorShift(u64);
 
-impl Draw {
-    fn below(&mut self, most: usize) -> usize {
+impl XorShift {
+    /// Random number from 0 to `limit`, exclusive.
+    fn below(&mut self, limit: usize) -> usize {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
         self.0 ^= self.0 << 17;
-        (self.0 % most.max(1) as u64) as usize
+        (self.0 % limit.max(1) as u64) as usize
     }
 }
 
-fn mutated(draw: &mut Draw) -> String {
-    let mut text: Vec<char> = CORPUS[draw.below(CORPUS.len())].chars().collect();
-    for _ in 0..1 + draw.below(12) {
-        let at = draw.below(text.len());
-        match draw.below(6) {
-            0 => drop(text.drain(at..(at + draw.below(20)).min(text.len()))),
-            1 => drop(text.splice(at..at, PIECES[draw.below(PIECES.len())].chars())),
-            2 => drop(text.splice(at..at, PIECES[draw.below(PIECES.len())].repeat(draw.below(40)).chars())),
+fn mutated_text(rng: &mut XorShift) -> String {
+    let mut text: Vec<char> = CORPUS[rng.below(CORPUS.len())].chars().collect();
+    for _ in 0..1 + rng.below(12) {
+        let at = rng.below(text.len());
+        match rng.below(6) {
+            0 => drop(text.drain(at..(at + rng.below(20)).min(text.len()))),
+            1 => drop(text.splice(at..at, PIECES[rng.below(PIECES.len())].chars())),
+            2 => drop(text.splice(at..at, PIECES[rng.below(PIECES.len())].repeat(rng.below(40)).chars())),
             3 => {
-                let copy: Vec<_> = text[at..(at + draw.below(60)).min(text.len())].to_vec();
-                let to = draw.below(text.len());
+                let copy: Vec<_> = text[at..(at + rng.below(60)).min(text.len())].to_vec();
+                let to = rng.below(text.len());
                 text.splice(to..to, copy);
             }
-            4 if !text.is_empty() => text[at] = char::from(32 + draw.below(95) as u8),
+            4 if !text.is_empty() => text[at] = char::from(32 + rng.below(95) as u8),
             _ => {
-                let other: Vec<_> = CORPUS[draw.below(CORPUS.len())].chars().collect();
-                let from = draw.below(other.len());
+                let other: Vec<_> = CORPUS[rng.below(CORPUS.len())].chars().collect();
+                let from = rng.below(other.len());
                 text.truncate(at);
                 text.extend(&other[from..]);
             }
         }
     }
     let text: String = text.into_iter().collect();
-    match draw.below(2_000) {
-        // Now and then one as long as may be.
+    match rng.below(2_000) {
+        // Occasionally a text close to the maximum length.
         0 => text.repeat(TEXT_MAX / text.len().max(1)),
         _ => text,
     }
@@ -65,23 +70,23 @@
     let mut args = std::env::args().skip(1);
     let seconds: f64 = args.next().and_then(|a| a.parse().ok()).unwrap_or(10.0);
     let seed: u64 = args.next().and_then(|a| a.parse().ok()).unwrap_or(1);
-    let (mut draw, begun) = (Draw(seed.max(1)), Instant::now());
-    let (mut count, mut good, mut longest, mut length) = (0u64, 0u64, Duration::ZERO, 0);
-    while begun.elapsed().as_secs_f64() < seconds {
+    let (mut rng, started) = (XorShift(seed.max(1)), Instant::now());
+    let (mut count, mut valid, mut longest, mut length) = (0u64, 0u64, Duration::ZERO, 0);
+    while started.elapsed().as_secs_f64() < seconds {
         for _ in 0..1_000 {
-            let text = mutated(&mut draw);
-            let at = Instant::now();
-            let read = parse(&text);
-            let took = at.elapsed();
-            if took > longest {
-                (longest, length) = (took, text.len());
+            let text = mutated_text(&mut rng);
+            let parse_start = Instant::now();
+            let parsed = parse(&text);
+            let duration = parse_start.elapsed();
+            if duration > longest {
+                (longest, length) = (duration, text.len());
             }
             count += 1;
-            if let Ok(message) = read {
-                good += 1;
+            if let Ok(message) = parsed {
+                valid += 1;
                 for style in [Style::Compact, Style::Pretty] {
                     let written = message.write(style);
-                    // Pretty text is longer: what is too long is refused by its length, and says nothing here.
+                    // Pretty style may exceed the maximum length, which the parser rejects.
                     if written.len() > TEXT_MAX {
                         continue;
                     }
@@ -90,5 +95,5 @@
             }
         }
     }
-    println!("{count} texts, {good} of them messages, longest {longest:?} for {length} bytes, seed {seed}");
+    println!("{count} texts, {valid} of them messages, longest {longest:?} for {length} bytes, seed {seed}");
 }
--- a/crates/platform/src/dns.rs
+++ b/crates/platform/src/dns.rs
@@ -51,21 +51,21 @@
     if message.response_code() != ResponseCode::NoError {
         return Err(PlatformError::DnsAnswer("reports a failure"));
     }
-    let list = list_name()?;
-    if message.queries().first().is_some_and(|query| !query.name().eq_ignore_root_case(&list)) {
+    let list_name = list_name()?;
+    if message.queries().first().is_some_and(|query| !query.name().eq_ignore_root_case(&list_name)) {
         return Err(PlatformError::DnsAnswer("is to another query"));
     }
-    let all = || message.answers().iter().chain(message.additionals()).chain(message.name_servers());
-    let serial = all().find_map(|record| match record.data() {
+    let all_records = || message.answers().iter().chain(message.additionals()).chain(message.name_servers());
+    let serial = all_records().find_map(|record| match record.data() {
         RData::SOA(soa) => Some(soa.serial()),
         _ => None,
     });
     let seq = serial.ok_or(PlatformError::DnsAnswer("has no serial"))?;
-    let hosts = read_hosts(all());
+    let hosts = read_hosts(all_records());
     let mut servers = BTreeMap::new();
     for record in message.answers() {
         let RData::SRV(srv) = record.data() else { continue };
-        if !record.name().eq_ignore_root_case(&list) {
+        if !record.name().eq_ignore_root_case(&list_name) {
             continue;
         }
         let label = srv.target().iter().next().and_then(|label| std::str::from_utf8(label).ok());
--- a/crates/platform/src/message.rs
+++ b/crates/platform/src/message.rs
@@ -45,6 +45,7 @@
 }
 
 impl MessageType {
+    /// All message types with their codes on the wire.
     const ALL: [(u8, Self); 8] = [
         (1, Self::SetUp),
         (6, Self::Progress),
@@ -110,7 +111,7 @@
     pub const RESOURCE: u8 = 47;
     /// Towards a caller: its message is invalid.
     pub const INVALID: u8 = 95;
-    /// A timer expired before the set-up was sent; the attempt has no outcome.
+    /// A timer expired before the set-up was sent on; counts as never sent.
     pub const TIMER: u8 = 102;
 }
 
@@ -162,7 +163,7 @@
     /// # Errors
     /// If it occurs twice, since the protocol does not define which value applies.
     pub fn optional(&self, code: u8) -> Result<Option<&Bytes>, PlatformError> {
-        let mut values = self.parameters.iter().filter(|(own, _)| *own == code);
+        let mut values = self.parameters.iter().filter(|(candidate, _)| *candidate == code);
         match (values.next(), values.next()) {
             (_, Some(_)) => Err(PlatformError::DuplicateParameter(code)),
             (found, None) => Ok(found.map(|(_, value)| value)),
@@ -265,14 +266,14 @@
     /// If the message is malformed. Framing is lost then, so the connection must be closed. An invalid length
     /// or type is reported as soon as its bytes have arrived.
     pub fn next_message(&mut self) -> Result<Option<Message>, PlatformError> {
-        let Some(head) = self.buffer.get(..2) else {
+        let Some(header) = self.buffer.get(..2) else {
             if self.buffer.is_empty() {
                 // Frees the buffer, so that an idle connection uses no memory for it.
                 self.buffer = BytesMut::new();
             }
             return Ok(None);
         };
-        let length = usize::from(u16::from_be_bytes([head[0], head[1]]));
+        let length = usize::from(u16::from_be_bytes([header[0], header[1]]));
         if !(MIN_LENGTH..=MAX_LENGTH).contains(&length) {
             return Err(PlatformError::InvalidLength(length));
         }
--- a/crates/platform/src/report.rs
+++ b/crates/platform/src/report.rs
@@ -11,7 +11,7 @@
     let mut report = Report::default();
     for part in text.split(';') {
         let Some((name, value)) = part.split_once(':') else { continue };
-        let field = fields.iter().find(|(own, _)| own == name.trim()).map(|(_, field)| *field);
+        let field = fields.iter().find(|(known, _)| known == name.trim()).map(|(_, field)| *field);
         if let (Some(field), Ok(value)) = (field, value.trim().parse::<f64>()) {
             field.put(value, &mut report);
         }
--- a/crates/platform/src/server_list.rs
+++ b/crates/platform/src/server_list.rs
@@ -160,7 +160,7 @@
 
     /// Replaces the list by one with a higher sequence number; returns whether it was replaced.
     ///
-    /// Older lists are ignored, whichever DNS server sends them.
+    /// Older lists are ignored, whatever their source.
     pub fn update(&mut self, snapshot: ListSnapshot) -> bool {
         let newer = snapshot.seq > self.snapshot.seq;
         if newer {
