--- a/crates/platform/src/message.rs
+++ b/crates/platform/src/message.rs
@@ -122,7 +122,7 @@
     pub kind: MessageType,
     /// Call that the message belongs to; all zero for messages about the connection or the server.
     pub call: CallId,
-    /// Code and value of each parameter.
+    /// Parameters as pairs of code and value.
     pub parameters: Vec<(u8, Bytes)>,
 }
 
