--- a/crates/desk/src/commands.rs
+++ b/crates/desk/src/commands.rs
@@ -321,7 +321,7 @@
                 let packages = ["bdc-1", "ocp-1"].map(Item::new).to_vec();
                 Ok(CommandResult::Done(
                     command.termination.clone(),
-                    vec![Item::new("Packages").grouping(packages)],
+                    vec![Item::new("Packages").with_group(packages)],
                 ))
             }
             CommandKind::Modify => self.modify(link, context, command),
@@ -537,7 +537,7 @@
             for event in descriptor.items() {
                 let supported = if root { "ocp/mg_overload" } else { "bdc/cut" };
                 if !event.name.eq_ignore_ascii_case(supported) {
-                    return reject(code::NO_SUCH_EVENT, "no such event here");
+                    return reject(code::UNKNOWN_EVENT, "no such event here");
                 }
             }
             let request = descriptor.text().unwrap_or("1").to_owned();
@@ -675,7 +675,7 @@
         event: &str,
         out: &mut Vec<SessionOutput>,
     ) {
-        let observed = Item::new("ObservedEvents").with(request).grouping(vec![Item::new(event)]);
+        let observed = Item::new("ObservedEvents").with(request).with_group(vec![Item::new(event)]);
         let command = Command {
             kind: CommandKind::Notify,
             optional: false,
@@ -708,5 +708,5 @@
 /// Statistics of a call: the time since it was established, in milliseconds.
 fn statistics(now: Micros, call: &TextCall) -> Item {
     let ms = if call.established { now.saturating_sub(call.since) / 1_000 } else { 0 };
-    Item::new("Statistics").grouping(vec![Item::new("bdc/dur").with(ms.to_string())])
+    Item::new("Statistics").with_group(vec![Item::new("bdc/dur").with(ms.to_string())])
 }
--- a/crates/desk/src/text.rs
+++ b/crates/desk/src/text.rs
@@ -193,7 +193,7 @@
         if text.len() <= MAX_REPLY_BYTES {
             return text.into();
         }
-        let error = ErrorDescriptor::new(code::TOO_BIG, "the reply does not fit a datagram");
+        let error = ErrorDescriptor::new(code::PDU_TOO_LARGE, "the reply does not fit a datagram");
         self.message(Transaction::Reply { id, immediate_ack, body: ReplyBody::Error(error) }).into()
     }
 
@@ -261,8 +261,9 @@
     /// Records a failed command; unless it is optional, the rest of the transaction is skipped.
     pub(crate) fn fail(&mut self, command: &Command, error: ErrorDescriptor) {
         let text = error.text.replace('"', "'");
-        let item =
-            Item::new("Error").with(error.code.to_string()).grouping(vec![Item::new(format!("\"{text}\""))]);
+        let item = Item::new("Error")
+            .with(error.code.to_string())
+            .with_group(vec![Item::new(format!("\"{text}\""))]);
         self.push_reply(command.kind, &command.termination, vec![item]);
         if !command.optional {
             self.commands.clear();
--- a/crates/node/src/state/batch.rs
+++ b/crates/node/src/state/batch.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeSet;
 
-use baydrift_platform::{setup, Kind};
+use baydrift_platform::{setup, MessageType};
 
 use super::Input;
 
@@ -62,7 +62,7 @@
         let input = entry.as_mut();
         match input {
             Input::CallerDown(link) => drop(closed.insert(*link)),
-            Input::FromCaller(_, message) if message.kind == Kind::Release => {
+            Input::FromCaller(_, message) if message.kind == MessageType::Release => {
                 released.insert(message.call);
             }
             Input::FromCaller(link, message) if setup::is_offer(message) => {
--- a/crates/node/src/state/callers.rs
+++ b/crates/node/src/state/callers.rs
@@ -7,9 +7,9 @@
 
 use baydrift::interface::{Micros, Outcome};
 use baydrift_call::{CallStatus, Input as EngineInput, LinkId, Offer, Request, Retransmission};
-use baydrift_platform::list::server_id;
+use baydrift_platform::server_list::server_id;
 use baydrift_platform::setup::SetUp;
-use baydrift_platform::{Cause, Code, Fault, Id, Kind, Message};
+use baydrift_platform::{CallId, Cause, Message, MessageType, ParameterCode, PlatformError};
 use bytes::Bytes;
 
 use super::expiring::ExpiringQueue;
@@ -35,7 +35,7 @@
     ip: IpAddr,
     opened_at: Micros,
     /// Calls in set-up on this connection.
-    in_set_up: BTreeSet<Id>,
+    in_set_up: BTreeSet<CallId>,
     /// Number of established calls that were set up or announced on this connection.
     established: usize,
     /// It has brought a useful message.
@@ -53,7 +53,7 @@
 }
 
 /// Ends of calls whose caller has no connection at present: the caller's address, the call and the cause.
-pub(super) type UndeliveredEnds = ExpiringQueue<(IpAddr, Id, u8)>;
+pub(super) type UndeliveredEnds = ExpiringQueue<(IpAddr, CallId, u8)>;
 
 impl Node {
     pub(super) fn caller_up(&mut self, link: LinkId, ip: IpAddr, out: &mut Vec<Output>) {
@@ -90,41 +90,48 @@
         let Some(own) = self.links.get_mut(&link) else { return };
         own.partial = false;
         match message.kind {
-            Kind::SetUp => {
+            MessageType::SetUp => {
                 if let Err(fault) = self.handle_set_up(link, &message, out) {
                     tracing::debug!("set-up {}: {fault}", message.call);
                     self.refuse_unusable(link, message.call, out);
                 }
             }
-            Kind::Release => self.handle_caller_release(link, message.call, out),
-            Kind::Test => {
+            MessageType::Release => self.handle_caller_release(link, message.call, out),
+            MessageType::HealthCheck => {
                 if let Some(link) = self.links.get_mut(&link) {
                     link.useful = true;
                 }
-                write(out, link, &Message::tested(message.call));
+                write(out, link, &Message::health_check_passed(message.call));
             }
-            Kind::Progress | Kind::Heard => {}
+            MessageType::Progress | MessageType::ReleaseAck => {}
             // Sent only by front nodes and signalling servers.
-            Kind::Answer | Kind::Tested | Kind::State => self.close_caller(link, out),
+            MessageType::Answer | MessageType::HealthCheckResult | MessageType::LoadReport => {
+                self.close_caller(link, out)
+            }
         }
     }
 
-    fn handle_set_up(&mut self, link: LinkId, message: &Message, out: &mut Vec<Output>) -> Result<(), Fault> {
+    fn handle_set_up(
+        &mut self,
+        link: LinkId,
+        message: &Message,
+        out: &mut Vec<Output>,
+    ) -> Result<(), PlatformError> {
         let call = message.call;
         let setup = SetUp::read(message, self.longest_wait)?;
-        let invalid = |code, what| Fault::Value { code, what };
-        if call == Id::default() {
+        let invalid = |code, what| PlatformError::InvalidValue { code, what };
+        if call == CallId::default() {
             return Err(invalid(0, "the call id is all zeros"));
         }
         let class = self.site.classes.iter().position(|name| *name == setup.class);
-        let class = class.ok_or(invalid(Code::CLASS, "unknown class"))?;
+        let class = class.ok_or(invalid(ParameterCode::CLASS, "unknown class"))?;
         let tenant = match &setup.tenant {
             Some(name) => self.site.tenants.iter().position(|own| own == name),
             None => self.site.tenants.is_empty().then_some(0),
         };
-        let tenant = tenant.ok_or(invalid(Code::TENANT, "unknown tenant"))?;
+        let tenant = tenant.ok_or(invalid(ParameterCode::TENANT, "unknown tenant"))?;
         let session = self.session(call);
-        if let Some(at) = &setup.at {
+        if let Some(at) = &setup.current_server {
             let known = self.engine.call_status(&session);
             if known == Some(CallStatus::Established) || known.is_none() {
                 self.bind_established(link, call);
@@ -140,7 +147,7 @@
         }
         if setup.width < 1.0 || self.site.circuits_by_class.get(class).is_some_and(|most| setup.width > *most)
         {
-            return Err(invalid(Code::FIGURES, "width out of range"));
+            return Err(invalid(ParameterCode::ATTRIBUTES, "width out of range"));
         }
         match self.engine.call_status(&session) {
             // Guards against two set-ups with one id on one connection, whose
@@ -175,8 +182,8 @@
             class,
             tenant,
             number: setup.number.1,
-            first_choice: setup.dest,
-            caller_timeout: setup.wait,
+            first_choice: setup.destination,
+            caller_timeout: setup.caller_timeout,
             redial: self.site.marks_redials.then_some(setup.redial),
             was_dropped: setup.was_dropped,
             // Each set-up has its own id, including a caller's repeated one.
@@ -188,7 +195,7 @@
     }
 
     /// Refuses an invalid set-up, and closes the connection after [`UNUSABLE_SET_UPS_MAX`] of them.
-    fn refuse_unusable(&mut self, link: LinkId, call: Id, out: &mut Vec<Output>) {
+    fn refuse_unusable(&mut self, link: LinkId, call: CallId, out: &mut Vec<Output>) {
         self.counts.unusable += 1;
         write(out, link, &Message::release(call, Cause::INVALID));
         let Some(own) = self.links.get_mut(&link) else { return };
@@ -200,7 +207,7 @@
 
     /// Handles a caller's announcement of an established call: its end is
     /// sent on this connection from now on.
-    fn bind_established(&mut self, link: LinkId, call: Id) {
+    fn bind_established(&mut self, link: LinkId, call: CallId) {
         self.forget_call(call);
         let Some(own) = self.links.get_mut(&link) else { return };
         own.useful = true;
@@ -209,7 +216,7 @@
     }
 
     /// Handles a caller's release, which cancels a set-up or ends an established call.
-    fn handle_caller_release(&mut self, link: LinkId, call: Id, out: &mut Vec<Output>) {
+    fn handle_caller_release(&mut self, link: LinkId, call: CallId, out: &mut Vec<Output>) {
         let Some(caller) = self.calls.get(&call).copied() else { return };
         tracing::trace!("{call}: released by its caller, established {}", caller.established);
         if let Some(own) = self.links.get_mut(&link) {
@@ -257,7 +264,7 @@
         self.caller_down(link, out);
     }
 
-    pub(super) fn send_answer(&mut self, call: Id, description: Bytes, out: &mut Vec<Output>) {
+    pub(super) fn send_answer(&mut self, call: CallId, description: Bytes, out: &mut Vec<Output>) {
         let Some(caller) = self.calls.get_mut(&call) else { return };
         caller.established = true;
         self.set_up_bytes -= std::mem::take(&mut caller.bytes);
@@ -266,10 +273,14 @@
             own.in_set_up.remove(&call);
             own.established += 1;
         }
-        write(out, link, &Message::new(Kind::Answer, call).with(Code::DESCRIPTION, description));
+        write(
+            out,
+            link,
+            &Message::new(MessageType::Answer, call).with(ParameterCode::DESCRIPTION, description),
+        );
     }
 
-    pub(super) fn send_refusal(&mut self, call: Id, retry_is_safe: bool, out: &mut Vec<Output>) {
+    pub(super) fn send_refusal(&mut self, call: CallId, retry_is_safe: bool, out: &mut Vec<Output>) {
         let Some(caller) = self.forget_call(call) else { return };
         let cause = if retry_is_safe { Cause::NO_CIRCUIT } else { Cause::TEMPORARY };
         write(out, caller.link, &Message::release(call, cause));
@@ -277,7 +288,7 @@
 
     /// Sends the end of an established call to its caller: on the connection that the call was set up or
     /// announced on, else on the newest one from the same address, else on the next one.
-    pub(super) fn call_ended(&mut self, call: Id, outcome: Outcome, out: &mut Vec<Output>) {
+    pub(super) fn call_ended(&mut self, call: CallId, outcome: Outcome, out: &mut Vec<Output>) {
         let Some(caller) = self.forget_call(call) else {
             return tracing::trace!("{call}: ended, caller unknown");
         };
@@ -294,7 +305,7 @@
     }
 
     /// Removes a call from the tables.
-    fn forget_call(&mut self, call: Id) -> Option<Caller> {
+    fn forget_call(&mut self, call: CallId) -> Option<Caller> {
         let caller = self.calls.remove(&call)?;
         self.set_up_bytes -= caller.bytes;
         if let Some(link) = self.links.get_mut(&caller.link) {
--- a/crates/node/src/state/discovery.rs
+++ b/crates/node/src/state/discovery.rs
@@ -1,7 +1,7 @@
 //! Service discovery: schedules the queries to the name server and validates its answers.
 
 use baydrift::interface::Micros;
-use baydrift_platform::{names, Listed};
+use baydrift_platform::{dns, ListSnapshot};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -55,17 +55,17 @@
         self.outstanding.push(id);
         let new_port = self.unanswered > 0 && self.unanswered % QUERIES_PER_PORT == 0;
         self.unanswered = self.unanswered.wrapping_add(1);
-        Some((names::query(id).ok()?, new_port))
+        Some((dns::query(id).ok()?, new_port))
     }
 
     /// Returns the list in an answer to an outstanding query. Other datagrams are
     /// ignored: the next query is sent when it is due.
-    pub(super) fn read_answer(&mut self, now: Micros, bytes: &[u8]) -> Option<Listed> {
+    pub(super) fn read_answer(&mut self, now: Micros, bytes: &[u8]) -> Option<ListSnapshot> {
         let id = u16::from_be_bytes([*bytes.first()?, *bytes.get(1)?]);
         if !self.outstanding.contains(&id) {
             return None;
         }
-        match names::read(bytes, id) {
+        match dns::read(bytes, id) {
             Ok(listed) => {
                 self.outstanding.clear();
                 (self.due, self.unanswered) = (now + REFRESH_INTERVAL, 0);
--- a/crates/node/src/state/mod.rs
+++ b/crates/node/src/state/mod.rs
@@ -23,7 +23,7 @@
     AttemptId, Engine, EngineError, Final, Input as EngineInput, Limits, LinkId, Output as EngineOutput,
     Session,
 };
-use baydrift_platform::{Fleet, Id, Message};
+use baydrift_platform::{CallId, Message, ServerList};
 use bytes::Bytes;
 
 pub use batch::sort_batch;
@@ -144,7 +144,7 @@
 #[derive(Debug)]
 struct Attempt {
     server: ServerId,
-    call: Id,
+    call: CallId,
     /// The connection that its set-up was written on; `None` while it waits for one.
     conn: Option<ConnId>,
     established: bool,
@@ -194,8 +194,8 @@
     /// The longest class deadline.
     longest_wait: Micros,
     owner: Arc<str>,
-    fleet: Fleet,
-    calls: BTreeMap<Id, Caller>,
+    fleet: ServerList,
+    calls: BTreeMap<CallId, Caller>,
     /// Memory held by all unanswered set-ups.
     set_up_bytes: usize,
     links: BTreeMap<LinkId, callers::Link>,
@@ -231,7 +231,7 @@
             in_set_up_per_link: SET_UPS_PER_LINK_MAX,
             cached_answers: ANSWER_CACHE_MAX,
             cached_answer_ttl: ANSWER_CACHE_TTL,
-            servers: baydrift_platform::list::SERVERS_MAX,
+            servers: baydrift_platform::server_list::SERVERS_MAX,
             drain_grace: config.site.grace,
             ..Limits::default()
         };
@@ -288,7 +288,7 @@
             Input::ServerDown(conn) => self.server_down(conn, out),
             Input::DiscoveryAnswer(bytes) => {
                 if let Some(listed) = self.discovery.read_answer(self.now, &bytes) {
-                    if self.fleet.take(listed) {
+                    if self.fleet.update(listed) {
                         self.apply_list(out);
                     }
                 }
@@ -440,12 +440,12 @@
         }
     }
 
-    fn session(&self, call: Id) -> Session {
+    fn session(&self, call: CallId) -> Session {
         Session { owner: self.owner.clone(), id: Arc::from(call.to_string()) }
     }
 
     /// Sends a call's final answer to its caller.
-    fn call_answered(&mut self, call: Id, answer: Final, out: &mut Vec<Output>) {
+    fn call_answered(&mut self, call: CallId, answer: Final, out: &mut Vec<Output>) {
         match (answer, self.answer.take()) {
             (Final::Established, Some(description)) => self.send_answer(call, description, out),
             (Final::Established, None) => self.send_refusal(call, false, out),
@@ -465,6 +465,6 @@
 }
 
 /// Converts the engine's session id to the call id on the wire.
-fn id_of(session: &Session) -> Option<Id> {
-    u64::from_str_radix(&session.id, 16).ok().map(|id| Id(id.to_be_bytes()))
+fn id_of(session: &Session) -> Option<CallId> {
+    u64::from_str_radix(&session.id, 16).ok().map(|id| CallId(id.to_be_bytes()))
 }
--- a/crates/node/src/state/servers.rs
+++ b/crates/node/src/state/servers.rs
@@ -10,8 +10,10 @@
 
 use baydrift::interface::{Micros, Note, Outcome, Report, ServerId, ServerState};
 use baydrift_call::{AttemptEnd, AttemptId, Input as EngineInput};
-use baydrift_platform::list::server_id;
-use baydrift_platform::{report, Cause, Code, Fault, Fleet, Id, Kind, Message};
+use baydrift_platform::server_list::server_id;
+use baydrift_platform::{
+    report, CallId, Cause, Message, MessageType, ParameterCode, PlatformError, ServerList,
+};
 
 use super::expiring::ExpiringQueue;
 use super::pool_limit::{PoolLimit, CONNS_PER_SERVER_MAX};
@@ -84,9 +86,9 @@
     address: SocketAddr,
     up: bool,
     /// Unanswered set-ups.
-    unanswered: BTreeMap<Id, AttemptId>,
+    unanswered: BTreeMap<CallId, AttemptId>,
     /// Calls that finished on this connection.
-    finished: ExpiringQueue<Id>,
+    finished: ExpiringQueue<CallId>,
     /// Time of the last message received.
     received_at: Micros,
     /// Time of the unanswered ping.
@@ -96,7 +98,7 @@
 }
 
 impl Conn {
-    fn has_finished(&self, call: Id) -> bool {
+    fn has_finished(&self, call: CallId) -> bool {
         self.finished.any(|finished| *finished == call)
     }
 }
@@ -109,11 +111,11 @@
     started_at: Option<Micros>,
     conns: BTreeSet<ConnId>,
     /// Calls established at this server.
-    established: BTreeMap<Id, AttemptId>,
+    established: BTreeMap<CallId, AttemptId>,
     /// Attempts whose set-ups wait for a connection.
     waiting: VecDeque<AttemptId>,
     /// Calls whose releases wait for a connection.
-    pending_releases: VecDeque<Id>,
+    pending_releases: VecDeque<CallId>,
     dial_failures: u32,
     /// Limit on its connections; `None` until it refuses one.
     pool_limit: Option<PoolLimit>,
@@ -127,7 +129,7 @@
 
 impl Server {
     /// Queues a release for the next connection; beyond the limit the oldest is dropped.
-    fn queue_release(&mut self, call: Id) {
+    fn queue_release(&mut self, call: CallId) {
         if self.pending_releases.len() >= PENDING_RELEASES_MAX {
             self.pending_releases.pop_front();
         }
@@ -145,7 +147,7 @@
     /// Servers whose process was replaced, and the start time of the new one.
     restarted: Vec<(ServerId, Micros)>,
     /// Ends of calls that no caller has announced yet.
-    unclaimed_ends: ExpiringQueue<(ServerId, Id, Outcome)>,
+    unclaimed_ends: ExpiringQueue<(ServerId, CallId, Outcome)>,
 }
 
 impl Servers {
@@ -165,12 +167,12 @@
     }
 
     /// Applies the server list and returns the servers that are new on it.
-    pub(super) fn apply_list(&mut self, now: Micros, fleet: &Fleet) -> Vec<ServerId> {
+    pub(super) fn apply_list(&mut self, now: Micros, fleet: &ServerList) -> Vec<ServerId> {
         let mut added = Vec::new();
         for server in self.by_id.values_mut() {
             server.listed = None;
         }
-        for line in fleet.lines() {
+        for line in fleet.servers() {
             let id = server_id(&line.name);
             tracing::debug!("listed: {} {id:x} {:?} {}", line.name, line.state, line.address);
             let server = self.by_id.entry(id).or_insert_with(|| {
@@ -187,7 +189,7 @@
         }
         // Guards against a new server at the address of a removed one: it knows none of the old server's
         // calls, so a successful dial says nothing about them.
-        let taken: BTreeSet<_> = fleet.lines().map(|line| line.address).collect();
+        let taken: BTreeSet<_> = fleet.servers().map(|line| line.address).collect();
         for (id, server) in self.by_id.iter_mut().filter(|(_, server)| server.listed.is_none()) {
             if server.address.is_some_and(|address| taken.contains(&address)) {
                 server.address = None;
@@ -210,13 +212,24 @@
     }
 
     /// Records an established call at a server, which need not be on the list.
-    pub(super) fn add_established(&mut self, now: Micros, server: ServerId, call: Id, attempt: AttemptId) {
+    pub(super) fn add_established(
+        &mut self,
+        now: Micros,
+        server: ServerId,
+        call: CallId,
+        attempt: AttemptId,
+    ) {
         let new_server = || Server { down_since: Some(now), ..Server::default() };
         self.by_id.entry(server).or_insert_with(new_server).established.insert(call, attempt);
     }
 
     /// Takes the outcome of a call that ended before its caller announced it.
-    pub(super) fn take_unclaimed_end(&mut self, now: Micros, server: ServerId, call: Id) -> Option<Outcome> {
+    pub(super) fn take_unclaimed_end(
+        &mut self,
+        now: Micros,
+        server: ServerId,
+        call: CallId,
+    ) -> Option<Outcome> {
         let ends = self.unclaimed_ends.take_matching(now, |(at, id, _)| (*at, *id) == (server, call));
         ends.first().map(|(.., outcome)| *outcome)
     }
@@ -235,7 +248,7 @@
 
     /// Chooses the connection for a set-up: the one with the fewest unanswered
     /// set-ups that this call has not used yet.
-    fn conn_for_set_up(&self, server: ServerId, call: Id) -> Option<ConnId> {
+    fn conn_for_set_up(&self, server: ServerId, call: CallId) -> Option<ConnId> {
         let free = self
             .up_conns(server)
             .filter(|(_, conn)| !conn.has_finished(call) && !conn.unanswered.contains_key(&call));
@@ -331,7 +344,7 @@
         &mut self,
         attempt: AttemptId,
         server: ServerId,
-        call: Id,
+        call: CallId,
         payload: Payload,
         (timeout, begin_within): (Micros, Micros),
         out: &mut Vec<Output>,
@@ -363,13 +376,13 @@
         let Some(state) = self.attempts.get_mut(&attempt) else { return };
         let Some(PendingSetUp { payload, timeout_at, .. }) = state.pending.take() else { return };
         let left_ms = timeout_at.saturating_sub(self.now).max(1_000) / 1_000;
-        let mut message = Message::new(Kind::SetUp, state.call)
-            .with(Code::CLASS, payload.class)
-            .with(Code::WAIT, left_ms.to_string());
+        let mut message = Message::new(MessageType::SetUp, state.call)
+            .with(ParameterCode::CLASS, payload.class)
+            .with(ParameterCode::TIMEOUT, left_ms.to_string());
         if let Some(number) = payload.number {
-            message = message.with(Code::NUMBER, number);
+            message = message.with(ParameterCode::CALLED_NUMBER, number);
         }
-        message = message.with(Code::DESCRIPTION, payload.description);
+        message = message.with(ParameterCode::DESCRIPTION, payload.description);
         let Some(bytes) = wire(&message) else {
             return self.end_attempt(attempt, AttemptEnd::plain(Outcome::Moot), out);
         };
@@ -484,7 +497,7 @@
         server: ServerId,
         before: Micros,
         out: &mut Vec<Output>,
-    ) -> Vec<Id> {
+    ) -> Vec<CallId> {
         let affected =
             |state: &Attempt| state.server == server && state.pending.is_none() && state.started_at < before;
         let lost: Vec<_> =
@@ -535,31 +548,36 @@
         (conn.received_at, conn.pinged_at, conn.partial_since) = (self.now, None, None);
         let server = conn.server;
         let result = match message.kind {
-            Kind::State => self.read_report(message).map(|report| {
+            MessageType::LoadReport => self.read_report(message).map(|report| {
                 self.apply_to_engine(EngineInput::LoadReport { server, report }, out);
             }),
-            Kind::Answer => self.handle_answer(id, message, out),
-            Kind::Release => self.handle_release(id, server, message, out),
-            Kind::Test => {
-                write(out, id, &Message::tested(message.call));
+            MessageType::Answer => self.handle_answer(id, message, out),
+            MessageType::Release => self.handle_release(id, server, message, out),
+            MessageType::HealthCheck => {
+                write(out, id, &Message::health_check_passed(message.call));
                 Ok(())
             }
-            Kind::Progress | Kind::Heard | Kind::Tested => Ok(()),
-            Kind::SetUp => Err(Fault::Kind(1)),
+            MessageType::Progress | MessageType::ReleaseAck | MessageType::HealthCheckResult => Ok(()),
+            MessageType::SetUp => Err(PlatformError::UnknownType(1)),
         };
         if let Err(fault) = result {
             self.close_broken(id, &fault, out);
         }
     }
 
-    fn read_report(&self, message: &Message) -> Result<Report, Fault> {
-        let text = message.text(Code::REPORT)?;
+    fn read_report(&self, message: &Message) -> Result<Report, PlatformError> {
+        let text = message.text(ParameterCode::LOAD_REPORT)?;
         Ok(text.map(|text| report::read(text, &self.site.fields)).unwrap_or_default())
     }
 
     /// Handles an answer: the call is established. Valid only on the connection of its set-up; duplicates and
     /// answers to unknown set-ups are ignored.
-    fn handle_answer(&mut self, id: ConnId, message: &Message, out: &mut Vec<Output>) -> Result<(), Fault> {
+    fn handle_answer(
+        &mut self,
+        id: ConnId,
+        message: &Message,
+        out: &mut Vec<Output>,
+    ) -> Result<(), PlatformError> {
         // Parsed completely before any state changes: an invalid message closes the connection and resets all
         // its set-ups, this one included.
         let (call, report) = (message.call, self.read_report(message)?);
@@ -569,7 +587,7 @@
         else {
             return Ok(());
         };
-        let description = message.must(Code::DESCRIPTION)?.clone();
+        let description = message.required(ParameterCode::DESCRIPTION)?.clone();
         conn.unanswered.remove(&call);
         let server = conn.server;
         if let Some(state) = self.attempts.get_mut(&attempt) {
@@ -591,10 +609,10 @@
         server: ServerId,
         message: &Message,
         out: &mut Vec<Output>,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), PlatformError> {
         // Parsed completely before any state changes, as in `handle_answer`.
         let (call, cause, report) = (message.call, message.cause()?, self.read_report(message)?);
-        let note = message.text(Code::NOTE)?.map_or(Note::None, note);
+        let note = message.text(ParameterCode::NOTE)?.map_or(Note::None, note);
         let Some(conn) = self.servers.conns.get_mut(&id) else { return Ok(()) };
         if let Some(attempt) = conn.unanswered.remove(&call) {
             tracing::trace!("{call} at {server:x}: released with cause {cause} before its answer");
@@ -666,7 +684,8 @@
                 broken.push((*id, if stuck { "incomplete message timed out" } else { "ping timed out" }));
             } else if conn.pinged_at.is_none() && now >= conn.received_at + PING_AFTER_IDLE {
                 conn.pinged_at = Some(now);
-                let ping = Message::new(Kind::Test, Id::default()).with(Code::CAUSE, vec![0]);
+                let ping = Message::new(MessageType::HealthCheck, CallId::default())
+                    .with(ParameterCode::CAUSE, vec![0]);
                 write(out, *id, &ping);
             }
         }
--- a/crates/node/src/transport/connection.rs
+++ b/crates/node/src/transport/connection.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use baydrift_call::LinkId;
-use baydrift_platform::{setup, Frames, Message};
+use baydrift_platform::{setup, Message, MessageDecoder};
 use socket2::SockRef;
 use tokio::io::{Interest, Ready};
 use tokio::net::TcpStream;
@@ -210,7 +210,7 @@
     }
 
     async fn read_all<K: ConnKey>(&self, key: K, core: &mpsc::Sender<Arrival>) -> End {
-        let mut frames = Frames::default();
+        let mut frames = MessageDecoder::default();
         while !self.closed.get() {
             let ready = tokio::select! {
                 ready = self.stream.ready(Interest::READABLE) => ready,
@@ -227,7 +227,7 @@
                 Err(_) => return End::Remote,
             }
             loop {
-                match frames.take() {
+                match frames.next_message() {
                     Ok(Some(message)) if peer_closed && key.is_obsolete(&message) => {}
                     Ok(Some(message)) => {
                         if core.send(key.message(message).into()).await.is_err() || self.closed.get() {
@@ -241,17 +241,17 @@
                     }
                 }
             }
-            if frames.is_part() && core.send(key.partial().into()).await.is_err() {
+            if frames.has_partial_message() && core.send(key.partial().into()).await.is_err() {
                 return End::Local;
             }
         }
         End::Local
     }
 
-    fn read_some(&self, frames: &mut Frames) -> io::Result<usize> {
+    fn read_some(&self, frames: &mut MessageDecoder) -> io::Result<usize> {
         BUFFER.with_borrow_mut(|buffer| {
             let n = self.stream.try_read(buffer)?;
-            frames.put(&buffer[..n]);
+            frames.push(&buffer[..n]);
             Ok(n)
         })
     }
--- a/crates/node/tests/callers.rs
+++ b/crates/node/tests/callers.rs
@@ -4,7 +4,7 @@
 
 use baydrift_call::LinkId;
 use baydrift_node::state::Input;
-use baydrift_platform::{Cause, Code, Kind, Message};
+use baydrift_platform::{Cause, Message, MessageType, ParameterCode};
 use common::{answer, call, config, server_one, server_two, set_up, Harness, MS, SECOND};
 
 #[test]
@@ -12,14 +12,19 @@
     let mut harness = Harness::connected();
     harness.caller_sends(1, set_up(7, "1500"));
     let conn = harness.set_up_conn(7).expect("a set-up");
-    let (_, sent) = harness.to_servers.iter().rfind(|(_, m)| m.kind == Kind::SetUp).cloned().expect("it");
-    assert_eq!(sent.text(Code::CLASS), Ok(Some("load")));
-    assert_eq!(sent.text(Code::NUMBER), Ok(Some("7f3a9c21e0b4d655")));
-    assert_eq!(sent.must(Code::DESCRIPTION).map(|d| &d[..]), Ok(&b"v=0 what the caller offers"[..]));
-    let left: u64 = sent.text(Code::WAIT).ok().flatten().and_then(|t| t.parse().ok()).expect("a wait");
+    let (_, sent) =
+        harness.to_servers.iter().rfind(|(_, m)| m.kind == MessageType::SetUp).cloned().expect("it");
+    assert_eq!(sent.text(ParameterCode::CLASS), Ok(Some("load")));
+    assert_eq!(sent.text(ParameterCode::CALLED_NUMBER), Ok(Some("7f3a9c21e0b4d655")));
+    assert_eq!(
+        sent.required(ParameterCode::DESCRIPTION).map(|d| &d[..]),
+        Ok(&b"v=0 what the caller offers"[..])
+    );
+    let left: u64 =
+        sent.text(ParameterCode::TIMEOUT).ok().flatten().and_then(|t| t.parse().ok()).expect("a wait");
     assert!((1_000..=1_500).contains(&left), "{left}");
     harness.server_sends(conn, answer(7));
-    assert_eq!(harness.sent_to_caller(7), [(1, Kind::Answer, None)]);
+    assert_eq!(harness.sent_to_caller(7), [(1, MessageType::Answer, None)]);
     assert_eq!(harness.to_callers[0].1, answer(7), "the description is the server's own");
 }
 
@@ -36,31 +41,36 @@
         message
     };
     let mut bad = vec![
-        with(Code::CLASS, "no-such"),
-        with(Code::TENANT, "no-such"),
-        with(Code::NUMBER, "not hex"),
-        with(Code::NUMBER, "7f3a9c21e0b4d6557f"),
-        without(Code::CLASS),
-        without(Code::TENANT),
-        without(Code::WAIT),
-        without(Code::DESCRIPTION),
-        set_up(9, "1500").with(Code::CLASS, "check"),
+        with(ParameterCode::CLASS, "no-such"),
+        with(ParameterCode::TENANT, "no-such"),
+        with(ParameterCode::CALLED_NUMBER, "not hex"),
+        with(ParameterCode::CALLED_NUMBER, "7f3a9c21e0b4d6557f"),
+        without(ParameterCode::CLASS),
+        without(ParameterCode::TENANT),
+        without(ParameterCode::TIMEOUT),
+        without(ParameterCode::DESCRIPTION),
+        set_up(9, "1500").with(ParameterCode::CLASS, "check"),
         set_up(0, "1500"),
     ];
     bad.extend(
-        ["", "abc", "-5", "0", "NaN", "inf", "1e300", "99999999999"].map(|wait| with(Code::WAIT, wait)),
+        ["", "abc", "-5", "0", "NaN", "inf", "1e300", "99999999999"]
+            .map(|wait| with(ParameterCode::TIMEOUT, wait)),
     );
     for figures in
         ["dest:x", "dest:NaN", "dest:-7", "dest:1e9", "width:0", "width:7", "width:-1", "again:7", "width"]
     {
-        bad.push(with(Code::FIGURES, figures));
+        bad.push(with(ParameterCode::ATTRIBUTES, figures));
     }
-    bad.push(set_up(9, "1500").with(Code::TENANT, vec![0xff, 0xfe]));
+    bad.push(set_up(9, "1500").with(ParameterCode::TENANT, vec![0xff, 0xfe]));
     for message in bad {
         let mut harness = Harness::connected();
         let id = u64::from_be_bytes(message.call.0);
         harness.caller_sends(1, message.clone());
-        assert_eq!(harness.sent_to_caller(id), [(1, Kind::Release, Some(Cause::INVALID))], "{message:?}");
+        assert_eq!(
+            harness.sent_to_caller(id),
+            [(1, MessageType::Release, Some(Cause::INVALID))],
+            "{message:?}"
+        );
         assert_eq!(harness.set_up_count(id), 0, "{message:?}");
     }
 }
@@ -72,11 +82,11 @@
     harness.caller(2);
     harness.caller_sends(1, set_up(7, "1500"));
     let conn = harness.set_up_conn(7).expect("a set-up");
-    harness.caller_sends(2, set_up(7, "1500").with(Code::REPORT, "x"));
-    assert_eq!(harness.sent_to_caller(7), [(2, Kind::Release, Some(Cause::INVALID))]);
+    harness.caller_sends(2, set_up(7, "1500").with(ParameterCode::LOAD_REPORT, "x"));
+    assert_eq!(harness.sent_to_caller(7), [(2, MessageType::Release, Some(Cause::INVALID))]);
     assert_eq!(harness.set_up_count(7), 1);
     harness.server_sends(conn, answer(7));
-    assert_eq!(harness.sent_to_caller(7).last(), Some(&(1, Kind::Answer, None)));
+    assert_eq!(harness.sent_to_caller(7).last(), Some(&(1, MessageType::Answer, None)));
 
     harness.caller_sends(1, set_up(8, "1500"));
     harness.caller_sends(1, set_up(8, "1500"));
@@ -91,12 +101,12 @@
     let mut harness = Harness::connected();
     harness.establish(7);
     harness.caller_sends(1, set_up(7, "1500"));
-    assert_eq!(harness.sent_to_caller(7).last(), Some(&(1, Kind::Release, Some(Cause::INVALID))));
+    assert_eq!(harness.sent_to_caller(7).last(), Some(&(1, MessageType::Release, Some(Cause::INVALID))));
     let mut harness = Harness::connected();
     let conn = harness.establish(7);
     harness.server_sends(conn, Message::release(call(7), Cause::NORMAL));
     harness.caller_sends(1, set_up(7, "1500"));
-    assert_eq!(harness.sent_to_caller(7).last(), Some(&(1, Kind::Release, Some(Cause::INVALID))));
+    assert_eq!(harness.sent_to_caller(7).last(), Some(&(1, MessageType::Release, Some(Cause::INVALID))));
     assert_eq!(harness.set_up_count(7), 1);
 }
 
@@ -121,10 +131,10 @@
     assert_eq!(harness.releases_sent(7), [conn]);
     let conn = harness.establish(8);
     harness.server_sends(conn, Message::release(call(8), Cause::NORMAL));
-    assert_eq!(harness.sent_to_caller(8).last(), Some(&(1, Kind::Release, Some(Cause::NORMAL))));
+    assert_eq!(harness.sent_to_caller(8).last(), Some(&(1, MessageType::Release, Some(Cause::NORMAL))));
     let conn = harness.establish(9);
     harness.server_sends(conn, Message::release(call(9), Cause::TEMPORARY));
-    assert_eq!(harness.sent_to_caller(9).last(), Some(&(1, Kind::Release, Some(Cause::TEMPORARY))));
+    assert_eq!(harness.sent_to_caller(9).last(), Some(&(1, MessageType::Release, Some(Cause::TEMPORARY))));
     assert_eq!(harness.node.resource_counts()[3], 0, "no call is established");
 }
 
@@ -142,17 +152,17 @@
     assert_eq!(harness.sent_to_caller(7).len(), 1);
     harness.advance(SECOND);
     harness.caller(3);
-    assert_eq!(harness.sent_to_caller(7).last(), Some(&(3, Kind::Release, Some(Cause::NORMAL))));
+    assert_eq!(harness.sent_to_caller(7).last(), Some(&(3, MessageType::Release, Some(Cause::NORMAL))));
 }
 
 #[test]
 fn announced_established_call_is_adopted() {
     let mut harness = Harness::connected();
-    let at = |id| set_up(id, "1500").with(Code::FIGURES, "x");
+    let at = |id| set_up(id, "1500").with(ParameterCode::ATTRIBUTES, "x");
     let at = |id| {
         let mut message = at(id);
-        message.parameters.retain(|(code, _)| *code != Code::FIGURES);
-        message.with(Code::FIGURES, "dest:0;width:1;via:-1;at:s-two")
+        message.parameters.retain(|(code, _)| *code != ParameterCode::ATTRIBUTES);
+        message.with(ParameterCode::ATTRIBUTES, "dest:0;width:1;via:-1;at:s-two")
     };
     harness.caller_sends(1, at(7));
     harness.caller_sends(1, at(8));
@@ -162,13 +172,13 @@
     assert_eq!(harness.releases_sent(7).len(), 1, "the release is forwarded to the announced server");
     let conn = harness.releases_sent(7)[0];
     harness.server_sends(conn, Message::release(call(8), Cause::NORMAL));
-    assert_eq!(harness.sent_to_caller(8), [(1, Kind::Release, Some(Cause::NORMAL))]);
+    assert_eq!(harness.sent_to_caller(8), [(1, MessageType::Release, Some(Cause::NORMAL))]);
     // The end of a call that the node holds already is sent on the connection that announced it last.
     let conn = harness.establish(9);
     harness.caller(2);
     harness.caller_sends(2, at(9));
     harness.server_sends(conn, Message::release(call(9), Cause::NORMAL));
-    assert_eq!(harness.sent_to_caller(9).last(), Some(&(2, Kind::Release, Some(Cause::NORMAL))));
+    assert_eq!(harness.sent_to_caller(9).last(), Some(&(2, MessageType::Release, Some(Cause::NORMAL))));
 }
 
 /// Guards against hundreds of silent connections: they are closed by a timer, not on the next byte.
@@ -177,11 +187,11 @@
     let mut harness = Harness::connected();
     harness.caller_sends(1, Message::release(call(77), Cause::NORMAL));
     harness.caller(2);
-    harness.caller_sends(2, Message::new(Kind::Test, call(0)));
+    harness.caller_sends(2, Message::new(MessageType::HealthCheck, call(0)));
     harness.caller(3);
     harness.advance(2_500 * MS);
     assert_eq!(harness.closed_callers, [LinkId(1), LinkId(3)]);
-    assert_eq!(harness.sent_to_caller(0), [(2, Kind::Tested, Some(Cause::PASSED))]);
+    assert_eq!(harness.sent_to_caller(0), [(2, MessageType::HealthCheckResult, Some(Cause::PASSED))]);
 }
 
 #[test]
@@ -203,7 +213,7 @@
     harness.caller(1);
     harness.establish(7);
     harness.caller(2);
-    harness.caller_sends(2, Message::new(Kind::Test, call(0)));
+    harness.caller_sends(2, Message::new(MessageType::HealthCheck, call(0)));
     let mut link = 2;
     while harness.closed_callers.is_empty() {
         link += 1;
@@ -228,9 +238,9 @@
         harness.all_dials.iter().find(|(_, at)| at.ip().to_string() == "10.1.0.2").map(|(conn, _)| *conn);
     harness.server_sends(two.expect("a connection"), Message::release(call(7), Cause::NORMAL));
     let mut named = set_up(7, "1500");
-    named.parameters.retain(|(code, _)| *code != Code::FIGURES);
-    harness.caller_sends(1, named.with(Code::FIGURES, "dest:0;width:1;via:-1;at:s-two"));
-    assert_eq!(harness.sent_to_caller(7), [(1, Kind::Release, Some(Cause::NORMAL))]);
+    named.parameters.retain(|(code, _)| *code != ParameterCode::ATTRIBUTES);
+    harness.caller_sends(1, named.with(ParameterCode::ATTRIBUTES, "dest:0;width:1;via:-1;at:s-two"));
+    assert_eq!(harness.sent_to_caller(7), [(1, MessageType::Release, Some(Cause::NORMAL))]);
     assert_eq!(harness.node.resource_counts()[3], 0);
 }
 
@@ -241,11 +251,12 @@
     let mut harness = Harness::connected();
     let long = |id| {
         let mut message = set_up(id, "3000");
-        message.parameters.retain(|(code, _)| *code != Code::DESCRIPTION);
-        message.with(Code::DESCRIPTION, vec![b'x'; 15_000])
+        message.parameters.retain(|(code, _)| *code != ParameterCode::DESCRIPTION);
+        message.with(ParameterCode::DESCRIPTION, vec![b'x'; 15_000])
+    };
+    let refused = |harness: &Harness, id| {
+        harness.sent_to_caller(id) == [(1, MessageType::Release, Some(Cause::NO_CIRCUIT))]
     };
-    let refused =
-        |harness: &Harness, id| harness.sent_to_caller(id) == [(1, Kind::Release, Some(Cause::NO_CIRCUIT))];
     // No server answers, so all set-ups stay open.
     let mut taken = Vec::new();
     for id in 1..=900 {
--- a/crates/node/tests/discovery.rs
+++ b/crates/node/tests/discovery.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use baydrift_node::state::{ConnId, Input};
-use baydrift_platform::{Cause, Kind, Message};
+use baydrift_platform::{Cause, Message, MessageType};
 use baydrift_standin::{list_answer, Listed};
 use common::{call, config, server_one, server_two, set_up, Harness, MS, SECOND};
 
@@ -86,7 +86,7 @@
     harness.connect_all();
     assert_eq!(harness.sent_to_caller(7).len(), 1);
     deliver_list(&mut harness, 2, &[left, new]);
-    assert_eq!(harness.sent_to_caller(7).last(), Some(&(1, Kind::Release, Some(Cause::TEMPORARY))));
+    assert_eq!(harness.sent_to_caller(7).last(), Some(&(1, MessageType::Release, Some(Cause::TEMPORARY))));
 }
 
 #[test]
@@ -100,7 +100,7 @@
         harness.handle(Input::ServerDown(conn));
     }
     harness.advance(2 * SECOND);
-    assert_eq!(harness.sent_to_caller(7).last(), Some(&(1, Kind::Release, Some(Cause::TEMPORARY))));
+    assert_eq!(harness.sent_to_caller(7).last(), Some(&(1, MessageType::Release, Some(Cause::TEMPORARY))));
 }
 
 /// A restarted process does not know the calls from before its start; later calls are not affected.
@@ -116,7 +116,7 @@
     let list = if at_one { [since(server_one()), server_two()] } else { [server_one(), since(server_two())] };
     harness.connect_all();
     deliver_list(&mut harness, 2, &list);
-    assert_eq!(harness.sent_to_caller(7).last(), Some(&(1, Kind::Release, Some(Cause::TEMPORARY))));
+    assert_eq!(harness.sent_to_caller(7).last(), Some(&(1, MessageType::Release, Some(Cause::TEMPORARY))));
 }
 
 /// Rule 3 is checked again before writing.
--- a/crates/node/tests/servers.rs
+++ b/crates/node/tests/servers.rs
@@ -4,7 +4,7 @@
 
 use baydrift_call::LinkId;
 use baydrift_node::state::{ConnId, Input};
-use baydrift_platform::{Cause, Code, Id, Kind, Message};
+use baydrift_platform::{CallId, Cause, Message, MessageType, ParameterCode};
 use common::{answer, call, config, server_one, server_two, set_up, Harness, MS, SECOND};
 
 /// Starts a node with one server and a call that is set up again there after its first attempt was reset.
@@ -30,7 +30,7 @@
     harness.server_sends(first, Message::release(call(7), Cause::BUSY));
     assert!(harness.sent_to_caller(7).is_empty());
     harness.server_sends(second, answer(7));
-    assert_eq!(harness.sent_to_caller(7), [(1, Kind::Answer, None)]);
+    assert_eq!(harness.sent_to_caller(7), [(1, MessageType::Answer, None)]);
     // Nor does it end the established call.
     harness.server_sends(first, Message::release(call(7), Cause::TEMPORARY));
     assert_eq!(harness.sent_to_caller(7).len(), 1);
@@ -56,7 +56,7 @@
     let established_on = harness.establish(6);
     harness.caller_sends(1, set_up(7, "3000"));
     let conn = harness.set_up_conn(7).expect("a set-up");
-    harness.server_sends(conn, Message::new(Kind::Answer, call(7)));
+    harness.server_sends(conn, Message::new(MessageType::Answer, call(7)));
     assert_eq!(harness.closed_servers, [conn]);
     harness.advance(290 * MS);
     assert_eq!(harness.set_up_count(7), 1, "not within the hold-off");
@@ -76,9 +76,9 @@
 fn invalid_report_or_note_resets_all_set_ups_of_the_connection() {
     let release = |cause| Message::release(call(7), cause);
     let bad = [
-        answer(7).with(Code::REPORT, &[0xff][..]),
-        release(Cause::NO_CIRCUIT).with(Code::REPORT, &[0xff][..]),
-        release(Cause::NO_CIRCUIT).with(Code::NOTE, &[0xff][..]),
+        answer(7).with(ParameterCode::LOAD_REPORT, &[0xff][..]),
+        release(Cause::NO_CIRCUIT).with(ParameterCode::LOAD_REPORT, &[0xff][..]),
+        release(Cause::NO_CIRCUIT).with(ParameterCode::NOTE, &[0xff][..]),
     ];
     for message in bad {
         let mut harness = Harness::connected();
@@ -109,7 +109,7 @@
     for other in dialled {
         harness.handle(Input::DialFailed(other, true));
     }
-    assert_eq!(harness.sent_to_caller(7).last(), Some(&(1, Kind::Release, Some(Cause::TEMPORARY))));
+    assert_eq!(harness.sent_to_caller(7).last(), Some(&(1, MessageType::Release, Some(Cause::TEMPORARY))));
 }
 
 /// A set-up that was never written may move at once, unlike one that may have taken effect.
@@ -181,8 +181,8 @@
     let mut harness = Harness::connected();
     harness.caller_sends(1, set_up(6, "3000"));
     let one = harness.set_up_conn(6).expect("a set-up");
-    let report =
-        Message::new(Kind::State, Id::default()).with(Code::REPORT, "idle:0;circuits:40;unknown:x;lat_ms:-1");
+    let report = Message::new(MessageType::LoadReport, CallId::default())
+        .with(ParameterCode::LOAD_REPORT, "idle:0;circuits:40;unknown:x;lat_ms:-1");
     harness.server_sends(one, report);
     harness.caller_sends(1, set_up(7, "3000"));
     let two = harness.set_up_conn(7).expect("a set-up");
@@ -197,7 +197,7 @@
         harness.connect_all();
     }
     let bad = harness.set_up_conn(8).expect("a set-up");
-    harness.server_sends(bad, Message::new(Kind::SetUp, call(1)));
+    harness.server_sends(bad, Message::new(MessageType::SetUp, call(1)));
     assert_eq!(harness.closed_servers, [bad]);
     harness.advance(400 * MS);
     let again = (1..=8).filter(|id| harness.set_up_count(*id) > 1).count();
@@ -218,7 +218,7 @@
     harness.advance(500 * MS);
     assert!(harness.stopped_accepting && !harness.exited);
     harness.server_sends(conn, answer(7));
-    assert_eq!(harness.sent_to_caller(7), [(2, Kind::Answer, None)]);
+    assert_eq!(harness.sent_to_caller(7), [(2, MessageType::Answer, None)]);
     harness.advance(2_400 * MS);
     assert_eq!(harness.sent_to_caller(8).len(), 1, "answered before the SIGKILL at 3.7 s");
     assert!(harness.exited);
@@ -247,7 +247,7 @@
     let next = *harness.dialled.keys().last().expect("dialled");
     harness.handle(Input::ServerUp(next));
     harness.server_sends(next, Message::release(call(6), Cause::NORMAL));
-    assert_eq!(harness.sent_to_caller(6).last(), Some(&(1, Kind::Release, Some(Cause::NORMAL))));
+    assert_eq!(harness.sent_to_caller(6).last(), Some(&(1, MessageType::Release, Some(Cause::NORMAL))));
     harness.advance(SECOND);
     assert_eq!(harness.all_dials.len(), before + 1, "each is replaced once");
 }
@@ -272,7 +272,11 @@
     let conn = harness.set_up_conn(7).expect("a set-up");
     harness.advance(500 * MS);
     harness.server_sends(conn, Message::release(call(7), Cause::NORMAL));
-    assert_eq!(harness.sent_to_caller(7), [(1, Kind::Release, Some(Cause::TEMPORARY))], "failed at once");
+    assert_eq!(
+        harness.sent_to_caller(7),
+        [(1, MessageType::Release, Some(Cause::TEMPORARY))],
+        "failed at once"
+    );
     harness.advance(3 * SECOND);
     assert_eq!((harness.set_up_count(7), harness.sent_to_caller(7).len()), (1, 1), "and never set up again");
 }
--- a/crates/node/tests/termination.rs
+++ b/crates/node/tests/termination.rs
@@ -5,7 +5,7 @@
 use baydrift_call::LinkId;
 use baydrift_node::state::{ConnId, Input, Output};
 use baydrift_node::Config;
-use baydrift_platform::{Cause, Code, Kind, Message};
+use baydrift_platform::{Cause, Message, MessageType, ParameterCode};
 use baydrift_standin::{list_answer, relay_config, Listed};
 use common::{answer, call, config, server_one, server_two, set_up, Harness, MS, SECOND};
 
@@ -35,7 +35,7 @@
     for _ in 0..span / (500 * MS) {
         harness.advance(500 * MS);
         let conns: Vec<_> = harness.all_dials.keys().copied().collect();
-        conns.into_iter().for_each(|conn| harness.server_sends(conn, Message::tested(call(0))));
+        conns.into_iter().for_each(|conn| harness.server_sends(conn, Message::health_check_passed(call(0))));
     }
 }
 
@@ -58,7 +58,7 @@
     let second = harness.set_up_conn(7).expect("another");
     assert!(first != second && harness.set_up_count(7) == 2);
     harness.server_sends(second, answer(7));
-    assert_eq!(harness.sent_to_caller(7), [(1, Kind::Answer, None)]);
+    assert_eq!(harness.sent_to_caller(7), [(1, MessageType::Answer, None)]);
     // The surplus connection is closed once it has no unanswered set-up.
     harness.advance(SECOND);
     assert_eq!((harness.closed_servers.as_slice(), harness.node.resource_counts()[1]), (&[first][..], 1));
@@ -81,7 +81,7 @@
         harness.server_sends(first, answer(id));
         assert_eq!(
             harness.sent_to_caller(id),
-            [(1, Kind::Answer, None)],
+            [(1, MessageType::Answer, None)],
             "a server in warm-up or paused would get few or none"
         );
     }
@@ -247,7 +247,7 @@
     assert_eq!(harness.all_dials[&at].to_string(), "10.1.0.3:5080");
     assert_eq!(harness.sent_to_caller(6).len(), 1, "calls established at a removed server may continue");
     harness.server_sends(conn, Message::release(call(6), Cause::NORMAL));
-    assert_eq!(harness.sent_to_caller(6).last(), Some(&(1, Kind::Release, Some(Cause::NORMAL))));
+    assert_eq!(harness.sent_to_caller(6).last(), Some(&(1, MessageType::Release, Some(Cause::NORMAL))));
 }
 
 // --- one configuration and another ---
@@ -271,17 +271,18 @@
         message.parameters.retain(|(own, _)| *own != code);
         message.with(code, value.to_owned())
     };
-    let refused =
-        |harness: &Harness, id| harness.sent_to_caller(id) == [(1, Kind::Release, Some(Cause::INVALID))];
+    let refused = |harness: &Harness, id| {
+        harness.sent_to_caller(id) == [(1, MessageType::Release, Some(Cause::INVALID))]
+    };
     // The tenant of one node is unknown to the other, whatever characters its name has.
     there.caller_sends(1, set_up(7, "400"));
-    here.caller_sends(1, with(7, Code::TENANT, "other co.; \u{e9}"));
+    here.caller_sends(1, with(7, ParameterCode::TENANT, "other co.; \u{e9}"));
     assert!(refused(&here, 7) && refused(&there, 7));
-    there.caller_sends(1, with(8, Code::TENANT, "other co.; \u{e9}"));
+    there.caller_sends(1, with(8, ParameterCode::TENANT, "other co.; \u{e9}"));
     assert_eq!(there.set_up_count(8), 1);
     // A wait that one node allows and the other does not.
     here.caller_sends(1, set_up(9, "3000"));
-    there.caller_sends(1, with(9, Code::WAIT, "3000").with(Code::REPORT, ""));
+    there.caller_sends(1, with(9, ParameterCode::TIMEOUT, "3000").with(ParameterCode::LOAD_REPORT, ""));
     assert_eq!((here.set_up_count(9), there.set_up_count(9)), (1, 0));
 }
 
@@ -336,7 +337,7 @@
     let mut harness = Harness::new(&config(&[server_one()]));
     harness.connect_all();
     harness.caller(1);
-    harness.caller_sends(1, Message::new(Kind::Test, call(0)));
+    harness.caller_sends(1, Message::new(MessageType::HealthCheck, call(0)));
     harness.handle(Input::CallerPartial(LinkId(1)));
     harness.handle(Input::Stop);
     harness.advance(3_300 * MS);
@@ -362,7 +363,7 @@
     harness.advance(500 * MS);
     assert!(!harness.exited);
     harness.server_sends(conn, answer(7));
-    assert_eq!(harness.sent_to_caller(7), [(2, Kind::Answer, None)]);
+    assert_eq!(harness.sent_to_caller(7), [(2, MessageType::Answer, None)]);
     harness.advance(100 * MS);
     assert!(harness.exited);
 }
@@ -381,7 +382,7 @@
         advance_with_ping_replies(&mut harness, 3 * SECOND);
         assert!(harness.sent_to_caller(7).is_empty());
         advance_with_ping_replies(&mut harness, SECOND);
-        assert_eq!(harness.sent_to_caller(7), [(1, Kind::Release, Some(cause))], "{effect}");
+        assert_eq!(harness.sent_to_caller(7), [(1, MessageType::Release, Some(cause))], "{effect}");
         assert_eq!(harness.releases_sent(7).len(), 1);
     }
 }
--- a/crates/platform/src/message.rs
+++ b/crates/platform/src/message.rs
@@ -1,60 +1,65 @@
-//! Call messages: a length, a type, the call's id and parameters; and how they are cut from a stream.
+//! Call messages and their framing on a byte stream.
+//!
+//! A message is a two-byte length, a type byte, an eight-byte call id and any number of parameters. Each
+//! parameter is a code byte, a two-byte length and a value. Integers are big-endian; the length of a message
+//! does not include the length field itself.
 
 use bytes::{Buf, Bytes, BytesMut};
 
-use crate::Fault;
+use crate::PlatformError;
 
-/// Bytes of type and id: the least that a length may say.
-pub const HEAD: usize = 9;
-/// The most that a length may say: no message holds more than 16 KiB.
-pub const MOST: usize = 16 * 1024;
+/// Minimum message length in bytes: type and call id, without parameters.
+pub const MIN_LENGTH: usize = 9;
+/// Maximum message length in bytes.
+pub const MAX_LENGTH: usize = 16 * 1024;
 
-/// A call's id on the wire. Opaque.
+/// Opaque call identifier, displayed in hexadecimal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
-pub struct Id(pub [u8; 8]);
+pub struct CallId(pub [u8; 8]);
 
-impl std::fmt::Display for Id {
+impl std::fmt::Display for CallId {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         self.0.iter().try_for_each(|byte| write!(f, "{byte:02x}"))
     }
 }
 
-/// The types of messages.
+/// Message types.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
-    /// A call is offered.
+pub enum MessageType {
+    /// Offers a call.
     SetUp,
-    /// Means nothing.
+    /// Progress indication; has no effect.
     Progress,
-    /// The call stands.
+    /// The call is established.
     Answer,
-    /// Refused, given up or over, by its cause.
+    /// The call is refused, cancelled or cleared, depending on the cause.
     Release,
-    /// A release was heard; means nothing.
-    Heard,
-    /// Does the connection work?
-    Test,
-    /// It does, or not, by its cause.
-    Tested,
-    /// News of a group.
-    State,
+    /// Acknowledges a release; has no effect.
+    ReleaseAck,
+    /// Health check of a connection.
+    HealthCheck,
+    /// Response to a health check; the cause gives the result.
+    HealthCheckResult,
+    /// Load report of a signalling server.
+    LoadReport,
 }
 
-impl Kind {
+impl MessageType {
+    /// All message types with their codes on the wire.
     const ALL: [(u8, Self); 8] = [
         (1, Self::SetUp),
         (6, Self::Progress),
         (9, Self::Answer),
         (12, Self::Release),
-        (16, Self::Heard),
-        (52, Self::Test),
-        (53, Self::Tested),
-        (43, Self::State),
+        (16, Self::ReleaseAck),
+        (52, Self::HealthCheck),
+        (53, Self::HealthCheckResult),
+        (43, Self::LoadReport),
     ];
 
-    fn read(code: u8) -> Result<Self, Fault> {
-        let known = Self::ALL.iter().find(|(own, _)| *own == code);
-        known.map(|(_, kind)| *kind).ok_or(Fault::Kind(code))
+    fn read(code: u8) -> Result<Self, PlatformError> {
+        let found = Self::ALL.iter().find(|(known, _)| *known == code);
+        found.map(|(_, kind)| *kind).ok_or(PlatformError::UnknownType(code))
     }
 
     fn code(self) -> u8 {
@@ -62,145 +67,148 @@
     }
 }
 
-/// The parameters that a front node knows.
+/// Codes of the parameters that a front node evaluates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Code;
+pub struct ParameterCode;
 
-impl Code {
-    /// The class, by name.
+impl ParameterCode {
+    /// Name of the class.
     pub const CLASS: u8 = 129;
-    /// How long the sender waits, in milliseconds.
-    pub const WAIT: u8 = 132;
-    /// The tenant, by name.
+    /// How long the sender waits for the answer, in milliseconds.
+    pub const TIMEOUT: u8 = 132;
+    /// Name of the tenant.
     pub const TENANT: u8 = 135;
-    /// The number called.
-    pub const NUMBER: u8 = 141;
-    /// Further figures of a set-up.
-    pub const FIGURES: u8 = 144;
-    /// A word on a refusal.
+    /// Called number, in hexadecimal digits.
+    pub const CALLED_NUMBER: u8 = 141;
+    /// Further attributes of a set-up, as `name:value` pairs separated by semicolons.
+    pub const ATTRIBUTES: u8 = 144;
+    /// Detail on the reason of a refusal.
     pub const NOTE: u8 = 150;
-    /// A load report.
-    pub const REPORT: u8 = 156;
-    /// The cause, one byte.
+    /// Load report, see [`crate::report`].
+    pub const LOAD_REPORT: u8 = 156;
+    /// Cause, one byte, see [`Cause`].
     pub const CAUSE: u8 = 171;
-    /// The description, any bytes.
+    /// Session description, opaque bytes.
     pub const DESCRIPTION: u8 = 174;
 }
 
-/// The causes that mean something here.
+/// Cause values that a front node distinguishes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Cause;
 
 impl Cause {
-    /// A test passed.
+    /// A health check passed.
     pub const PASSED: u8 = 1;
-    /// The call came to its end, or the set-up is given up.
+    /// Normal clearing of a call, or cancellation of a set-up.
     pub const NORMAL: u8 = 16;
-    /// Error: the number was busy.
+    /// The called number is busy; counts as an error.
     pub const BUSY: u8 = 17;
-    /// Full; towards a caller: refused, trying again is harmless.
+    /// The server has no free circuit. Towards a caller: refused, and safe to retry.
     pub const NO_CIRCUIT: u8 = 34;
-    /// Reset or cut; towards a caller: failed.
+    /// Temporary failure: the call was reset or cut. Towards a caller: the call failed.
     pub const TEMPORARY: u8 = 41;
-    /// Error.
+    /// Resource unavailable; counts as an error.
     pub const RESOURCE: u8 = 47;
-    /// Towards a caller: what it sent cannot be used.
+    /// Towards a caller: its message is invalid.
     pub const INVALID: u8 = 95;
-    /// Moot: it never left.
+    /// A timer expired before the set-up was sent on; counts as never sent.
     pub const TIMER: u8 = 102;
 }
 
-/// One message, its parameters as they came.
+/// A message with its parameters in the order received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Message {
-    /// Its type.
-    pub kind: Kind,
-    /// The call that it is about.
-    pub call: Id,
-    /// Code and value of each parameter, in order.
+    /// Message type.
+    pub kind: MessageType,
+    /// Call that the message belongs to; all zero for messages about the connection or the server.
+    pub call: CallId,
+    /// Parameters as pairs of code and value.
     pub parameters: Vec<(u8, Bytes)>,
 }
 
 impl Message {
-    /// A message without parameters.
-    pub fn new(kind: Kind, call: Id) -> Self {
+    /// Creates a message without parameters.
+    pub fn new(kind: MessageType, call: CallId) -> Self {
         Self { kind, call, parameters: Vec::new() }
     }
 
-    /// The same with one parameter more.
+    /// Appends a parameter.
     #[must_use]
     pub fn with(mut self, code: u8, value: impl Into<Bytes>) -> Self {
         self.parameters.push((code, value.into()));
         self
     }
 
-    /// A release.
-    pub fn release(call: Id, cause: u8) -> Self {
-        Self::new(Kind::Release, call).with(Code::CAUSE, vec![cause])
+    /// Creates a release with a cause.
+    pub fn release(call: CallId, cause: u8) -> Self {
+        Self::new(MessageType::Release, call).with(ParameterCode::CAUSE, vec![cause])
     }
 
-    /// The word that a connection works.
-    pub fn tested(call: Id) -> Self {
-        Self::new(Kind::Tested, call).with(Code::CAUSE, vec![Cause::PASSED])
+    /// Creates the response to a health check that passed.
+    pub fn health_check_passed(call: CallId) -> Self {
+        Self::new(MessageType::HealthCheckResult, call).with(ParameterCode::CAUSE, vec![Cause::PASSED])
     }
 
-    /// The message's bytes.
+    /// Encodes the message.
     ///
     /// # Errors
-    /// As [`Message::write`].
-    pub fn to_bytes(&self) -> Result<Vec<u8>, Fault> {
+    /// See [`Message::write`].
+    pub fn to_bytes(&self) -> Result<Vec<u8>, PlatformError> {
         let mut bytes = Vec::new();
         self.write(&mut bytes).map(|()| bytes)
     }
 
-    /// The value of a parameter that may be there once.
+    /// Value of a parameter that may occur at most once.
     ///
     /// # Errors
-    /// When it is there twice: which of the two counts nobody can tell.
-    pub fn one(&self, code: u8) -> Result<Option<&Bytes>, Fault> {
-        let mut values = self.parameters.iter().filter(|(own, _)| *own == code);
+    /// If it occurs twice, since the protocol does not define which value applies.
+    pub fn optional(&self, code: u8) -> Result<Option<&Bytes>, PlatformError> {
+        let mut values = self.parameters.iter().filter(|(candidate, _)| *candidate == code);
         match (values.next(), values.next()) {
-            (_, Some(_)) => Err(Fault::Twice(code)),
+            (_, Some(_)) => Err(PlatformError::DuplicateParameter(code)),
             (found, None) => Ok(found.map(|(_, value)| value)),
         }
     }
 
-    /// The value of a parameter that must be there.
+    /// Value of a required parameter.
     ///
     /// # Errors
-    /// When it is missing, or there twice.
-    pub fn must(&self, code: u8) -> Result<&Bytes, Fault> {
-        self.one(code)?.ok_or(Fault::Missing(code))
+    /// If it is missing or occurs twice.
+    pub fn required(&self, code: u8) -> Result<&Bytes, PlatformError> {
+        self.optional(code)?.ok_or(PlatformError::MissingParameter(code))
     }
 
-    /// The value of a text parameter.
+    /// Value of an optional text parameter.
     ///
     /// # Errors
-    /// When it is there twice or is no text.
-    pub fn text(&self, code: u8) -> Result<Option<&str>, Fault> {
-        let text = |value| std::str::from_utf8(value).map_err(|_| Fault::Value { code, what: "no text" });
-        self.one(code)?.map(|value| text(value)).transpose()
+    /// If it occurs twice or is not valid UTF-8.
+    pub fn text(&self, code: u8) -> Result<Option<&str>, PlatformError> {
+        let text = |value| {
+            std::str::from_utf8(value)
+                .map_err(|_| PlatformError::InvalidValue { code, what: "not valid UTF-8" })
+        };
+        self.optional(code)?.map(|value| text(value)).transpose()
     }
 
-    /// The cause.
+    /// Value of the cause parameter.
     ///
     /// # Errors
-    /// When it is missing, there twice, or not one byte.
-    pub fn cause(&self) -> Result<u8, Fault> {
-        match self.must(Code::CAUSE)?[..] {
+    /// If it is missing, occurs twice, or is not one byte long.
+    pub fn cause(&self) -> Result<u8, PlatformError> {
+        match self.required(ParameterCode::CAUSE)?[..] {
             [cause] => Ok(cause),
-            _ => Err(Fault::Value { code: Code::CAUSE, what: "not one byte" }),
+            _ => Err(PlatformError::InvalidValue { code: ParameterCode::CAUSE, what: "not one byte" }),
         }
     }
 
-    /// Appends the message's bytes.
+    /// Appends the encoded message to `out`.
     ///
     /// # Errors
-    /// When it would hold more than a message may.
-    pub fn write(&self, out: &mut Vec<u8>) -> Result<(), Fault> {
-        let size = HEAD + self.parameters.iter().map(|(_, value)| 3 + value.len()).sum::<usize>();
-        if size > MOST {
-            return Err(Fault::Length(size));
+    /// If the message is longer than [`MAX_LENGTH`].
+    pub fn write(&self, out: &mut Vec<u8>) -> Result<(), PlatformError> {
+        let size = MIN_LENGTH + self.parameters.iter().map(|(_, value)| 3 + value.len()).sum::<usize>();
+        if size > MAX_LENGTH {
+            return Err(PlatformError::InvalidLength(size));
         }
         out.extend_from_slice(&(size as u16).to_be_bytes());
         out.push(self.kind.code());
@@ -213,12 +221,12 @@
         Ok(())
     }
 
-    fn read(mut body: Bytes) -> Result<Self, Fault> {
+    fn read(mut body: Bytes) -> Result<Self, PlatformError> {
         let size = body.len();
-        if size < HEAD {
-            return Err(Fault::Length(size));
+        if size < MIN_LENGTH {
+            return Err(PlatformError::InvalidLength(size));
         }
-        let kind = Kind::read(body.get_u8())?;
+        let kind = MessageType::read(body.get_u8())?;
         let mut id = [0; 8];
         body.copy_to_slice(&mut id);
         let mut parameters = Vec::new();
@@ -226,62 +234,64 @@
             let at = size - body.len();
             let code = body.get_u8();
             if body.len() < 2 {
-                return Err(Fault::Overrun { code, at });
+                return Err(PlatformError::ParameterOverrun { code, at });
             }
             let length = usize::from(body.get_u16());
             if length > body.len() {
-                return Err(Fault::Overrun { code, at });
+                return Err(PlatformError::ParameterOverrun { code, at });
             }
             parameters.push((code, body.split_to(length)));
         }
-        Ok(Self { kind, call: Id(id), parameters })
+        Ok(Self { kind, call: CallId(id), parameters })
     }
 }
 
-/// Cuts messages from the bytes of one connection. Holds at most one message and what came with one read.
+/// Decodes messages from the byte stream of one connection.
+///
+/// Buffers at most one incomplete message plus the bytes of one read.
 #[derive(Debug, Default)]
-pub struct Frames {
-    held: BytesMut,
+pub struct MessageDecoder {
+    buffer: BytesMut,
 }
 
-impl Frames {
-    /// Takes what was read.
-    pub fn put(&mut self, bytes: &[u8]) {
-        self.held.extend_from_slice(bytes);
+impl MessageDecoder {
+    /// Appends bytes received on the connection.
+    pub fn push(&mut self, bytes: &[u8]) {
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole message.
+    /// Decodes the next complete message; `None` if more bytes are needed.
     ///
     /// # Errors
-    /// When the stream cannot be read any further; nothing after this is of use. A length that is out of
-    /// bounds is seen before any of the message has come.
-    pub fn take(&mut self) -> Result<Option<Message>, Fault> {
-        let Some(head) = self.held.get(..2) else {
-            if self.held.is_empty() {
-                // An idle connection holds nothing.
-                self.held = BytesMut::new();
+    /// If the message is malformed. Framing is lost then, so the connection must be closed. An invalid length
+    /// or type is reported as soon as its bytes have arrived.
+    pub fn next_message(&mut self) -> Result<Option<Message>, PlatformError> {
+        let Some(header) = self.buffer.get(..2) else {
+            if self.buffer.is_empty() {
+                // Frees the buffer, so that an idle connection uses no memory for it.
+                self.buffer = BytesMut::new();
             }
             return Ok(None);
         };
-        let length = usize::from(u16::from_be_bytes([head[0], head[1]]));
-        if !(HEAD..=MOST).contains(&length) {
-            return Err(Fault::Length(length));
+        let length = usize::from(u16::from_be_bytes([header[0], header[1]]));
+        if !(MIN_LENGTH..=MAX_LENGTH).contains(&length) {
+            return Err(PlatformError::InvalidLength(length));
         }
-        if let Some(code) = self.held.get(2) {
-            Kind::read(*code)?;
+        if let Some(code) = self.buffer.get(2) {
+            MessageType::read(*code)?;
         }
-        if self.held.len() < 2 + length {
+        if self.buffer.len() < 2 + length {
             return Ok(None);
         }
-        self.held.advance(2);
-        // Copied, so that a description that is kept does not keep all that was read with it.
-        let body = Bytes::copy_from_slice(&self.held[..length]);
-        self.held.advance(length);
+        self.buffer.advance(2);
+        // Copied: a description that is retained would otherwise keep the whole receive buffer alive.
+        let body = Bytes::copy_from_slice(&self.buffer[..length]);
+        self.buffer.advance(length);
         Message::read(body).map(Some)
     }
 
-    /// Whether part of a message is held.
-    pub fn is_part(&self) -> bool {
-        !self.held.is_empty()
+    /// Whether bytes of an incomplete message are buffered.
+    pub fn has_partial_message(&self) -> bool {
+        !self.buffer.is_empty()
     }
 }
