--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -1,6 +1,6 @@
 //! What crossed the sockets, and what it shows.
 //!
-//! Stand-ins write a [`Line`] for each message that they read or send, with one clock. [`rules`] checks the
+//! Stand-ins write a [`RecordEntry`] for each message that they read or send, with one clock. [`rules`] checks the
 //! five rules, [`service`] counts service as the users do; both read the record alone, never a front's word.
 //!
 //! Messages are timed where a stand-in reads or writes them, so two of them that one front sent in order to
@@ -14,8 +14,8 @@
 mod verdict;
 
 pub use loss::REPLY_GAP;
-pub use record::{monotonic, read_record, write_record, Line, Moment, RecordError, Recorder};
-pub use rules::{rules, Terms, SLACK};
-pub use service::{service, ClassTerms, Latency, Service, Shares};
-pub use sums::{sums, Recovery, ServerTerms, SumTerms, Sums, NEAR};
+pub use record::{monotonic, read_record, write_record, RecordEntry, RecordError, RecordEvent, Recorder};
+pub use rules::{rules, RuleLimits, SLACK};
+pub use service::{service, ClassConfig, Latency, Service, Shares};
+pub use sums::{sums, Recovery, ServerCapacity, SumLimits, Sums, NEAR};
 pub use verdict::{Breach, Excuse, Verdict};
--- a/crates/audit/src/loss.rs
+++ b/crates/audit/src/loss.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::record::Moment;
+use crate::record::RecordEvent;
 use crate::rules::SLACK;
 use crate::verdict::Excuse;
 
@@ -36,12 +36,12 @@
 }
 
 impl Losses {
-    pub(crate) fn take(&mut self, at: u64, moment: &Moment) {
+    pub(crate) fn take(&mut self, at: u64, moment: &RecordEvent) {
         match moment {
-            Moment::Asks { call, transaction } => {
+            RecordEvent::RequestSent { call, transaction } => {
                 self.transactions.insert(call.clone(), *transaction);
             }
-            Moment::Datagram { client, to_front, transaction, lost } => {
+            RecordEvent::Datagram { client, to_front, transaction, lost } => {
                 let copies = self.copies.entry((client.clone(), *transaction)).or_default();
                 match (to_front, lost) {
                     (true, false) => drop(copies.arrived.get_or_insert(at)),
--- a/crates/audit/src/rules.rs
+++ b/crates/audit/src/rules.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::loss::{Losses, Wanted};
-use crate::record::{Line, Moment};
+use crate::record::{RecordEntry, RecordEvent};
 use crate::verdict::{Excuse, Verdict};
 
 /// Microseconds by which two moments at two sockets may be seen nearer or farther than they were.
@@ -14,7 +14,7 @@
 
 /// The rules' figures.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Terms {
+pub struct RuleLimits {
     /// Rule 3, microseconds.
     pub grace: u64,
     /// Rule 5, microseconds.
@@ -23,7 +23,7 @@
     pub max_attempts: usize,
 }
 
-impl Default for Terms {
+impl Default for RuleLimits {
     fn default() -> Self {
         Self { grace: 1_000_000, retry_holdoff: 300_000, max_attempts: 5 }
     }
@@ -55,7 +55,7 @@
 }
 
 struct Reader {
-    terms: Terms,
+    terms: RuleLimits,
     calls: BTreeMap<String, Call>,
     attempts: BTreeMap<String, Attempt>,
     /// Open attempts by server and front.
@@ -73,7 +73,7 @@
 }
 
 /// Checks a whole record.
-pub fn rules(lines: &[Line], terms: Terms) -> Verdict {
+pub fn rules(lines: &[RecordEntry], terms: RuleLimits) -> Verdict {
     let mut reader = Reader {
         terms,
         calls: BTreeMap::new(),
@@ -88,7 +88,7 @@
         verdict: Verdict::default(),
     };
     for line in lines {
-        reader.take(line.at, &line.moment);
+        reader.take(line.at, &line.event);
     }
     let end = lines.last().map_or(0, |line| line.at);
     reader.finish(end);
@@ -100,34 +100,39 @@
         self.verdict.breach(rule, at, text);
     }
 
-    fn take(&mut self, at: u64, moment: &Moment) {
+    fn take(&mut self, at: u64, moment: &RecordEvent) {
         match moment {
-            Moment::Offer { front, call, gives_up_us, .. } => {
+            RecordEvent::Offer { front, call, caller_timeout_us, .. } => {
                 let held = call.split('|').next().is_some_and(|client| self.held.contains(client));
-                let offered =
-                    Call { front: *front, offered: at, gives_up: at + gives_up_us, held, ..Call::default() };
+                let offered = Call {
+                    front: *front,
+                    offered: at,
+                    gives_up: at + caller_timeout_us,
+                    held,
+                    ..Call::default()
+                };
                 if self.calls.insert(call.clone(), offered).is_some() {
                     self.breach(1, at, format!("the record offers {call} twice"));
                 }
             }
-            Moment::Answer { call, code, .. } => self.answer(at, call, *code),
-            Moment::GiveUp { call, .. } | Moment::Hangup { call, .. } => {
+            RecordEvent::Answer { call, code, .. } => self.answer(at, call, *code),
+            RecordEvent::CallerTimeout { call, .. } | RecordEvent::Hangup { call, .. } => {
                 if let Some(call) = self.calls.get_mut(call) {
                     call.left.get_or_insert(at);
                 }
             }
-            Moment::Parted { client, .. } => {
+            RecordEvent::ClientDisconnected { client, .. } => {
                 let theirs = self.calls.iter_mut().filter(|(name, _)| name.split('|').next() == Some(client));
                 theirs.for_each(|(_, call)| call.parted |= call.answered.is_none());
             }
-            Moment::SetUp { server, front, call, attempt, redirected: _ } => {
+            RecordEvent::SetUp { server, front, call, attempt, redirected: _ } => {
                 self.verdict.set_ups += 1;
                 // Where the way there was watched, it counted when it was sent.
                 if !self.attempts.contains_key(attempt) {
                     self.set_up(at, *server, *front, call, attempt);
                 }
             }
-            Moment::Reply { attempt, code, lost, .. } => {
+            RecordEvent::Reply { attempt, code, lost, .. } => {
                 // A lost answer ends nothing: its front does not see it. One that stands leaves nothing to repeat.
                 if !lost {
                     self.end(at, attempt, *code == 2001);
@@ -137,15 +142,17 @@
                     }
                 }
             }
-            Moment::Release { attempt, .. } | Moment::Abort { attempt, .. } => self.end(at, attempt, true),
+            RecordEvent::Release { attempt, .. } | RecordEvent::Abort { attempt, .. } => {
+                self.end(at, attempt, true)
+            }
             // A server that answers no watchdog still reads: what it had is over once it reads the release.
-            Moment::Mute { .. } | Moment::Speaks { .. } => {}
-            Moment::Unlinked { server, front } => {
+            RecordEvent::Unresponsive { .. } | RecordEvent::Responsive { .. } => {}
+            RecordEvent::Disconnected { server, front } => {
                 for attempt in self.at.get(&(*server, *front)).cloned().unwrap_or_default() {
                     self.end(at, &attempt, true);
                 }
             }
-            Moment::Die { server } => {
+            RecordEvent::ServerExited { server } => {
                 let fronts: Vec<_> = self.at.keys().filter(|key| key.0 == *server).copied().collect();
                 for key in fronts {
                     for attempt in self.at.get(&key).cloned().unwrap_or_default() {
@@ -153,7 +160,7 @@
                     }
                 }
             }
-            Moment::Told { server, front, ready, by_list } => {
+            RecordEvent::ReadinessReported { server, front, ready, by_list } => {
                 let key = (*server, *front, *by_list);
                 if *ready {
                     self.told.remove(&key);
@@ -162,21 +169,21 @@
                 }
             }
             // What a server said of itself ended with its process.
-            Moment::Start { server, .. } => self.told.retain(|key, _| key.0 != *server || key.2),
-            Moment::Fall { server } => {
+            RecordEvent::ServerStarted { server, .. } => self.told.retain(|key, _| key.0 != *server || key.2),
+            RecordEvent::ServerOverloaded { server } => {
                 self.breach(4, at, format!("server {server} was pushed over while cold"));
             }
-            Moment::Stall { front, us } => self.stalls.push((*front, at, at + us)),
-            Moment::Held { client, held: true } => {
+            RecordEvent::Stall { front, us } => self.stalls.push((*front, at, at + us)),
+            RecordEvent::Held { client, held: true } => {
                 self.held.insert(client.clone());
                 // What was offered just before may not have passed yet.
                 let theirs = self.calls.iter_mut().filter(|(name, _)| name.split('|').next() == Some(client));
                 let open = theirs.filter(|(_, call)| call.answered.is_none() && at <= call.offered + SLACK);
                 open.for_each(|(_, call)| call.held = true);
             }
-            Moment::Held { client, held: false } => drop(self.held.remove(client)),
-            Moment::Lossy { client } => drop(self.lossy.insert(client.clone())),
-            Moment::Killed { front } => {
+            RecordEvent::Held { client, held: false } => drop(self.held.remove(client)),
+            RecordEvent::Lossy { client } => drop(self.lossy.insert(client.clone())),
+            RecordEvent::FrontKilled { front } => {
                 self.downs.push((*front, at, u64::MAX));
                 // What was told to that process is nothing that the next one was told, nor are its attempts the next
                 // one's: a call that its caller says again is a new request there.
@@ -184,31 +191,31 @@
                 let theirs = self.calls.values_mut().filter(|call| call.front == *front);
                 theirs.for_each(|call| call.attempts = 0);
             }
-            Moment::Started { front } => {
+            RecordEvent::FrontStarted { front } => {
                 let down = self.downs.iter_mut().rev().find(|down| down.0 == *front && down.2 == u64::MAX);
                 down.into_iter().for_each(|down| down.2 = at);
             }
             // What counts is when a front sent: a way that holds what it carries may give it on much later, when it
             // was given up long before.
-            Moment::Sent { server, front, call: Some(call), attempt } => {
+            RecordEvent::Sent { server, front, call: Some(call), attempt } => {
                 if !self.attempts.contains_key(attempt) {
                     self.set_up(at, *server, *front, call, attempt);
                 }
             }
-            Moment::Sent { call: None, attempt, .. } => self.end(at, attempt, true),
-            Moment::Again { call, .. } => {
+            RecordEvent::Sent { call: None, attempt, .. } => self.end(at, attempt, true),
+            RecordEvent::Retransmit { call, .. } => {
                 if let Some(call) = self.calls.get_mut(call).filter(|call| at + LAST_ASKED < call.gives_up) {
                     call.parted = false;
                 }
             }
-            Moment::Asks { .. } | Moment::Datagram { .. } => self.losses.take(at, moment),
-            Moment::Cut { .. }
-            | Moment::End
-            | Moment::Entered { .. }
-            | Moment::Linked { .. }
-            | Moment::Parting { .. }
-            | Moment::Word { .. }
-            | Moment::Fault { .. } => {}
+            RecordEvent::RequestSent { .. } | RecordEvent::Datagram { .. } => self.losses.take(at, moment),
+            RecordEvent::Dropped { .. }
+            | RecordEvent::End
+            | RecordEvent::Entered { .. }
+            | RecordEvent::LinkUp { .. }
+            | RecordEvent::LinkDown { .. }
+            | RecordEvent::GossipSent { .. }
+            | RecordEvent::Fault { .. } => {}
         }
     }
 
@@ -272,7 +279,7 @@
                 );
             }
         }
-        let Terms { retry_holdoff, max_attempts, .. } = self.terms;
+        let RuleLimits { retry_holdoff, max_attempts, .. } = self.terms;
         if let Some(open) = self.calls.get(name).and_then(|call| call.out.clone()) {
             self.breach(2, at, format!("{name}: {attempt} is set up while {open} is out"));
         }
@@ -288,8 +295,8 @@
         let left = call.left.filter(|_| !call.held);
         let (unsure, answered, attempts) = (call.unsure, call.answered.or(left), call.attempts);
         if let Some(gap) = unsure.map(|unsure| at.saturating_sub(unsure)) {
-            let shortest = self.verdict.shortest_guard;
-            self.verdict.shortest_guard = Some(shortest.map_or(gap, |shortest| shortest.min(gap)));
+            let shortest = self.verdict.shortest_holdoff;
+            self.verdict.shortest_holdoff = Some(shortest.map_or(gap, |shortest| shortest.min(gap)));
             if gap + SLACK < retry_holdoff {
                 self.breach(5, at, format!("{name} is set up again {gap} us after its last attempt ended"));
             }
--- a/crates/audit/src/service.rs
+++ b/crates/audit/src/service.rs
@@ -5,11 +5,11 @@
 
 use hdrhistogram::Histogram;
 
-use crate::record::{Line, Moment};
+use crate::record::{RecordEntry, RecordEvent};
 
 /// What a class is worth, and when.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ClassTerms {
+pub struct ClassConfig {
     /// Its name.
     pub name: String,
     /// Worth of a call that stands within the aim.
@@ -67,7 +67,7 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Service {
     /// All calls.
-    pub whole: Shares,
+    pub total: Shares,
     /// By class.
     pub classes: BTreeMap<String, Shares>,
     /// By publisher.
@@ -77,9 +77,9 @@
     /// The worst 10 s, by when calls were offered.
     pub worst_window: f64,
     /// Calls that stood and were cut.
-    pub cut: usize,
+    pub dropped: usize,
     /// Answers: stands.
-    pub stands: usize,
+    pub established: usize,
     /// Answers: refused.
     pub refused: usize,
     /// Answers: failed.
@@ -109,14 +109,14 @@
 }
 
 /// Counts a whole record.
-pub fn service(lines: &[Line], classes: &[ClassTerms], publishers: &[String]) -> Service {
+pub fn service(lines: &[RecordEntry], classes: &[ClassConfig], publishers: &[String]) -> Service {
     let mut tries: BTreeMap<&str, Try> = BTreeMap::new();
     let mut calls: BTreeMap<String, Outcome> = BTreeMap::new();
     let mut seen = Service::default();
     let mut latency = Histogram::<u64>::new(3).ok();
     for line in lines {
-        match &line.moment {
-            Moment::Offer { call, first, class, publisher, hot, .. } => {
+        match &line.event {
+            RecordEvent::Offer { call, first, class, publisher, hot, .. } => {
                 let first = first.clone().unwrap_or_else(|| call.clone());
                 calls.entry(first.clone()).or_insert(Outcome {
                     class: *class,
@@ -127,13 +127,13 @@
                 });
                 tries.insert(call, Try { first, at: line.at, answered: false });
             }
-            Moment::Answer { call, code, .. } => {
+            RecordEvent::Answer { call, code, .. } => {
                 // The same answer again, to a repeat, counts once.
                 let tried = tries.get_mut(call.as_str()).filter(|tried| !tried.answered);
                 let Some(tried) = tried else { continue };
                 tried.answered = true;
                 match code {
-                    2001 => seen.stands += 1,
+                    2001 => seen.established += 1,
                     3004 => seen.refused += 1,
                     _ => seen.failed += 1,
                 }
@@ -146,8 +146,8 @@
                     }
                 }
             }
-            Moment::Cut { call, .. } => {
-                seen.cut += 1;
+            RecordEvent::Dropped { call, .. } => {
+                seen.dropped += 1;
                 let outcome = tries.get(call.as_str()).and_then(|tried| calls.get_mut(&tried.first));
                 if let Some(outcome) = outcome {
                     outcome.cut = true;
@@ -167,7 +167,7 @@
             Some(_) => offered * class.late_worth,
             None => 0.0,
         };
-        seen.whole.add(offered, earned);
+        seen.total.add(offered, earned);
         seen.classes.entry(class.name.clone()).or_default().add(offered, earned);
         let publisher = publishers.get(outcome.publisher).map_or("other", String::as_str);
         seen.publishers.entry(publisher.into()).or_default().add(offered, earned);
--- a/crates/audit/src/sums.rs
+++ b/crates/audit/src/sums.rs
@@ -5,11 +5,11 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use crate::record::{Line, Moment};
+use crate::record::{RecordEntry, RecordEvent};
 
 /// What is known of one server beforehand.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ServerTerms {
+pub struct ServerCapacity {
     /// Set-ups a second that it can do while warm.
     pub rate: f64,
     /// A cold one starts with this part of it ...
@@ -24,9 +24,9 @@
 
 /// Bounds on the sums.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct SumTerms {
+pub struct SumLimits {
     /// By number.
-    pub servers: Vec<ServerTerms>,
+    pub servers: Vec<ServerCapacity>,
     /// Fronts of the fleet.
     pub fronts: u32,
     /// Connections that one server holds at once.
@@ -36,7 +36,7 @@
     /// Set-ups for each first try, over the day.
     pub attempts: Option<f64>,
     /// Datagrams between fronts for each front within any second.
-    pub words: Option<f64>,
+    pub gossip_rate: Option<f64>,
     /// Set-ups at one server within any second, over what it can do.
     pub overshoot: Option<f64>,
     /// Time after the end of a fault until service is back, microseconds.
@@ -67,19 +67,19 @@
     /// Set-ups for each first try.
     pub attempts: f64,
     /// The most datagrams between fronts for each front within a second.
-    pub words: f64,
+    pub gossip_rate: f64,
     /// The most set-ups at one server within a second, over what it can do.
     pub overshoot: f64,
     /// The most set-ups at a cold server within its fall time, as a part of what pushes it over.
     pub cold: f64,
     /// The most set-ups that went to one cold server within a second, as they entered the net where that is on record.
-    pub cold_most: usize,
+    pub cold_peak: usize,
     /// Set-ups a second at cold servers, on the mean over the time that they were cold.
     pub cold_mean: f64,
     /// Each fault.
     pub recoveries: Vec<Recovery>,
     /// Bounds that were passed, in words.
-    pub passed: Vec<String>,
+    pub exceeded: Vec<String>,
 }
 
 /// Service counts as back within this of what it was.
@@ -129,7 +129,7 @@
 }
 
 /// Sums over a whole record.
-pub fn sums(lines: &[Line], terms: &SumTerms) -> Sums {
+pub fn sums(lines: &[RecordEntry], terms: &SumLimits) -> Sums {
     let mut seen = Sums::default();
     let mut servers: BTreeMap<u16, Server> = BTreeMap::new();
     let mut words = Window::default();
@@ -140,37 +140,37 @@
     for line in lines {
         let at = line.at;
         // What a way held is counted as it entered it: that was when it was decided.
-        if let Moment::Sent { server: number, call: Some(_), attempt, .. }
-        | Moment::Entered { server: number, attempt }
-        | Moment::SetUp { server: number, attempt, .. } = &line.moment
+        if let RecordEvent::Sent { server: number, call: Some(_), attempt, .. }
+        | RecordEvent::Entered { server: number, attempt }
+        | RecordEvent::SetUp { server: number, attempt, .. } = &line.event
         {
             let server = servers.entry(*number).or_default();
             if server.cold(at, ramp(*number)).is_some() && sent.insert(attempt.as_str()) {
-                seen.cold_most = seen.cold_most.max(server.cold_second.count(at, SECOND));
+                seen.cold_peak = seen.cold_peak.max(server.cold_second.count(at, SECOND));
             }
         }
-        match &line.moment {
-            Moment::Offer { first: None, .. } => firsts += 1,
-            Moment::Linked { server, .. } => {
+        match &line.event {
+            RecordEvent::Offer { first: None, .. } => firsts += 1,
+            RecordEvent::LinkUp { server, .. } => {
                 let server = servers.entry(*server).or_default();
                 server.open += 1;
                 seen.open = seen.open.max(server.open);
                 seen.opened = seen.opened.max(server.opened.count(at, SECOND));
             }
-            Moment::Parting { server, .. } => {
+            RecordEvent::LinkDown { server, .. } => {
                 let server = servers.entry(*server).or_default();
                 server.open = server.open.saturating_sub(1);
             }
-            Moment::Word { .. } => {
+            RecordEvent::GossipSent { .. } => {
                 let each = words.count(at, SECOND) as f64 / f64::from(terms.fronts.max(1));
-                seen.words = seen.words.max(each);
+                seen.gossip_rate = seen.gossip_rate.max(each);
             }
-            Moment::Start { server: number, cold } => {
+            RecordEvent::ServerStarted { server: number, cold } => {
                 let server = servers.entry(*number).or_default();
                 (server.cold_since, server.in_fall_time) = (cold.then_some(at), Window::default());
                 cold_for += if *cold { ramp(*number).min(last - at) } else { 0 };
             }
-            Moment::SetUp { server: number, .. } => {
+            RecordEvent::SetUp { server: number, .. } => {
                 set_ups += 1;
                 let Some(can) = terms.servers.get(usize::from(*number)) else { continue };
                 let server = servers.entry(*number).or_default();
@@ -194,7 +194,7 @@
     seen
 }
 
-fn judge(seen: &mut Sums, terms: &SumTerms) {
+fn judge(seen: &mut Sums, terms: &SumLimits) {
     let mut passed = Vec::new();
     let mut hold = |what: &str, was: f64, bound: Option<f64>| {
         if let Some(bound) = bound.filter(|bound| was > *bound) {
@@ -204,9 +204,9 @@
     hold("connections open at one server", seen.open as f64, terms.open.map(|n| n as f64));
     hold("connections opened to one server in a second", seen.opened as f64, terms.opened.map(|n| n as f64));
     hold("set-ups for each first try", seen.attempts, terms.attempts);
-    hold("datagrams a front in a second", seen.words, terms.words);
+    hold("datagrams a front in a second", seen.gossip_rate, terms.gossip_rate);
     hold("set-ups at one server in a second, over what it can do", seen.overshoot, terms.overshoot);
-    hold("set-ups at a cold server in a second", seen.cold_most as f64, terms.cold_rate);
+    hold("set-ups at a cold server in a second", seen.cold_peak as f64, terms.cold_rate);
     // Whether or not it fell: it may have been saved by work that came late.
     hold("set-ups at a cold server, of what pushes it over", seen.cold, Some(1.0));
     for Recovery { what, over, back } in &seen.recoveries {
@@ -220,24 +220,24 @@
             ));
         }
     }
-    seen.passed = passed;
+    seen.exceeded = passed;
 }
 
 /// By second: how many first tries stood and were not cut.
-fn seconds(lines: &[Line]) -> BTreeMap<u64, Second> {
+fn seconds(lines: &[RecordEntry]) -> BTreeMap<u64, Second> {
     let mut first_of: BTreeMap<&str, (&str, u64)> = BTreeMap::new();
     let (mut stood, mut cut) = (BTreeSet::new(), BTreeSet::new());
     for line in lines {
-        match &line.moment {
-            Moment::Offer { call, first, .. } => {
+        match &line.event {
+            RecordEvent::Offer { call, first, .. } => {
                 let own = (call.as_str(), line.at);
                 let first = first.as_deref().and_then(|first| first_of.get(first).copied()).unwrap_or(own);
                 first_of.insert(call, first);
             }
-            Moment::Answer { call, code: 2001, .. } => {
+            RecordEvent::Answer { call, code: 2001, .. } => {
                 stood.extend(first_of.get(call.as_str()).map(|first| first.0));
             }
-            Moment::Cut { call, .. } => cut.extend(first_of.get(call.as_str()).map(|first| first.0)),
+            RecordEvent::Dropped { call, .. } => cut.extend(first_of.get(call.as_str()).map(|first| first.0)),
             _ => {}
         }
     }
@@ -254,10 +254,10 @@
 
 /// When service was back after each fault. Whole seconds: what a second's calls came to is known by when they were
 /// offered.
-fn recoveries(lines: &[Line]) -> Vec<Recovery> {
+fn recoveries(lines: &[RecordEntry]) -> Vec<Recovery> {
     let seconds = seconds(lines);
-    let faults = lines.iter().filter_map(|line| match &line.moment {
-        Moment::Fault { what, over } => Some((line.at, what, *over)),
+    let faults = lines.iter().filter_map(|line| match &line.event {
+        RecordEvent::Fault { what, over } => Some((line.at, what, *over)),
         _ => None,
     });
     let mut faults: Vec<_> = faults.collect();
--- a/crates/audit/src/verdict.rs
+++ b/crates/audit/src/verdict.rs
@@ -69,7 +69,7 @@
     /// Latest set-up after a front was told of a drain, microseconds; `None` without any.
     pub latest_after_drain: Option<u64>,
     /// Shortest time from an attempt's end by time-out, reset or cancel to the call's next set-up.
-    pub shortest_guard: Option<u64>,
+    pub shortest_holdoff: Option<u64>,
 }
 
 /// Breaches of one rule, and excused calls, that are told one by one.
@@ -77,12 +77,12 @@
 
 impl Verdict {
     /// Whether no rule was broken.
-    pub fn kept(&self) -> bool {
+    pub fn passed(&self) -> bool {
         self.breaches.is_empty()
     }
 
     /// Breaches of one rule.
-    pub fn of(&self, rule: u8) -> usize {
+    pub fn breaches_of(&self, rule: u8) -> usize {
         self.breaches.iter().filter(|breach| breach.rule == rule).count()
     }
 
@@ -92,7 +92,7 @@
     }
 
     pub(crate) fn breach(&mut self, rule: u8, at: u64, text: String) {
-        if self.of(rule) < TOLD {
+        if self.breaches_of(rule) < TOLD {
             self.breaches.push(Breach { rule, at, text });
         }
     }
--- a/crates/audit/tests/planted.rs
+++ b/crates/audit/tests/planted.rs
@@ -1,40 +1,49 @@
 //! Each check catches a planted breach, and a clean record passes all.
 
 use baydrift_audit::{
-    read_record, rules, service, write_record, ClassTerms, Excuse, Line, Moment, Recorder, Terms,
+    read_record, rules, service, write_record, ClassConfig, Excuse, RecordEntry, RecordEvent, Recorder,
+    RuleLimits,
 };
 
 const MS: u64 = 1_000;
 const NONE: [u8; 0] = [];
 
-fn offer(call: &str) -> Moment {
+fn offer(call: &str) -> RecordEvent {
     let call = call.to_owned();
-    Moment::Offer { front: 0, call, first: None, class: 0, publisher: 0, hot: false, gives_up_us: 3_000 * MS }
+    RecordEvent::Offer {
+        front: 0,
+        call,
+        first: None,
+        class: 0,
+        publisher: 0,
+        hot: false,
+        caller_timeout_us: 3_000 * MS,
+    }
 }
 
-fn answer(call: &str, code: u32) -> Moment {
-    Moment::Answer { front: 0, call: call.into(), code }
+fn answer(call: &str, code: u32) -> RecordEvent {
+    RecordEvent::Answer { front: 0, call: call.into(), code }
 }
 
-fn set_up(server: u16, call: &str, attempt: &str) -> Moment {
-    Moment::SetUp { server, front: 0, call: call.into(), attempt: attempt.into(), redirected: false }
+fn set_up(server: u16, call: &str, attempt: &str) -> RecordEvent {
+    RecordEvent::SetUp { server, front: 0, call: call.into(), attempt: attempt.into(), redirected: false }
 }
 
-fn reply(server: u16, attempt: &str, code: u32) -> Moment {
-    Moment::Reply { server, attempt: attempt.into(), code, lost: false }
+fn reply(server: u16, attempt: &str, code: u32) -> RecordEvent {
+    RecordEvent::Reply { server, attempt: attempt.into(), code, lost: false }
 }
 
-fn release(server: u16, attempt: &str) -> Moment {
-    Moment::Release { server, attempt: attempt.into() }
+fn release(server: u16, attempt: &str) -> RecordEvent {
+    RecordEvent::Release { server, attempt: attempt.into() }
 }
 
 /// Lines by milliseconds.
-fn record(moments: Vec<(u64, Moment)>) -> Vec<Line> {
-    moments.into_iter().map(|(ms, moment)| Line { at: ms * MS, moment }).collect()
+fn record(moments: Vec<(u64, RecordEvent)>) -> Vec<RecordEntry> {
+    moments.into_iter().map(|(ms, moment)| RecordEntry { at: ms * MS, event: moment }).collect()
 }
 
 /// A call that times out at one server and stands at another, after all guards.
-fn clean() -> Vec<(u64, Moment)> {
+fn clean() -> Vec<(u64, RecordEvent)> {
     vec![
         (0, offer("c|1")),
         (1, set_up(0, "c|1", "a1")),
@@ -46,12 +55,12 @@
     ]
 }
 
-fn broken(moments: Vec<(u64, Moment)>) -> Vec<u8> {
-    let verdict = rules(&record(moments), Terms::default());
+fn broken(moments: Vec<(u64, RecordEvent)>) -> Vec<u8> {
+    let verdict = rules(&record(moments), RuleLimits::default());
     verdict.breaches.iter().map(|breach| breach.rule).collect()
 }
 
-fn with(change: impl Fn(&mut Vec<(u64, Moment)>)) -> Vec<u8> {
+fn with(change: impl Fn(&mut Vec<(u64, RecordEvent)>)) -> Vec<u8> {
     let mut moments = clean();
     change(&mut moments);
     moments.sort_by_key(|(at, _)| *at);
@@ -60,24 +69,24 @@
 
 #[test]
 fn a_clean_record_passes() {
-    let verdict = rules(&record(clean()), Terms::default());
-    assert_eq!((verdict.kept(), verdict.calls, verdict.answered), (true, 1, 1), "{:?}", verdict.breaches);
-    assert_eq!(verdict.shortest_guard, Some(350 * MS));
+    let verdict = rules(&record(clean()), RuleLimits::default());
+    assert_eq!((verdict.passed(), verdict.calls, verdict.answered), (true, 1, 1), "{:?}", verdict.breaches);
+    assert_eq!(verdict.shortest_holdoff, Some(350 * MS));
 }
 
 #[test]
 fn rule_1_catches_no_answer_two_answers_late_answers_and_set_ups_after() {
-    assert_eq!(with(|m| m.retain(|(_, x)| !matches!(x, Moment::Answer { .. }))), [1]);
+    assert_eq!(with(|m| m.retain(|(_, x)| !matches!(x, RecordEvent::Answer { .. }))), [1]);
     assert_eq!(with(|m| m.push((1_400, answer("c|1", 3004)))), [1]);
     assert_eq!(with(|m| m.push((1_400, answer("c|1", 2001)))), NONE);
     assert_eq!(with(|m| m[5] = (3_100, answer("c|1", 2001))), [1]);
     assert_eq!(with(|m| m.push((2_000, set_up(0, "c|1", "a3")))), [1]);
     assert_eq!(with(|m| m.push((2_000, answer("c|9", 2001)))), [1]);
     // Excused: the front stood still when the caller gave up; the connection ended.
-    let stall = Moment::Stall { front: 0, us: 2_000_000 };
+    let stall = RecordEvent::Stall { front: 0, us: 2_000_000 };
     assert_eq!(with(|m| m.extend([(2_000, stall.clone()), (4_100, answer("c|1", 2001))])), NONE);
     // Offered while it stood still: excused. Offered before: not.
-    let before = Moment::Stall { front: 0, us: 50_000 };
+    let before = RecordEvent::Stall { front: 0, us: 50_000 };
     let late = |at: u64| {
         with(|m| {
             m[5] = (3_100, answer("c|1", 2001));
@@ -85,7 +94,7 @@
         })
     };
     assert_eq!((late(0), late(100)), (NONE.to_vec(), vec![1]));
-    let parted = Moment::Parted { front: 0, client: "c".into() };
+    let parted = RecordEvent::ClientDisconnected { front: 0, client: "c".into() };
     assert_eq!(
         with(|m| {
             m[5] = (1_301, parted.clone());
@@ -96,20 +105,23 @@
 
 /// The clean call by datagrams: offered at 0 as transaction 7, its answer not read. Copies: when, towards the front,
 /// lost.
-fn by_datagrams(copies: &[(u64, bool, bool)], more: &[(u64, Moment)]) -> (Vec<u8>, Vec<(Excuse, usize)>) {
+fn by_datagrams(
+    copies: &[(u64, bool, bool)],
+    more: &[(u64, RecordEvent)],
+) -> (Vec<u8>, Vec<(Excuse, usize)>) {
     let mut moments = clean();
     moments.remove(5);
     let client = "c".to_owned();
-    moments.push((0, Moment::Lossy { client: client.clone() }));
-    moments.push((0, Moment::Asks { call: "c|1".into(), transaction: 7 }));
+    moments.push((0, RecordEvent::Lossy { client: client.clone() }));
+    moments.push((0, RecordEvent::RequestSent { call: "c|1".into(), transaction: 7 }));
     moments.extend(copies.iter().map(|(at, to_front, lost)| {
         let (client, to_front, lost) = (client.clone(), *to_front, *lost);
-        (*at, Moment::Datagram { client, to_front, transaction: 7, lost })
+        (*at, RecordEvent::Datagram { client, to_front, transaction: 7, lost })
     }));
     moments.extend(more.iter().cloned());
-    moments.push((9_000, Moment::Mute { server: 9, front: 9 }));
+    moments.push((9_000, RecordEvent::Unresponsive { server: 9, front: 9 }));
     moments.sort_by_key(|(at, _)| *at);
-    let verdict = rules(&record(moments), Terms::default());
+    let verdict = rules(&record(moments), RuleLimits::default());
     (verdict.breaches.iter().map(|b| b.rule).collect(), verdict.excused.into_iter().collect())
 }
 
@@ -144,10 +156,11 @@
 
 #[test]
 fn a_call_asked_for_again_after_its_connection_ended_is_owed_its_answer() {
-    let parted = |at| (at, Moment::Parted { front: 0, client: "c".into() });
-    let again = |at| (at, Moment::Again { front: 0, call: "c|1".into() });
-    let without = |m: &mut Vec<(u64, Moment)>| m.retain(|(_, x)| !matches!(x, Moment::Answer { .. }));
-    let with_these = |these: Vec<(u64, Moment)>| {
+    let parted = |at| (at, RecordEvent::ClientDisconnected { front: 0, client: "c".into() });
+    let again = |at| (at, RecordEvent::Retransmit { front: 0, call: "c|1".into() });
+    let without =
+        |m: &mut Vec<(u64, RecordEvent)>| m.retain(|(_, x)| !matches!(x, RecordEvent::Answer { .. }));
+    let with_these = |these: Vec<(u64, RecordEvent)>| {
         with(|m| {
             without(m);
             m.extend(these.clone());
@@ -160,10 +173,10 @@
 
 #[test]
 fn a_call_held_on_its_way_is_excused_and_its_neighbours_are_not() {
-    let held = |at, client: &str, held| (at, Moment::Held { client: client.into(), held });
-    let unanswered = |these: Vec<(u64, Moment)>| {
+    let held = |at, client: &str, held| (at, RecordEvent::Held { client: client.into(), held });
+    let unanswered = |these: Vec<(u64, RecordEvent)>| {
         with(|m| {
-            m.retain(|(_, x)| !matches!(x, Moment::Answer { .. }));
+            m.retain(|(_, x)| !matches!(x, RecordEvent::Answer { .. }));
             let rest = std::mem::take(m);
             m.extend(these.clone());
             m.extend(rest);
@@ -187,25 +200,28 @@
 fn rule_2_catches_a_second_attempt() {
     assert_eq!(with(|m| m[2] = (1_260, release(0, "a1"))), [2]);
     // A lost answer ends nothing, nor does a watchdog that goes unanswered: the server still reads, and may set up.
-    let lost = Moment::Reply { server: 0, attempt: "a1".into(), code: 3004, lost: true };
+    let lost = RecordEvent::Reply { server: 0, attempt: "a1".into(), code: 3004, lost: true };
     assert_eq!(with(|m| m[2] = (900, lost.clone())), [2]);
-    assert_eq!(with(|m| m[2] = (900, Moment::Mute { server: 0, front: 0 })), [2]);
+    assert_eq!(with(|m| m[2] = (900, RecordEvent::Unresponsive { server: 0, front: 0 })), [2]);
     // A release that is lost, and one that comes after the next set-up.
-    assert_eq!(with(|m| m.retain(|(_, x)| !matches!(x, Moment::Release { server: 0, .. }))), [2]);
+    assert_eq!(with(|m| m.retain(|(_, x)| !matches!(x, RecordEvent::Release { server: 0, .. }))), [2]);
     assert_eq!(with(|m| m[2] = (1_251, release(0, "a1"))), [2]);
-    assert_eq!(with(|m| m[2] = (900, Moment::Unlinked { server: 0, front: 0 })), NONE);
+    assert_eq!(with(|m| m[2] = (900, RecordEvent::Disconnected { server: 0, front: 0 })), NONE);
     // One that speaks again is no excuse for later attempts.
-    let spoke = [(0, Moment::Mute { server: 0, front: 0 }), (1, Moment::Speaks { server: 0, front: 0 })];
-    let again = |m: &mut Vec<(u64, Moment)>| {
+    let spoke = [
+        (0, RecordEvent::Unresponsive { server: 0, front: 0 }),
+        (1, RecordEvent::Responsive { server: 0, front: 0 }),
+    ];
+    let again = |m: &mut Vec<(u64, RecordEvent)>| {
         m.splice(1..1, spoke.clone());
-        m.retain(|(_, x)| !matches!(x, Moment::Release { server: 0, .. }));
+        m.retain(|(_, x)| !matches!(x, RecordEvent::Release { server: 0, .. }));
     };
     assert_eq!(with(again), [2]);
 }
 
 #[test]
 fn rule_3_catches_a_set_up_after_a_drain() {
-    let told = |ready| Moment::Told { server: 1, front: 0, ready, by_list: true };
+    let told = |ready| RecordEvent::ReadinessReported { server: 1, front: 0, ready, by_list: true };
     assert_eq!(with(|m| m.push((200, told(false)))), [3]);
     assert_eq!(with(|m| m.push((300, told(false)))), NONE);
     assert_eq!(with(|m| m.extend([(100, told(false)), (1_000, told(true))])), NONE);
@@ -213,7 +229,7 @@
 
 #[test]
 fn rule_4_catches_a_fall() {
-    assert_eq!(with(|m| m.push((200, Moment::Fall { server: 1 }))), [4]);
+    assert_eq!(with(|m| m.push((200, RecordEvent::ServerOverloaded { server: 1 }))), [4]);
 }
 
 #[test]
@@ -232,8 +248,8 @@
     assert_eq!(broken(many), [0]);
 }
 
-fn sent(server: u16, attempt: &str, call: Option<&str>) -> Moment {
-    Moment::Sent { server, front: 0, call: call.map(str::to_owned), attempt: attempt.into() }
+fn sent(server: u16, attempt: &str, call: Option<&str>) -> RecordEvent {
+    RecordEvent::Sent { server, front: 0, call: call.map(str::to_owned), attempt: attempt.into() }
 }
 
 #[test]
@@ -264,9 +280,9 @@
         broken(vec![
             (0, offer("c|1")),
             (1, sent(0, "a1", Some("c|1"))),
-            (20, Moment::Unlinked { server: 0, front: 0 }),
+            (20, RecordEvent::Disconnected { server: 0, front: 0 }),
             (200, set_up(0, "c|1", "a1")),
-            (201, Moment::Unlinked { server: 0, front: 0 }),
+            (201, RecordEvent::Disconnected { server: 0, front: 0 }),
             (second, set_up(1, "c|1", "a2")),
             (second + 10, reply(1, "a2", 2001)),
             (second + 11, answer("c|1", 2001)),
@@ -279,8 +295,8 @@
 fn a_killed_front_owes_answers_again_once_it_serves() {
     let killed = |offered: u64| {
         broken(vec![
-            (100, Moment::Killed { front: 0 }),
-            (200, Moment::Started { front: 0 }),
+            (100, RecordEvent::FrontKilled { front: 0 }),
+            (200, RecordEvent::FrontStarted { front: 0 }),
             (offered, offer("c|1")),
             (9_000, offer("c|2")),
             (9_001, answer("c|2", 3004)),
@@ -293,10 +309,18 @@
 #[test]
 fn service_counts_worth_in_time_and_uncut() {
     let classes =
-        [ClassTerms { name: "grid".into(), worth: 2.0, late_worth: 0.25, aim: 1_000 * MS, hot_worth: 0.1 }];
+        [ClassConfig { name: "grid".into(), worth: 2.0, late_worth: 0.25, aim: 1_000 * MS, hot_worth: 0.1 }];
     let again = |call: &str, first: &str| match offer(call) {
-        Moment::Offer { front, call, class, publisher, hot, gives_up_us, .. } => {
-            Moment::Offer { front, call, first: Some(first.into()), class, publisher, hot, gives_up_us }
+        RecordEvent::Offer { front, call, class, publisher, hot, caller_timeout_us, .. } => {
+            RecordEvent::Offer {
+                front,
+                call,
+                first: Some(first.into()),
+                class,
+                publisher,
+                hot,
+                caller_timeout_us,
+            }
         }
         other => other,
     };
@@ -308,15 +332,15 @@
         (500, answer("c|1", 2001)),
         (600, answer("c|2", 3004)),
         (700, answer("c|4", 2001)),
-        (800, Moment::Cut { front: 0, call: "c|4".into() }),
+        (800, RecordEvent::Dropped { front: 0, call: "c|4".into() }),
         (900, again("c|5", "c|2")),
         (1_500, answer("c|5", 2001)),
         (2_000, answer("c|3", 5012)),
     ]);
     let seen = service(&lines, &classes, &["gulf".into()]);
     // In time 2, late 0.5, failed 0, cut 0, of 8.
-    assert_eq!((seen.whole.calls, seen.whole.service()), (4, 2.5 / 8.0));
-    assert_eq!((seen.stands, seen.refused, seen.failed, seen.cut), (3, 1, 1, 1));
+    assert_eq!((seen.total.calls, seen.total.service()), (4, 2.5 / 8.0));
+    assert_eq!((seen.established, seen.refused, seen.failed, seen.dropped), (3, 1, 1, 1));
     assert!(seen.latency.p50 >= 599 * MS && seen.latency.max >= 699 * MS);
 }
 
@@ -324,7 +348,7 @@
 fn a_record_is_written_and_read_whole_and_a_broken_line_is_named() {
     let recorder = Recorder::default();
     recorder.put(offer("c|1"));
-    recorder.put(Moment::Mute { server: 3, front: 1 });
+    recorder.put(RecordEvent::Unresponsive { server: 3, front: 1 });
     let mut bytes = Vec::new();
     write_record(&recorder.lines(), &mut bytes).unwrap();
     assert_eq!(read_record(&bytes[..]).unwrap(), recorder.lines());
--- a/crates/cli/src/day.rs
+++ b/crates/cli/src/day.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 use std::sync::{Mutex, PoisonError};
 
-use baydrift_audit::{read_record, rules, write_record, Terms};
+use baydrift_audit::{read_record, rules, write_record, RuleLimits};
 use baydrift_day::{parse_troubles, schedule_text, Day, Outcome, Policy, Program, Shorten};
 use indicatif::{ProgressBar, ProgressStyle};
 use miette::{IntoDiagnostic, WrapErr};
@@ -218,7 +218,7 @@
         for (why, count) in &verdict.excused {
             *self.excused.entry(why.name()).or_default() += count;
         }
-        let service = outcome.service.whole.service();
+        let service = outcome.service.total.service();
         self.service += service;
         self.worst = Some(self.worst.map_or(service, |worst| worst.min(service)));
     }
@@ -277,7 +277,7 @@
         day.seed
     );
     print!("{}", baydrift_day::table(&outcome.verdict, &outcome.service));
-    if args.processes || day.fronts > 1 || !outcome.sums.passed.is_empty() {
+    if args.processes || day.fronts > 1 || !outcome.sums.exceeded.is_empty() {
         print!("{}", baydrift_day::sums_table(&outcome.sums));
     }
     keep(&args, &day, &outcome)?;
@@ -393,7 +393,7 @@
             return Ok(ExitCode::from(2));
         }
     };
-    let verdict = rules(&lines, Terms::default());
+    let verdict = rules(&lines, RuleLimits::default());
     print!("{}", baydrift_day::table(&verdict, &baydrift_audit::service(&lines, &[], &[])));
-    Ok(if verdict.kept() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if verdict.passed() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use baydrift::interface::Report;
-use baydrift_audit::{rules, service, ClassTerms, Recorder, Terms};
+use baydrift_audit::{rules, service, ClassConfig, Recorder, RuleLimits};
 use baydrift_front::Bound;
 use baydrift_standin::{
     Caller, CallerSpec, Flow, Offers, ProcessorSpec, Server, ServerSpec, TextCaller, TextSpec,
@@ -101,11 +101,11 @@
     // The stop cuts what still stands: no part of what the run shows.
     let lines = recorder.lines();
     front.stop().await;
-    let verdict = rules(&lines, Terms::default());
+    let verdict = rules(&lines, RuleLimits::default());
     let terms: Vec<_> = config
         .classes
         .iter()
-        .map(|c| ClassTerms {
+        .map(|c| ClassConfig {
             name: c.name.clone(),
             worth: c.class.worth,
             late_worth: c.class.late_worth,
@@ -114,7 +114,7 @@
         })
         .collect();
     print!("{}", baydrift_day::table(&verdict, &service(&lines, &terms, &["demo".into()])));
-    Ok(if verdict.kept() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if verdict.passed() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
 fn spec(number: u16) -> ServerSpec {
--- a/crates/cli/tests/endings.rs
+++ b/crates/cli/tests/endings.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use baydrift_audit::{Moment, Recorder};
+use baydrift_audit::{RecordEvent, Recorder};
 use baydrift_platform::{Cause, Code, Frames, Id, Kind, Message};
 use baydrift_standin::{
     relay_config as config, Listed, Manner, NameServer, PlatformCaller, PlatformServer, Told,
@@ -52,7 +52,7 @@
     fn sent(&self) -> BTreeMap<String, Vec<u64>> {
         let mut sent: BTreeMap<String, Vec<u64>> = BTreeMap::new();
         for line in self.recorder.lines() {
-            if let Moment::SetUp { call, .. } = line.moment {
+            if let RecordEvent::SetUp { call, .. } = line.event {
                 sent.entry(call).or_default().push(line.at);
             }
         }
--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use baydrift_audit::{rules, Recorder, Terms};
+use baydrift_audit::{rules, Recorder, RuleLimits};
 use baydrift_standin::{relay_config as config, Manner, NameServer, PlatformCaller, PlatformServer, Told};
 use common::{listed, set_up, soon, until, Node, WAIT};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -43,7 +43,7 @@
 }
 
 fn audit(recorder: &Recorder, calls: usize) {
-    let verdict = rules(&recorder.lines(), Terms::default());
+    let verdict = rules(&recorder.lines(), RuleLimits::default());
     assert_eq!(verdict.breaches, [], "{:#?}", verdict.breaches);
     assert_eq!((verdict.calls, verdict.answered), (calls, calls));
 }
--- a/crates/day/src/cast.rs
+++ b/crates/day/src/cast.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use baydrift::interface::Report;
-use baydrift_audit::{ClassTerms, ServerTerms, SumTerms};
+use baydrift_audit::{ClassConfig, ServerCapacity, SumLimits};
 use baydrift_config::Config;
 use baydrift_emulator::{CallerSpec, FarEndSpec, Flow, Offers, ProcessorSpec, ServerSpec, TextSpec};
 
@@ -245,8 +245,8 @@
 }
 
 /// What calls are worth.
-pub(crate) fn class_terms(day: &Day) -> Vec<ClassTerms> {
-    let of = |c: &crate::script::Class| ClassTerms {
+pub(crate) fn class_terms(day: &Day) -> Vec<ClassConfig> {
+    let of = |c: &crate::script::Class| ClassConfig {
         name: c.name.clone(),
         worth: c.worth,
         late_worth: c.late_worth,
@@ -257,9 +257,9 @@
 }
 
 /// What all fronts may do together.
-pub(crate) fn sum_terms(day: &Day) -> SumTerms {
+pub(crate) fn sum_terms(day: &Day) -> SumLimits {
     let s = &day.servers;
-    let of = |rate: &f64| ServerTerms {
+    let of = |rate: &f64| ServerCapacity {
         rate: *rate,
         cold_from: s.cold_from,
         ramp: s.ramp,
@@ -268,7 +268,17 @@
     };
     let Bounds { open, opened, attempts, words, overshoot, back_within, cold_rate } = day.bounds;
     let servers = s.rates.iter().map(of).collect();
-    SumTerms { servers, fronts: day.fronts, open, opened, attempts, words, overshoot, back_within, cold_rate }
+    SumLimits {
+        servers,
+        fronts: day.fronts,
+        open,
+        opened,
+        attempts,
+        gossip_rate: words,
+        overshoot,
+        back_within,
+        cold_rate,
+    }
 }
 
 /// The same flows at a share of their rates.
--- a/crates/day/src/course.rs
+++ b/crates/day/src/course.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use baydrift::interface::Micros;
-use baydrift_audit::Moment;
+use baydrift_audit::RecordEvent;
 use baydrift_emulator::{Command, Fault, Offers};
 use serde::{Deserialize, Serialize};
 
@@ -37,7 +37,7 @@
     /// The list that reaches all fronts at a time.
     fn list(&mut self, due: Micros, pool: &Pool);
     /// Something is put on record.
-    fn record(&mut self, moment: Moment);
+    fn record(&mut self, moment: RecordEvent);
     /// A trouble that only processes have. Whoever has none refused the day before it began.
     fn process(&mut self, _trouble: Process) {}
 }
@@ -126,7 +126,7 @@
                     let what = format!("{:?}", trouble.what);
                     progress((now - self.begin) as f64 / 1e6, &what);
                     if !trouble.what.is_demand() {
-                        hands.record(Moment::Fault { what, over: now + trouble.lasts() });
+                        hands.record(RecordEvent::Fault { what, over: now + trouble.lasts() });
                     }
                     self.begin(now, &trouble, hands);
                 }
@@ -185,7 +185,7 @@
             // Only the way back: what the front sent is then timed at the server as it was sent.
             What::LinkStalled { server } => {
                 hands.link(*server, Fault { stalled_back: true, delay: self.link_delay, ..Fault::default() });
-                self.each_front(hands, |front| Moment::Mute { server: *server as u16, front });
+                self.each_front(hands, |front| RecordEvent::Unresponsive { server: *server as u16, front });
             }
             What::Burst { factor } => self.offers(hands, |offers| offers.factor = *factor),
             What::Hot { share } => self.offers(hands, |offers| offers.hot = *share),
@@ -228,7 +228,7 @@
             }
             What::LinkStalled { server } => {
                 hands.link(*server, Fault { delay: self.link_delay, ..Fault::default() });
-                self.each_front(hands, |front| Moment::Speaks { server: *server as u16, front });
+                self.each_front(hands, |front| RecordEvent::Responsive { server: *server as u16, front });
             }
             What::Burst { .. } => self.offers(hands, |offers| offers.factor = 1.0),
             What::Hot { .. } => self.offers(hands, |offers| offers.hot = 0.0),
@@ -261,7 +261,7 @@
         }
     }
 
-    fn each_front(&self, hands: &mut impl Hands, moment: impl Fn(u32) -> Moment) {
+    fn each_front(&self, hands: &mut impl Hands, moment: impl Fn(u32) -> RecordEvent) {
         (0..self.offers.len() as u32).for_each(|front| hands.record(moment(front)));
     }
 
--- a/crates/day/src/emulated.rs
+++ b/crates/day/src/emulated.rs
@@ -1,7 +1,7 @@
 //! Plays a day in virtual time: the same script, desks, peers and models, without sockets.
 
 use baydrift::interface::{Micros, ServerState};
-use baydrift_audit::Moment;
+use baydrift_audit::RecordEvent;
 use baydrift_desk::{PoolEntry, PoolList};
 use baydrift_emulator::{Command, Fault, Offers, Place, Roughness, World, WorldSpec};
 use baydrift_front::{FrontError, Snapshot};
@@ -73,7 +73,7 @@
             servers: pool.iter().enumerate().map(entry).collect(),
         };
         for front in 0..self.fronts {
-            let told = pool.iter().enumerate().map(|(server, (state, _))| Moment::Told {
+            let told = pool.iter().enumerate().map(|(server, (state, _))| RecordEvent::ReadinessReported {
                 server: server as u16,
                 front: front as u32,
                 ready: *state == Listed::Ready,
@@ -83,7 +83,7 @@
         }
     }
 
-    fn record(&mut self, moment: Moment) {
+    fn record(&mut self, moment: RecordEvent) {
         self.world.record(moment);
     }
 
--- a/crates/day/src/processes/mod.rs
+++ b/crates/day/src/processes/mod.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use baydrift_audit::{Moment, Recorder};
+use baydrift_audit::{RecordEvent, Recorder};
 use baydrift_standin::{Caller, Datagrams as ClientNet, TextCaller};
 use tokio::sync::watch;
 
@@ -150,12 +150,12 @@
     follow(day, &recorder, &mut stage, &mut progress).await;
     tokio::time::sleep(Duration::from_micros(aftermath(day))).await;
     // What is under way, such as a process that starts again, ends before all is told to end; its record is not kept.
-    recorder.put(Moment::End);
+    recorder.put(RecordEvent::End);
     let ended = recorder.now();
     drop((all, text_all));
     let (crossed, crashed) = stage.close().await;
     let mut lines = recorder.lines();
-    lines.retain(|line| line.at <= ended && line.moment != Moment::End);
+    lines.retain(|line| line.at <= ended && line.event != RecordEvent::End);
     let driver = crossed.into_iter().chain(own.faults()).collect();
     Ok(Outcome { crashed, driver, ..outcome(day, lines, Vec::new()) })
 }
--- a/crates/day/src/processes/net.rs
+++ b/crates/day/src/processes/net.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use baydrift::interface::Micros;
-use baydrift_audit::{Moment, Recorder};
+use baydrift_audit::{RecordEvent, Recorder};
 use baydrift_diameter::credit::{Ccr, RequestType};
 use baydrift_diameter::{dict, Codec, Frame};
 use baydrift_emulator::{Way, WaySpec};
@@ -180,7 +180,7 @@
     };
     let _ = (near.set_nodelay(true), far.set_nodelay(true));
     if let Some(Between { front, server }) = inside.between {
-        inside.recorder.put(Moment::Linked { server, front });
+        inside.recorder.put(RecordEvent::LinkUp { server, front });
     }
     let way = |salt: u64| Way::new(inside.spec, inside.seed ^ count.rotate_left(20) ^ salt);
     let tap = inside.between.map(|between| Tap { between, codec: Codec::default(), bytes: BytesMut::new() });
@@ -209,8 +209,8 @@
     // On record before the front hears of it. Guards against a server that dies with a set-up on its way there: nobody
     // reads it any more, and its connection's end is all that its front is told.
     if let Some(Between { front, server }) = inside.between {
-        inside.recorder.put(Moment::Unlinked { server, front });
-        inside.recorder.put(Moment::Parting { server, front });
+        inside.recorder.put(RecordEvent::Disconnected { server, front });
+        inside.recorder.put(RecordEvent::LinkDown { server, front });
     }
 }
 
@@ -318,7 +318,7 @@
     fn take(&mut self, bytes: &[u8], recorder: &Recorder) {
         let Between { front, server } = self.between;
         if bytes.is_empty() {
-            return recorder.put(Moment::Unlinked { server, front });
+            return recorder.put(RecordEvent::Disconnected { server, front });
         }
         self.bytes.extend_from_slice(bytes);
         while let Ok(Some(frame)) = self.codec.decode(&mut self.bytes) {
@@ -327,7 +327,7 @@
             let attempt = ccr.session.to_owned();
             let call = (ccr.request_type == RequestType::Initial)
                 .then(|| message.text(dict::CC_CORRELATION_ID).unwrap_or("").to_owned());
-            recorder.put(Moment::Sent { server, front, call, attempt });
+            recorder.put(RecordEvent::Sent { server, front, call, attempt });
         }
     }
 }
@@ -372,7 +372,7 @@
                         let (Ok((size, from)), Some(ends)) = (received, *known.borrow()) else { continue };
                         let Some(side) = ends.iter().position(|end| *end == from) else { continue };
                         counts.fetch_add(1, Ordering::Relaxed);
-                        recorder.put(Moment::Word { from: fronts[side], to: fronts[1 - side], bytes: size });
+                        recorder.put(RecordEvent::GossipSent { from: fronts[side], to: fronts[1 - side], bytes: size });
                         if *share.borrow() != lost_now {
                             lost_now = *share.borrow();
                             losing = Way::new(WaySpec { lost: lost_now, ..WaySpec::default() }, seed ^ order);
--- a/crates/day/src/processes/role.rs
+++ b/crates/day/src/processes/role.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use baydrift::interface::Micros;
-use baydrift_audit::{Line, Recorder};
+use baydrift_audit::{RecordEntry, Recorder};
 use baydrift_emulator::Command;
 use baydrift_standin::{Again, Server};
 use serde::{Deserialize, Serialize};
@@ -53,7 +53,7 @@
     /// It serves: where, if anywhere.
     Ready(Option<SocketAddr>),
     /// A line of the record.
-    Line(Line),
+    Line(RecordEntry),
 }
 
 /// Why a stand-in's process ends.
@@ -97,7 +97,7 @@
     let mut lines = BufReader::new(tokio::io::stdin()).lines();
     let first = lines.next_line().await?.ok_or(RoleError::Nothing)?;
     let hello: Hello = serde_json::from_str(&first).map_err(|error| RoleError::Told { line: 1, error })?;
-    let recorder = Arc::new(Recorder::told(hello.origin, |line| say(&Word::Line(line.clone()))));
+    let recorder = Arc::new(Recorder::forwarding(hello.origin, |line| say(&Word::Line(line.clone()))));
     let part = match hello.role {
         Role::Server { number, again } => {
             let spec = server_spec(&hello.day, number);
--- a/crates/day/src/processes/stage.rs
+++ b/crates/day/src/processes/stage.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use baydrift::interface::Micros;
-use baydrift_audit::{Moment, Recorder};
+use baydrift_audit::{RecordEvent, Recorder};
 use baydrift_emulator::{Command, Fault, Offers};
 use serde_json::Value;
 use tokio::io::{AsyncWriteExt, BufReader, Lines};
@@ -313,7 +313,7 @@
             actor.child.ended().await;
             // All that it told is on record before its end is.
             let _ = actor.heard.await;
-            cast.recorder.put(Moment::Die { server: server as u16 });
+            cast.recorder.put(RecordEvent::ServerExited { server: server as u16 });
             let Some(back) = back_after else { return };
             tokio::time::sleep(Duration::from_micros(back)).await;
             let state = {
@@ -337,8 +337,11 @@
             (Party::Server(server), Party::Front(front)) => {
                 self.streams[front][server].shape(|shape| shape.back = severed);
                 let (server, front) = (server as u16, front as u32);
-                let moment =
-                    if severed { Moment::Mute { server, front } } else { Moment::Speaks { server, front } };
+                let moment = if severed {
+                    RecordEvent::Unresponsive { server, front }
+                } else {
+                    RecordEvent::Responsive { server, front }
+                };
                 self.cast.recorder.put(moment);
             }
             (Party::List, Party::Front(front)) => self.lists[front].shape(|shape| shape.there = severed),
@@ -366,7 +369,7 @@
 async fn end_front(cast: &Cast, slot: &Slot, child: Arc<Child>, kill: bool, faults: &Mutex<Vec<String>>) {
     let front = slot.ordinal;
     if kill {
-        cast.recorder.put(Moment::Killed { front });
+        cast.recorder.put(RecordEvent::FrontKilled { front });
         child.kill();
         child.ended().await;
         return;
@@ -377,13 +380,13 @@
         lock(faults).push(text);
     }
     // Until then it owed answers to what it had taken.
-    cast.recorder.put(Moment::Killed { front });
+    cast.recorder.put(RecordEvent::FrontKilled { front });
 }
 
 async fn start_front(cast: &Cast, slot: &Slot, start: NextStart, faults: &Mutex<Vec<String>>) {
     match cast.front(slot.ordinal, &slot.servers, &slot.places, start).await {
         Ok((front, _)) => {
-            cast.recorder.put(Moment::Started { front: slot.ordinal });
+            cast.recorder.put(RecordEvent::FrontStarted { front: slot.ordinal });
             *lock(&slot.now) = Some(front.child);
         }
         Err(error) => lock(faults).push(error.to_string()),
@@ -413,7 +416,7 @@
     fn stall(&mut self, front: usize, span: Micros) {
         let Some(child) = self.front(front) else { return };
         let recorder = self.cast.recorder.clone();
-        recorder.put(Moment::Stall { front: front as u32, us: span });
+        recorder.put(RecordEvent::Stall { front: front as u32, us: span });
         child.freeze(true);
         self.tasks.spawn(async move {
             tokio::time::sleep(Duration::from_micros(span)).await;
@@ -429,7 +432,7 @@
         self.list.order(Order::List { due, pool: pool.clone() });
     }
 
-    fn record(&mut self, moment: Moment) {
+    fn record(&mut self, moment: RecordEvent) {
         self.cast.recorder.put(moment);
     }
 
--- a/crates/day/src/run.rs
+++ b/crates/day/src/run.rs
@@ -6,7 +6,9 @@
 use std::time::Duration;
 
 use baydrift::interface::Micros;
-use baydrift_audit::{rules, service, sums, Line, Moment, Recorder, Service, Sums, Terms, Verdict};
+use baydrift_audit::{
+    rules, service, sums, RecordEntry, RecordEvent, Recorder, RuleLimits, Service, Sums, Verdict,
+};
 use baydrift_config::Config;
 use baydrift_emulator::{Command, Fault, Offers};
 use baydrift_front::{Addrs, Bound, Snapshot};
@@ -26,7 +28,7 @@
 #[derive(Debug)]
 pub struct Outcome {
     /// The record.
-    pub lines: Vec<Line>,
+    pub lines: Vec<RecordEntry>,
     /// The rules.
     pub verdict: Verdict,
     /// Service.
@@ -46,14 +48,14 @@
     /// that nobody asked for.
     pub fn failures(&self) -> BTreeSet<String> {
         let rules = self.verdict.breaches.iter().map(|breach| format!("{:?}", breach.rule));
-        let bound = (!self.sums.passed.is_empty()).then(|| "a bound".to_owned());
+        let bound = (!self.sums.exceeded.is_empty()).then(|| "a bound".to_owned());
         let crashed = (!self.crashed.is_empty()).then(|| "a process".to_owned());
         rules.chain(bound).chain(crashed).collect()
     }
 
     /// Whether no rule broke, no bound was passed and no process did what nobody asked of it.
     pub fn good(&self) -> bool {
-        self.verdict.kept() && self.sums.passed.is_empty() && self.crashed.is_empty()
+        self.verdict.passed() && self.sums.exceeded.is_empty() && self.crashed.is_empty()
     }
 }
 
@@ -122,7 +124,7 @@
 
     fn link(&mut self, server: usize, fault: Fault) {
         let far = server.checked_sub(self.servers.len()).and_then(|far| self.fars.get(far));
-        let held = |held| far.map(|(_, client)| Moment::Held { client: client.clone(), held });
+        let held = |held| far.map(|(_, client)| RecordEvent::Held { client: client.clone(), held });
         if fault.stalled_back {
             held(true).into_iter().for_each(|moment| self.recorder.put(moment));
         }
@@ -142,7 +144,7 @@
     fn stall(&mut self, front: usize, span: Micros) {
         let (recorder, ordinal) = (self.recorder.clone(), front as u32);
         self.fronts[front].runtime.spawn(async move {
-            recorder.put(Moment::Stall { front: ordinal, us: span });
+            recorder.put(RecordEvent::Stall { front: ordinal, us: span });
             // The whole thread of this front stands still, as a stopped process does.
             std::thread::sleep(Duration::from_micros(span));
         });
@@ -156,7 +158,7 @@
         let _ = self.lists.send((due, pool.clone()));
     }
 
-    fn record(&mut self, moment: Moment) {
+    fn record(&mut self, moment: RecordEvent) {
         self.recorder.put(moment);
     }
 }
@@ -170,10 +172,10 @@
 }
 
 /// What a record came to.
-pub(crate) fn outcome(day: &Day, lines: Vec<Line>, fronts: Vec<Snapshot>) -> Outcome {
+pub(crate) fn outcome(day: &Day, lines: Vec<RecordEntry>, fronts: Vec<Snapshot>) -> Outcome {
     let names: Vec<_> = day.publishers.iter().map(|p| p.name.clone()).collect();
     Outcome {
-        verdict: rules(&lines, Terms::default()),
+        verdict: rules(&lines, RuleLimits::default()),
         service: service(&lines, &class_terms(day), &names),
         fronts,
         sums: sums(&lines, &sum_terms(day)),
@@ -294,7 +296,7 @@
             relay.to(addr);
             relay.lose(day.datagrams_lost);
             if lossy {
-                recorder.put(Moment::Lossy { client: spec.mid.clone() });
+                recorder.put(RecordEvent::Lossy { client: spec.mid.clone() });
             }
             let (told, recorder) = (told.clone(), recorder.clone());
             text_all.push((TextCaller::start(spec, relay.addr, told, recorder, seed).await?, relay));
@@ -392,7 +394,10 @@
                     // When within that time it was told nobody saw: what it must not do any more counts from the
                     // end, and what it may do again from the begin.
                     let at = if ready { begun } else { taken };
-                    recorder.add(Line { at, moment: Moment::Told { server, front, ready, by_list: true } });
+                    recorder.add(RecordEntry {
+                        at,
+                        event: RecordEvent::ReadinessReported { server, front, ready, by_list: true },
+                    });
                 }
             }
         });
--- a/crates/day/src/table.rs
+++ b/crates/day/src/table.rs
@@ -41,10 +41,10 @@
         sums.open,
         sums.opened,
         sums.attempts,
-        sums.words,
+        sums.gossip_rate,
         sums.overshoot,
         sums.cold,
-        sums.cold_most,
+        sums.cold_peak,
         sums.cold_mean
     );
     for Recovery { what, over, back } in &sums.recoveries {
@@ -53,7 +53,7 @@
         });
         let _ = writeln!(text, "  over at {:5.1} s, service back after {back}: {what}", *over as f64 / 1e6);
     }
-    for passed in &sums.passed {
+    for passed in &sums.exceeded {
         let _ = writeln!(text, "  PASSED A BOUND: {passed}");
     }
     text
@@ -63,7 +63,7 @@
 pub fn table(verdict: &Verdict, service: &Service) -> String {
     let mut text = String::new();
     for (rule, name) in RULES.iter().enumerate() {
-        let broken = verdict.of(rule as u8);
+        let broken = verdict.breaches_of(rule as u8);
         let word = if broken == 0 { "kept".to_owned() } else { format!("BROKEN {broken} times") };
         let _ = writeln!(text, "  {name:<46} {word}");
     }
@@ -76,18 +76,18 @@
         why(verdict),
         verdict.set_ups,
         ms(verdict.latest_after_drain),
-        ms(verdict.shortest_guard)
+        ms(verdict.shortest_holdoff)
     );
     let _ = writeln!(
         text,
         "  stands {}, refused {}, failed {}, cut {}",
-        service.stands, service.refused, service.failed, service.cut
+        service.established, service.refused, service.failed, service.dropped
     );
     let _ = writeln!(text, "\n  {:<24} {:>8} {:>9}", "service", "calls", "service");
     let mut row = |name: &str, shares: &Shares| {
         let _ = writeln!(text, "  {name:<24} {:>8} {:>9.3}", shares.calls, shares.service());
     };
-    row("whole", &service.whole);
+    row("whole", &service.total);
     service.classes.iter().for_each(|(name, shares)| row(&format!("class {name}"), shares));
     service.publishers.iter().for_each(|(name, shares)| row(&format!("publisher {name}"), shares));
     service.protocols.iter().for_each(|(name, shares)| row(name, shares));
--- a/crates/day/tests/emulated.rs
+++ b/crates/day/tests/emulated.rs
@@ -2,7 +2,7 @@
 
 mod planting;
 
-use baydrift_audit::{write_record, Moment};
+use baydrift_audit::{write_record, RecordEvent};
 use baydrift_day::{drawn, drawn_for_processes, parse, run_virtual, Day, Outcome};
 
 fn day(name: &str, text: &str, seed: u64) -> Day {
@@ -39,7 +39,7 @@
     for seed in 1..=3 {
         for day in [short(seed), both(seed), drawn(&short(seed)), drawn(&both(seed))] {
             let verdict = play(&day).verdict;
-            assert!(verdict.kept(), "seed {seed}, {:?}: {:?}", day.troubles, verdict.breaches);
+            assert!(verdict.passed(), "seed {seed}, {:?}: {:?}", day.troubles, verdict.breaches);
             assert!(verdict.calls > 500);
         }
     }
@@ -53,8 +53,8 @@
     for seed in [7, 37, 100, 258, 269] {
         let day = drawn_for_processes(&day("fleet.kdl", text, seed));
         let outcome = play(&day);
-        assert!(outcome.good(), "seed {seed}: {:?} {:?}", outcome.verdict.breaches, outcome.sums.passed);
-        assert!(outcome.lines.iter().any(|line| matches!(line.moment, Moment::Killed { .. })));
+        assert!(outcome.good(), "seed {seed}: {:?} {:?}", outcome.verdict.breaches, outcome.sums.exceeded);
+        assert!(outcome.lines.iter().any(|line| matches!(line.event, RecordEvent::FrontKilled { .. })));
         assert_eq!(bytes(&outcome), bytes(&play(&day)));
     }
 }
@@ -74,9 +74,9 @@
     let (mut releases, mut mute) = (0, 0);
     for seed in 1..=10 {
         let outcome = play(&day("seems-dead.kdl", text, seed));
-        assert!(outcome.verdict.kept(), "seed {seed}: {:?}", outcome.verdict.breaches);
-        releases += outcome.lines.iter().filter(|l| matches!(l.moment, Moment::Release { .. })).count();
-        mute += outcome.lines.iter().filter(|l| matches!(l.moment, Moment::Mute { .. })).count();
+        assert!(outcome.verdict.passed(), "seed {seed}: {:?}", outcome.verdict.breaches);
+        releases += outcome.lines.iter().filter(|l| matches!(l.event, RecordEvent::Release { .. })).count();
+        mute += outcome.lines.iter().filter(|l| matches!(l.event, RecordEvent::Unresponsive { .. })).count();
     }
     assert!(releases > 0 && mute > 0);
 }
--- a/crates/day/tests/sockets.rs
+++ b/crates/day/tests/sockets.rs
@@ -16,6 +16,6 @@
 async fn a_breach_planted_in_a_record_of_sockets_is_found() {
     let day = parse("day.kdl", DAY).expect("a script");
     let outcome = run(&day, |_, _| {}).await.expect("a day");
-    assert!(outcome.verdict.kept(), "{:?}", outcome.verdict.breaches);
+    assert!(outcome.verdict.passed(), "{:?}", outcome.verdict.breaches);
     planting::every_planted_breach_is_found(outcome.lines);
 }
--- a/crates/day/tests/trunks.rs
+++ b/crates/day/tests/trunks.rs
@@ -2,7 +2,7 @@
 
 mod planting;
 
-use baydrift_audit::{Excuse, Moment};
+use baydrift_audit::{Excuse, RecordEvent};
 use baydrift_day::{drawn, parse, run, run_virtual, Day, Outcome};
 
 fn day(seed: u64) -> Day {
@@ -18,7 +18,7 @@
     for seed in 1..=3 {
         for day in [day(seed), drawn(&day(seed))] {
             let verdict = play(&day).verdict;
-            assert!(verdict.kept(), "seed {seed}, {:?}: {:?}", day.troubles, verdict.breaches);
+            assert!(verdict.passed(), "seed {seed}, {:?}: {:?}", day.troubles, verdict.breaches);
             // All that is excused shows its reason in the record.
             let known = [Excuse::Parted, Excuse::Held, Excuse::Stalled, Excuse::RecordEnds];
             assert!(verdict.excused.keys().all(|why| known.contains(why)), "{:?}", verdict.excused);
@@ -31,17 +31,17 @@
     let outcome = play(&Day { troubles: Vec::new(), ..day(1) });
     let (mut there, mut from_there, mut stand) = (0, 0, 0);
     for line in &outcome.lines {
-        match &line.moment {
-            Moment::SetUp { server, .. } if *server >= 2 => there += 1,
-            Moment::Offer { call, .. } if call.starts_with("s2.") || call.starts_with("s3.") => {
+        match &line.event {
+            RecordEvent::SetUp { server, .. } if *server >= 2 => there += 1,
+            RecordEvent::Offer { call, .. } if call.starts_with("s2.") || call.starts_with("s3.") => {
                 from_there += 1
             }
-            Moment::Answer { call, code: 2001, .. } if call.starts_with("s") => stand += 1,
+            RecordEvent::Answer { call, code: 2001, .. } if call.starts_with("s") => stand += 1,
             _ => {}
         }
     }
     assert!(there > 200 && from_there > 200 && stand > from_there / 2, "{there} {from_there} {stand}");
-    assert!(outcome.verdict.kept() && outcome.verdict.excused.is_empty(), "{:?}", outcome.verdict.excused);
+    assert!(outcome.verdict.passed() && outcome.verdict.excused.is_empty(), "{:?}", outcome.verdict.excused);
 }
 
 #[test]
@@ -63,7 +63,7 @@
                 link-down at=\"1s\" server=1 for=\"400ms\"\n\
                 die at=\"2s\" server=2 back-after=\"300ms\"\n";
     let outcome = run(&parse("trunks.kdl", text).expect("a script"), |_, _| {}).await.expect("a day");
-    assert!(outcome.verdict.kept(), "{:?}", outcome.verdict.breaches);
-    let over = |m: &Moment| matches!(m, Moment::SetUp { server: 1 | 2, .. });
-    assert!(outcome.lines.iter().filter(|line| over(&line.moment)).count() > 20);
+    assert!(outcome.verdict.passed(), "{:?}", outcome.verdict.breaches);
+    let over = |m: &RecordEvent| matches!(m, RecordEvent::SetUp { server: 1 | 2, .. });
+    assert!(outcome.lines.iter().filter(|line| over(&line.event)).count() > 20);
 }
--- a/crates/emulator/src/caller.rs
+++ b/crates/emulator/src/caller.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use baydrift::interface::Micros;
-use baydrift_audit::Moment;
+use baydrift_audit::RecordEvent;
 use baydrift_diameter::credit::{self, Endpoints, RequestType, APPLICATION};
 use baydrift_diameter::{
     code, dict, load, result, Avp, Frame, Local, Message, Peer, PeerInput, PeerOutput, Side,
@@ -57,7 +57,7 @@
     /// Close the connection once what was sent is out.
     Close,
     /// Something was seen.
-    Record(Moment),
+    Record(RecordEvent),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -213,7 +213,7 @@
     fn lost(&mut self, now: Micros, out: &mut Vec<CallerOutput>) {
         if matches!(self.line, Line::Open(..)) {
             let (front, client) = (self.spec.front.0, self.spec.host.clone());
-            out.push(CallerOutput::Record(Moment::Parted { front, client }));
+            out.push(CallerOutput::Record(RecordEvent::ClientDisconnected { front, client }));
         }
         if !self.is_over() {
             self.line = if self.no_more() { Line::Over } else { Line::Down(now + RETRY) };
@@ -252,7 +252,7 @@
             again.header.flags.retransmitted = true;
             self.by_id.insert(peer.assign_ids(&mut again), name.clone());
             let (front, call) = (self.spec.front.0, format!("{}|{name}", self.spec.host));
-            out.push(CallerOutput::Record(Moment::Again { front, call }));
+            out.push(CallerOutput::Record(RecordEvent::Retransmit { front, call }));
             out.push(CallerOutput::Send(again));
         }
     }
@@ -302,7 +302,7 @@
         if first && self.rng.random::<f64>() < self.offers.again {
             message.header.flags.retransmitted = true;
             let (front, call) = (self.spec.front.0, self.name(&name));
-            out.push(CallerOutput::Record(Moment::Again { front, call }));
+            out.push(CallerOutput::Record(RecordEvent::Retransmit { front, call }));
             if let Line::Open(peer, _) = &mut self.line {
                 self.by_id.insert(peer.assign_ids(&mut message), name);
             }
@@ -329,13 +329,16 @@
         while let Some(due) = self.agenda.take(now) {
             match due {
                 Due::GiveUp(name) if self.is(&name, State::Asked) => {
-                    out.push(CallerOutput::Record(Moment::GiveUp { front, call: self.name(&name) }));
+                    out.push(CallerOutput::Record(RecordEvent::CallerTimeout {
+                        front,
+                        call: self.name(&name),
+                    }));
                     messages.extend(self.end(&name));
                     self.redial(now, &name);
                     self.agenda.at(now + LINGER, Due::Forget(name));
                 }
                 Due::Hangup(name) if self.is(&name, State::Stands) => {
-                    out.push(CallerOutput::Record(Moment::Hangup { front, call: self.name(&name) }));
+                    out.push(CallerOutput::Record(RecordEvent::Hangup { front, call: self.name(&name) }));
                     messages.extend(self.end(&name));
                     self.agenda.at(now + LINGER, Due::Forget(name));
                 }
@@ -386,14 +389,14 @@
                     Avp::text(dict::SUBSCRIPTION_ID_DATA, &subscription),
                 ],
             ));
-        out.push(CallerOutput::Record(Moment::Offer {
+        out.push(CallerOutput::Record(RecordEvent::Offer {
             front: self.spec.front.0,
             call: self.name(&session),
             first: first.clone(),
             class,
             publisher,
             hot,
-            gives_up_us: patience,
+            caller_timeout_us: patience,
         }));
         self.agenda.at(now + patience, Due::GiveUp(session.clone()));
         let (state, answered, copy) = (State::Asked, false, request.clone());
@@ -422,7 +425,7 @@
             return;
         }
         let (front, code, call) = (self.spec.front.0, message.result(), self.name(&name));
-        out.push(CallerOutput::Record(Moment::Answer { front, call, code }));
+        out.push(CallerOutput::Record(RecordEvent::Answer { front, call, code }));
         let Some(call) = self.calls.get_mut(&name).filter(|call| !call.answered) else { return };
         call.answered = true;
         if call.state != State::Asked {
@@ -458,7 +461,7 @@
         let code = match known {
             Some(call) => {
                 call.state = State::Over;
-                out.push(CallerOutput::Record(Moment::Cut { front, call: name }));
+                out.push(CallerOutput::Record(RecordEvent::Dropped { front, call: name }));
                 self.redial(now, &session);
                 self.agenda.at(now + LINGER, Due::Forget(session));
                 result::SUCCESS
--- a/crates/emulator/src/far_end.rs
+++ b/crates/emulator/src/far_end.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use baydrift::interface::Micros;
-use baydrift_audit::Moment;
+use baydrift_audit::RecordEvent;
 use baydrift_isup::{cause, CalledNumber, CircuitState, Data, Iam, Message, MessageType, Processing, Range};
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp};
@@ -71,7 +71,7 @@
     /// Send to a front.
     Send(u32, Data),
     /// Something was seen.
-    Record(Moment),
+    Record(RecordEvent),
     /// The process has ended: links close.
     Stopped,
     /// Another process listens.
@@ -194,7 +194,10 @@
             FarInput::Up(front) => self.link_up(front, out),
             FarInput::Down(front) => {
                 if self.up.remove(&front).is_some() {
-                    out.push(FarOutput::Record(Moment::Unlinked { server: self.spec.number, front }));
+                    out.push(FarOutput::Record(RecordEvent::Disconnected {
+                        server: self.spec.number,
+                        front,
+                    }));
                     self.parted(front, out);
                 }
             }
@@ -228,13 +231,13 @@
         self.down = None;
         self.cpu = Processor::new(self.spec.processor, Some(now));
         self.forgot = self.spec.fronts.values().map(|front| (*front, true)).collect();
-        out.push(FarOutput::Record(Moment::Start { server: self.spec.number, cold: true }));
+        out.push(FarOutput::Record(RecordEvent::ServerStarted { server: self.spec.number, cold: true }));
         out.push(FarOutput::Started);
         self.offer(now, self.factor);
     }
 
     fn stop(&mut self, now: Micros, back: Option<Micros>, out: &mut Vec<FarOutput>) {
-        out.push(FarOutput::Record(Moment::Die { server: self.spec.number }));
+        out.push(FarOutput::Record(RecordEvent::ServerExited { server: self.spec.number }));
         self.circuits.clear();
         let up: Vec<_> = self.up.keys().copied().collect();
         up.into_iter().for_each(|front| self.parted(front, out));
@@ -246,7 +249,10 @@
 
     /// What its callers have not heard yet they may never hear: their way to the front is gone.
     fn parted(&self, front: u32, out: &mut Vec<FarOutput>) {
-        out.push(FarOutput::Record(Moment::Parted { front, client: self.spec.host.clone() }));
+        out.push(FarOutput::Record(RecordEvent::ClientDisconnected {
+            front,
+            client: self.spec.host.clone(),
+        }));
     }
 
     fn link_up(&mut self, front: u32, out: &mut Vec<FarOutput>) {
@@ -386,7 +392,7 @@
         let reference = String::from_utf8_lossy(&iam.reference);
         let (attempt, call) = reference.split_once(' ').unwrap_or((&reference, ""));
         let (server, front, attempt) = (self.spec.number, place.0, attempt.to_owned());
-        let moment = Moment::SetUp {
+        let moment = RecordEvent::SetUp {
             server,
             front,
             call: call.to_owned(),
@@ -399,7 +405,7 @@
         self.next_key += 1;
         self.asked.insert(key, (place, attempt));
         if self.cpu.set_up(now, key) == Taken::Fell {
-            out.push(FarOutput::Record(Moment::Fall { server }));
+            out.push(FarOutput::Record(RecordEvent::ServerOverloaded { server }));
         }
         if let Some(call) = own {
             self.seize(now, front, call, out);
@@ -419,7 +425,7 @@
         }
         let lost = !refused && self.rng.random::<f64>() < self.lose;
         let code = if refused { 3004 } else { 2001 };
-        out.push(FarOutput::Record(Moment::Reply {
+        out.push(FarOutput::Record(RecordEvent::Reply {
             server: self.spec.number,
             attempt: attempt.clone(),
             code,
@@ -462,7 +468,7 @@
     fn free(&mut self, place: Place, why: u8, out: &mut Vec<FarOutput>) {
         match self.circuits.remove(&place) {
             Some(Circuit::Theirs { attempt, .. }) => {
-                out.push(FarOutput::Record(Moment::Release { server: self.spec.number, attempt }));
+                out.push(FarOutput::Record(RecordEvent::Release { server: self.spec.number, attempt }));
             }
             Some(Circuit::Seized(call) | Circuit::Own(call, _)) => self.over(&call, why, out),
             _ => {}
@@ -501,12 +507,13 @@
         }
         self.next_call += 1;
         let name = format!("{}|{front};{}", self.spec.host, self.next_call);
-        let gives_up_us = self.spec.patience;
+        let caller_timeout_us = self.spec.patience;
         let (class, publisher) = self.spec.flow;
         let call = name.clone();
-        let offer = Moment::Offer { front, call, first: None, class, publisher, hot: false, gives_up_us };
+        let offer =
+            RecordEvent::Offer { front, call, first: None, class, publisher, hot: false, caller_timeout_us };
         out.push(FarOutput::Record(offer));
-        self.seize(now, front, OwnCall { name, gives_up: now + gives_up_us, answered: false }, out);
+        self.seize(now, front, OwnCall { name, gives_up: now + caller_timeout_us, answered: false }, out);
     }
 
     /// A free circuit: those that this end controls first, each end beginning where the other one comes last.
@@ -543,7 +550,7 @@
         let mut call = call.clone();
         let over = stands.then(|| {
             call.answered = true;
-            out.push(FarOutput::Record(Moment::Answer {
+            out.push(FarOutput::Record(RecordEvent::Answer {
                 front: place.0,
                 call: call.name.clone(),
                 code: 2001,
@@ -561,10 +568,10 @@
             call.name.split_once('|').and_then(|(_, own)| own.split(';').next()?.parse().ok()).unwrap_or(0);
         let name = call.name.clone();
         out.push(FarOutput::Record(if call.answered {
-            Moment::Cut { front, call: name }
+            RecordEvent::Dropped { front, call: name }
         } else {
             let code = if why == cause::SWITCHING_CONGESTION { 3004 } else { 5012 };
-            Moment::Answer { front, call: name, code }
+            RecordEvent::Answer { front, call: name, code }
         }));
     }
 
@@ -572,11 +579,11 @@
         match self.circuits.get(&place).cloned() {
             Some(Circuit::Releasing(_)) => self.release(now, place, cause::RECOVERY_ON_TIMER_EXPIRY, out),
             Some(Circuit::Own(call, Some(_))) => {
-                out.push(FarOutput::Record(Moment::Hangup { front: place.0, call: call.name }));
+                out.push(FarOutput::Record(RecordEvent::Hangup { front: place.0, call: call.name }));
                 self.release(now, place, cause::NORMAL_CLEARING, out);
             }
             Some(Circuit::Seized(call) | Circuit::Own(call, None)) => {
-                out.push(FarOutput::Record(Moment::GiveUp { front: place.0, call: call.name }));
+                out.push(FarOutput::Record(RecordEvent::CallerTimeout { front: place.0, call: call.name }));
                 self.release(now, place, cause::NO_ANSWER, out);
             }
             _ => {}
@@ -619,7 +626,7 @@
                 });
                 let cut: Vec<_> = standing.filter(|_| rng.random::<f64>() < share).collect();
                 for (place, attempt) in cut {
-                    out.push(FarOutput::Record(Moment::Abort { server: self.spec.number, attempt }));
+                    out.push(FarOutput::Record(RecordEvent::Abort { server: self.spec.number, attempt }));
                     self.release(now, place, cause::TEMPORARY_FAILURE, out);
                 }
             }
--- a/crates/emulator/src/front.rs
+++ b/crates/emulator/src/front.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use baydrift::interface::Micros;
-use baydrift_audit::Moment;
+use baydrift_audit::RecordEvent;
 use baydrift_call::{EngineError, LinkId, Policy};
 use baydrift_config::Config;
 use baydrift_desk::{
@@ -21,7 +21,7 @@
 pub(crate) enum ToCore {
     Desk(DeskInput),
     /// A list, and what it makes true if it is taken.
-    Pool(PoolList, Vec<Moment>),
+    Pool(PoolList, Vec<RecordEvent>),
 }
 
 /// A client's link as the front holds it.
@@ -148,7 +148,7 @@
         now: Micros,
         input: Option<ToCore>,
         out: &mut Vec<DeskOutput>,
-        told: &mut Vec<Moment>,
+        told: &mut Vec<RecordEvent>,
     ) {
         self.read.extend(input);
         if self.catching.is_some_and(|until| now < until) {
--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use baydrift::interface::{Micros, Report};
-use baydrift_audit::Moment;
+use baydrift_audit::RecordEvent;
 use baydrift_diameter::credit::{self, Ccr, Endpoints, RequestType, APPLICATION};
 use baydrift_diameter::{
     cause, code, dict, load, result, Frame, Local, Message, Peer, PeerInput, PeerOutput, Side,
@@ -94,7 +94,7 @@
     /// Close a transport once what was sent is out.
     Close(ConnId),
     /// Something was seen.
-    Record(Moment),
+    Record(RecordEvent),
     /// The process has ended: it listens no more and all its transports close.
     Stopped,
     /// Another process has started, and listens.
@@ -230,12 +230,12 @@
         self.cpu = Processor::new(self.spec.processor, Some(now));
         let local = Local { state_id: self.local.state_id + 1, ..(*self.local).clone() };
         self.local = Arc::new(local);
-        out.push(ServerOutput::Record(Moment::Start { server: self.spec.number, cold: true }));
+        out.push(ServerOutput::Record(RecordEvent::ServerStarted { server: self.spec.number, cold: true }));
         out.push(ServerOutput::Started);
     }
 
     fn stop(&mut self, now: Micros, back: Option<Micros>, out: &mut Vec<ServerOutput>) {
-        out.push(ServerOutput::Record(Moment::Die { server: self.spec.number }));
+        out.push(ServerOutput::Record(RecordEvent::ServerExited { server: self.spec.number }));
         out.push(ServerOutput::Stopped);
         (self.conns, self.asked, self.standing, self.gone) = Default::default();
         self.measured.clear();
@@ -276,7 +276,7 @@
 
     fn closed(&mut self, id: ConnId, out: &mut Vec<ServerOutput>) {
         if let Some(front) = self.conns.remove(&id).and_then(|conn| conn.front) {
-            out.push(ServerOutput::Record(Moment::Unlinked { server: self.spec.number, front }));
+            out.push(ServerOutput::Record(RecordEvent::Disconnected { server: self.spec.number, front }));
         }
     }
 
@@ -301,7 +301,12 @@
             Some(_) if code == code::DISCONNECT && !request => {
                 conn.bye = Some(true);
                 let (server, front) = (self.spec.number, conn.front.unwrap_or(u32::MAX));
-                out.push(ServerOutput::Record(Moment::Told { server, front, ready: false, by_list: false }));
+                out.push(ServerOutput::Record(RecordEvent::ReadinessReported {
+                    server,
+                    front,
+                    ready: false,
+                    by_list: false,
+                }));
             }
             // After the DPA the transport stays until the process ends: what it holds may be released.
             Some(_) if request && code == code::CREDIT_CONTROL => self.request(now, id, message, out),
@@ -320,7 +325,7 @@
                 // What a hung process does not send; an unanswered watchdog shows in the record.
                 PeerOutput::Send(_, message) if self.hung => {
                     let dwa = message.header.code == code::WATCHDOG && !message.header.flags.request;
-                    let moment = Moment::Mute { server: self.spec.number, front };
+                    let moment = RecordEvent::Unresponsive { server: self.spec.number, front };
                     out.extend(dwa.then_some(ServerOutput::Record(moment)));
                 }
                 PeerOutput::Send(_, message) => out.push(ServerOutput::Send(id, message)),
@@ -349,7 +354,9 @@
             Command::Hang(hung) => {
                 self.hung = hung;
                 let fronts = self.conns.values().filter_map(|conn| conn.front).filter(|_| !hung);
-                out.extend(fronts.map(|front| ServerOutput::Record(Moment::Speaks { server, front })));
+                out.extend(
+                    fronts.map(|front| ServerOutput::Record(RecordEvent::Responsive { server, front })),
+                );
             }
             Command::LoseAnswers(share) => self.lose = share,
             Command::Cut(share) => self.cut(share, out),
@@ -381,7 +388,7 @@
             let Some((id, _)) = conn else { continue };
             let id = *id;
             let server = self.spec.number;
-            out.push(ServerOutput::Record(Moment::Abort { server, attempt: attempt.clone() }));
+            out.push(ServerOutput::Record(RecordEvent::Abort { server, attempt: attempt.clone() }));
             let ends = Endpoints {
                 origin_host: &self.spec.host,
                 origin_realm: &self.spec.realm,
@@ -403,16 +410,17 @@
         if kind == RequestType::Initial {
             let front = self.conns.get(&id).and_then(|conn| conn.front).unwrap_or(u32::MAX);
             let call = request.text(dict::CC_CORRELATION_ID).unwrap_or("").to_owned();
-            let moment = Moment::SetUp { server, front, call, attempt: attempt.clone(), redirected: false };
+            let moment =
+                RecordEvent::SetUp { server, front, call, attempt: attempt.clone(), redirected: false };
             out.push(ServerOutput::Record(moment));
             self.asked.insert(key, Asked { conn: id, attempt, request });
             if self.cpu.set_up(now, key) == Taken::Fell {
                 self.asked.remove(&key);
-                out.push(ServerOutput::Record(Moment::Fall { server }));
+                out.push(ServerOutput::Record(RecordEvent::ServerOverloaded { server }));
             }
             return;
         }
-        out.push(ServerOutput::Record(Moment::Release { server, attempt: attempt.clone() }));
+        out.push(ServerOutput::Record(RecordEvent::Release { server, attempt: attempt.clone() }));
         if self.standing.remove(&attempt).is_none() && self.asked.values().any(|a| a.attempt == attempt) {
             // Released before it stood: what waits in line is dropped when its turn comes.
             self.gone.insert(attempt.clone());
@@ -439,7 +447,7 @@
         let lost = sets_up && self.rng.random::<f64>() < self.lose;
         if sets_up {
             let (server, attempt) = (self.spec.number, asked.attempt.clone());
-            out.push(ServerOutput::Record(Moment::Reply { server, attempt, code: result, lost }));
+            out.push(ServerOutput::Record(RecordEvent::Reply { server, attempt, code: result, lost }));
         }
         if lost {
             return;
--- a/crates/emulator/src/text.rs
+++ b/crates/emulator/src/text.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use baydrift::interface::Micros;
-use baydrift_audit::Moment;
+use baydrift_audit::RecordEvent;
 use baydrift_exchange::{Exchange, ExchangeAction, ExchangeInput, Settings};
 use baydrift_h248::code::BEFORE_SERVICE_CHANGE;
 use baydrift_h248::{parse, Body, ReplyBody, Transaction};
@@ -33,7 +33,7 @@
     /// Send a datagram.
     Send(Arc<str>),
     /// Something was seen.
-    Record(Moment),
+    Record(RecordEvent),
 }
 
 /// A transaction that was sent, and what it asked for.
@@ -193,7 +193,10 @@
                 Due::GiveUp(id) => self.give_up(now, id, out),
                 Due::Hangup(context) => {
                     if let Some((name, _)) = self.standing.remove(&context) {
-                        out.push(TextOutput::Record(Moment::Hangup { front: self.spec.front, call: name }));
+                        out.push(TextOutput::Record(RecordEvent::Hangup {
+                            front: self.spec.front,
+                            call: name,
+                        }));
                         self.release(now, context, dos);
                     }
                 }
@@ -237,16 +240,16 @@
         };
         let Some(id) = self.exchange.send(now, text, dos) else { return };
         let name = format!("{mid}|{count}");
-        out.push(TextOutput::Record(Moment::Offer {
+        out.push(TextOutput::Record(RecordEvent::Offer {
             front: self.spec.front,
             call: name.clone(),
             first: first.clone(),
             class,
             publisher,
             hot: false,
-            gives_up_us: patience,
+            caller_timeout_us: patience,
         }));
-        out.push(TextOutput::Record(Moment::Asks { call: name, transaction: id }));
+        out.push(TextOutput::Record(RecordEvent::RequestSent { call: name, transaction: id }));
         let name = format!("{mid}|{count}");
         self.agenda.at(now + patience, Due::GiveUp(id));
         self.asked.insert(id, Asked::SetUp { name, flow, first, tries, choice, waits: true });
@@ -258,7 +261,7 @@
             return;
         };
         if std::mem::take(waits) {
-            out.push(TextOutput::Record(Moment::GiveUp { front, call: name.clone() }));
+            out.push(TextOutput::Record(RecordEvent::CallerTimeout { front, call: name.clone() }));
             // Guards against a set-up by a front's later process, which cannot know that its caller left.
             self.exchange.abandon(now, id);
             let first = first.clone().unwrap_or_else(|| name.clone());
@@ -311,7 +314,10 @@
                         if let Some(baydrift_h248::Context::Id(context)) = context {
                             if let Some((call, flow)) = self.standing.remove(&context) {
                                 let front = self.spec.front;
-                                out.push(TextOutput::Record(Moment::Cut { front, call: call.clone() }));
+                                out.push(TextOutput::Record(RecordEvent::Dropped {
+                                    front,
+                                    call: call.clone(),
+                                }));
                                 let choice = self.rng.random_range(0..self.spec.servers.len().max(1));
                                 self.redial(now, flow, call, 0, choice);
                             }
@@ -364,7 +370,7 @@
             Some(_) => 5012,
         };
         let front = self.spec.front;
-        out.push(TextOutput::Record(Moment::Answer { front, call: call.clone(), code }));
+        out.push(TextOutput::Record(RecordEvent::Answer { front, call: call.clone(), code }));
         match (code, context) {
             (2001, Some(baydrift_h248::Context::Id(context))) if waits => {
                 let hold = self.spec.flows[flow].hold as f64;
@@ -382,7 +388,7 @@
 }
 
 /// What a datagram says of transactions, for the record: requests towards the front, replies back.
-pub fn said(client: &str, to_front: bool, datagram: &str, lost: bool) -> Vec<Moment> {
+pub fn said(client: &str, to_front: bool, datagram: &str, lost: bool) -> Vec<RecordEvent> {
     let Ok(message) = parse(datagram) else { return Vec::new() };
     let Body::Transactions(all) = message.body else { return Vec::new() };
     let ids = all.into_iter().filter_map(|transaction| match transaction {
@@ -390,6 +396,6 @@
         Transaction::Reply { id, .. } if !to_front => Some(id),
         _ => None,
     });
-    ids.map(|transaction| Moment::Datagram { client: client.to_owned(), to_front, transaction, lost })
+    ids.map(|transaction| RecordEvent::Datagram { client: client.to_owned(), to_front, transaction, lost })
         .collect()
 }
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use baydrift::interface::Micros;
-use baydrift_audit::{Line, Moment};
+use baydrift_audit::{RecordEntry, RecordEvent};
 use baydrift_call::{EngineError, LinkId, Policy};
 use baydrift_config::Config;
 use baydrift_desk::{Desk, DeskInput, DeskOutput, PoolList};
@@ -106,7 +106,7 @@
     /// A datagram of text caller so-and-so, towards its front or back.
     Datagram(usize, bool, Arc<str>),
     /// A list is pushed; what is told.
-    List(usize, Box<PoolList>, Vec<Moment>),
+    List(usize, Box<PoolList>, Vec<RecordEvent>),
 }
 
 /// See the module's page.
@@ -130,7 +130,7 @@
     messages_lost: f64,
     rng: Pcg64Mcg,
     rough: Roughness,
-    lines: Vec<Line>,
+    lines: Vec<RecordEntry>,
     events: u64,
 }
 
@@ -168,12 +168,12 @@
             rng,
         };
         for server in spec.servers {
-            world.record(Moment::Start { server: server.number, cold: false });
+            world.record(RecordEvent::ServerStarted { server: server.number, cold: false });
             let seed = world.rng.random();
             world.servers.push(SessionServer::new(server, addresses.clone(), seed));
         }
         for far in spec.far_ends {
-            world.record(Moment::Start { server: far.number, cold: false });
+            world.record(RecordEvent::ServerStarted { server: far.number, cold: false });
             let (seed, point) = (world.rng.random(), far.point);
             world.fars.push((FarEnd::new(far, seed), point));
         }
@@ -183,7 +183,7 @@
         for (text, seed) in spec.texts {
             let (front, mid) = (text.front as usize, text.mid.clone());
             if lossy {
-                world.record(Moment::Lossy { client: mid.clone() });
+                world.record(RecordEvent::Lossy { client: mid.clone() });
             }
             world.texts.push((TextCallers::new(text, offers.clone(), seed), front, mid));
         }
@@ -223,18 +223,18 @@
     }
 
     /// The record so far.
-    pub fn lines(&self) -> &[Line] {
+    pub fn lines(&self) -> &[RecordEntry] {
         &self.lines
     }
 
     /// The record, whole.
-    pub fn into_lines(self) -> Vec<Line> {
+    pub fn into_lines(self) -> Vec<RecordEntry> {
         self.lines
     }
 
     /// Puts a moment on record, now.
-    pub fn record(&mut self, moment: Moment) {
-        self.lines.push(Line { at: self.queue.now(), moment });
+    pub fn record(&mut self, moment: RecordEvent) {
+        self.lines.push(RecordEntry { at: self.queue.now(), event: moment });
     }
 
     /// Runs until a time.
@@ -261,7 +261,7 @@
         let far = server.checked_sub(self.servers.len()).and_then(|far| self.fars.get(far));
         if let (Some((far, _)), true) = (far, old.stalled_back != fault.stalled_back) {
             let (client, held) = (far.host().to_owned(), fault.stalled_back);
-            self.record(Moment::Held { client, held });
+            self.record(RecordEvent::Held { client, held });
         }
         if fault.down && !old.down {
             for (id, _) in self.conns.down(server) {
@@ -306,7 +306,7 @@
         if self.fronts.get(front).is_none_or(Front::is_down) {
             return;
         }
-        self.record(Moment::Stall { front: front as u32, us: span });
+        self.record(RecordEvent::Stall { front: front as u32, us: span });
         let until = self.queue.now() + span;
         if let Some(front) = self.fronts.get_mut(front) {
             front.stalled_until = front.stalled_until.max(until);
@@ -319,7 +319,7 @@
     }
 
     /// A list reaches a front at a time, which makes the moments true.
-    pub fn push_list(&mut self, at: Micros, front: usize, list: PoolList, told: Vec<Moment>) {
+    pub fn push_list(&mut self, at: Micros, front: usize, list: PoolList, told: Vec<RecordEvent>) {
         self.queue.at(at, Event::List(front, Box::new(list), told));
     }
 
@@ -513,7 +513,7 @@
     fn shut(&mut self, id: u64, end: usize) {
         let ends = self.conns.get(id).filter(|_| end == 1).map(|conn| (conn.initiator, conn.responder));
         if let Some((End::FrontServer(front, _), End::Server(server))) = ends {
-            self.record(Moment::Parting { server: server as u16, front: front as u32 });
+            self.record(RecordEvent::LinkDown { server: server as u16, front: front as u32 });
         }
         self.conns.close(id, end);
     }
@@ -553,7 +553,7 @@
         }
         self.post(id, BACK, Parcel::Connected);
         if let (End::FrontServer(front, _), End::Server(server)) = (initiator, responder) {
-            self.record(Moment::Linked { server: server as u16, front: front as u32 });
+            self.record(RecordEvent::LinkUp { server: server as u16, front: front as u32 });
             self.server(server, ServerInput::Accepted(id));
         }
         if let (End::Far(far), End::FrontFar(front, _)) = (responder, initiator) {
@@ -623,7 +623,7 @@
                 let of_it = self.fronts[front].servers.get(server).is_some_and(|s| s.conn == Some(id));
                 if of_it {
                     // On record as the front hears of it: its server may be gone, with what was on its way there.
-                    self.record(Moment::Unlinked { server: server as u16, front: front as u32 });
+                    self.record(RecordEvent::Disconnected { server: server as u16, front: front as u32 });
                     self.server_input(front, server, PeerInput::Disconnected(Side::Initiator));
                     self.server_input(front, server, PeerInput::ConnectFailed);
                 }
@@ -871,7 +871,7 @@
             }
             DeskOutput::ToFront { to, payload } => {
                 let place = to as usize;
-                self.record(Moment::Word { from: front as u32, to, bytes: payload.len() });
+                self.record(RecordEvent::GossipSent { from: front as u32, to, bytes: payload.len() });
                 let heard = place < self.fronts.len() && self.rng.random::<f64>() >= self.messages_lost;
                 if heard && !self.is_severed(Place::Front(front), Place::Front(place)) {
                     let input = DeskInput::Fleet { from: front as u32, payload };
--- a/crates/emulator/src/world/faults.rs
+++ b/crates/emulator/src/world/faults.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use baydrift::interface::Micros;
-use baydrift_audit::Moment;
+use baydrift_audit::RecordEvent;
 use baydrift_desk::PoolList;
 use baydrift_diameter::credit::{Ccr, RequestType};
 use baydrift_diameter::{dict, PeerInput};
@@ -34,7 +34,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Faulty {
     severed: BTreeSet<(Place, Place)>,
-    lists: Vec<Option<(PoolList, Vec<Moment>)>>,
+    lists: Vec<Option<(PoolList, Vec<RecordEvent>)>>,
 }
 
 impl World {
@@ -87,15 +87,15 @@
         }
         let (front, server) = (front as u32, server as u16);
         match parcel {
-            Parcel::Closed if fault.stalled => self.record(Moment::Unlinked { server, front }),
+            Parcel::Closed if fault.stalled => self.record(RecordEvent::Disconnected { server, front }),
             Parcel::Message(message) => {
                 let Ok(ccr) = Ccr::read(message) else { return };
                 let (first, attempt) = (ccr.request_type == RequestType::Initial, ccr.session.to_owned());
                 if fault.stalled {
                     let call = first.then(|| message.text(dict::CC_CORRELATION_ID).unwrap_or("").to_owned());
-                    self.record(Moment::Sent { server, front, call, attempt });
+                    self.record(RecordEvent::Sent { server, front, call, attempt });
                 } else if first {
-                    self.record(Moment::Entered { server, attempt });
+                    self.record(RecordEvent::Entered { server, attempt });
                 }
             }
             _ => {}
@@ -128,13 +128,13 @@
         if self.fronts.get(front).is_none_or(Front::is_down) {
             return;
         }
-        self.record(Moment::Killed { front: front as u32 });
+        self.record(RecordEvent::FrontKilled { front: front as u32 });
         for id in self.conns.of_front(front) {
             let ends = self.conns.get(id).map(|conn| (conn.initiator, conn.responder));
             let Some((initiator, responder)) = ends else { continue };
             if let (End::FrontServer(..), End::Server(server)) = (initiator, responder) {
                 // Whatever is on its way there still: its front is no more.
-                self.record(Moment::Unlinked { server: server as u16, front: front as u32 });
+                self.record(RecordEvent::Disconnected { server: server as u16, front: front as u32 });
             }
             self.close(id, usize::from(matches!(responder, End::FrontClient(_))));
         }
@@ -151,7 +151,7 @@
         if self.fronts[front].start_anew(now, &mut self.rng).is_err() {
             return;
         }
-        self.record(Moment::Started { front: front as u32 });
+        self.record(RecordEvent::FrontStarted { front: front as u32 });
         for server in 0..self.fronts[front].servers.len() {
             self.server_input(front, server, PeerInput::Start);
         }
@@ -169,8 +169,8 @@
         &mut self,
         front: usize,
         list: PoolList,
-        told: Vec<Moment>,
-    ) -> Option<(PoolList, Vec<Moment>)> {
+        told: Vec<RecordEvent>,
+    ) -> Option<(PoolList, Vec<RecordEvent>)> {
         if self.faulty.lists.len() <= front {
             self.faulty.lists.resize(front + 1, None);
         }
--- a/crates/front/tests/calls.rs
+++ b/crates/front/tests/calls.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use baydrift_audit::{rules, Moment, Terms};
+use baydrift_audit::{rules, RecordEvent, RuleLimits};
 use baydrift_diameter::credit::RequestType;
 use baydrift_diameter::{code, dict, result, Avp, Message};
 use baydrift_standin::Command;
@@ -69,7 +69,7 @@
     let answers = [client.answer("c1;1").await, client.answer("c1;1").await];
     let results: Vec<_> = answers.iter().map(|a| (a.number(dict::CC_REQUEST_TYPE), a.result())).collect();
     assert_eq!(results, [(Some(1), result::UNABLE_TO_COMPLY), (Some(3), result::SUCCESS)]);
-    w.recorded("a release", |m| matches!(m, Moment::Release { .. })).await;
+    w.recorded("a release", |m| matches!(m, RecordEvent::Release { .. })).await;
     w.until("nothing held", |s| s.held.calls == 0 && s.held.orphans == 0).await;
 }
 
@@ -88,13 +88,17 @@
         let answer = client.read().await.unwrap();
         assert_eq!(answer.result(), result::SUCCESS, "{answer:?}");
     }
-    w.recorded("an unanswered watchdog", |m| matches!(m, Moment::Mute { server: 0, .. })).await;
+    w.recorded("an unanswered watchdog", |m| matches!(m, RecordEvent::Unresponsive { server: 0, .. })).await;
     w.servers[0].command(Command::Hang(false));
     let mut n = 100;
     let used = |w: &World| {
         let lines = w.recorder.lines();
-        let last = lines.iter().rev().find(|l| matches!(l.moment, Moment::Mute { .. })).map_or(0, |l| l.at);
-        lines.iter().any(|l| l.at > last && matches!(l.moment, Moment::SetUp { server: 0, .. }))
+        let last = lines
+            .iter()
+            .rev()
+            .find(|l| matches!(l.event, RecordEvent::Unresponsive { .. }))
+            .map_or(0, |l| l.at);
+        lines.iter().any(|l| l.at > last && matches!(l.event, RecordEvent::SetUp { server: 0, .. }))
     };
     while !used(&w) {
         let message = ccr(&format!("c1;{n}"), INITIAL).with(Avp::text(dict::DESTINATION_HOST, "s0.test"));
@@ -103,8 +107,8 @@
         n += 1;
         assert!(n < 2_000, "never used again");
     }
-    let verdict = rules(&w.recorder.lines(), Terms::default());
-    assert_eq!((verdict.of(2), verdict.of(5)), (0, 0), "{:?}", verdict.breaches);
+    let verdict = rules(&w.recorder.lines(), RuleLimits::default());
+    assert_eq!((verdict.breaches_of(2), verdict.breaches_of(5)), (0, 0), "{:?}", verdict.breaches);
 }
 
 #[tokio::test]
@@ -117,19 +121,20 @@
     client.send(to_first(1)).await;
     assert_eq!(client.answer("c1;1").await.result(), result::SUCCESS);
     w.servers[0].command(Command::Drain { by_dpr: true, stop_after: 60_000_000, back_after: None });
-    w.recorded("the DPA", |m| matches!(m, Moment::Told { server: 0, ready: false, .. })).await;
+    w.recorded("the DPA", |m| matches!(m, RecordEvent::ReadinessReported { server: 0, ready: false, .. }))
+        .await;
     let before = w.set_ups();
     for n in 2..22 {
         client.send(to_first(n)).await;
         assert_eq!(client.answer(&format!("c1;{n}")).await.result(), result::SUCCESS);
     }
     let lines = w.recorder.lines();
-    let set_ups = lines.iter().filter(|l| matches!(l.moment, Moment::SetUp { server: 1, .. })).count();
+    let set_ups = lines.iter().filter(|l| matches!(l.event, RecordEvent::SetUp { server: 1, .. })).count();
     assert!(w.set_ups() - before == 20 && set_ups >= 20);
     // The call that stands there can still be released.
     client.send(ccr("c1;1", TERMINATION)).await;
     client.answer("c1;1").await;
-    w.recorded("its release", |m| matches!(m, Moment::Release { server: 0, .. })).await;
+    w.recorded("its release", |m| matches!(m, RecordEvent::Release { server: 0, .. })).await;
 }
 
 #[tokio::test]
@@ -166,6 +171,6 @@
     client.send(Message::answer(&dpr, result::SUCCESS)).await;
     assert!(client.read().await.is_none());
     tokio::time::timeout(Duration::from_secs(10), stopping).await.expect("in time").unwrap();
-    let released = |l: &baydrift_audit::Line| matches!(l.moment, Moment::Release { .. });
+    let released = |l: &baydrift_audit::RecordEntry| matches!(l.event, RecordEvent::Release { .. });
     assert!(recorder.lines().iter().filter(|l| released(l)).count() >= 2);
 }
--- a/crates/front/tests/common/mod.rs
+++ b/crates/front/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use baydrift::interface::Report;
-use baydrift_audit::{Moment, Recorder};
+use baydrift_audit::{RecordEvent, Recorder};
 use baydrift_diameter::credit::{self, Endpoints, RequestType};
 use baydrift_diameter::{code, dict, result, Avp, Codec, Frame, Message};
 use baydrift_front::{Bound, Front, Snapshot};
@@ -87,9 +87,9 @@
     }
 
     /// Waits until something stands in the record.
-    pub async fn recorded(&self, what: &str, good: impl Fn(&Moment) -> bool) {
+    pub async fn recorded(&self, what: &str, good: impl Fn(&RecordEvent) -> bool) {
         for _ in 0..2_000 {
-            if self.recorder.lines().iter().any(|line| good(&line.moment)) {
+            if self.recorder.lines().iter().any(|line| good(&line.event)) {
                 return;
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
@@ -114,8 +114,8 @@
     }
 
     pub fn set_ups(&self) -> usize {
-        let is = |moment: &Moment| matches!(moment, Moment::SetUp { .. });
-        self.recorder.lines().iter().filter(|line| is(&line.moment)).count()
+        let is = |moment: &RecordEvent| matches!(moment, RecordEvent::SetUp { .. });
+        self.recorder.lines().iter().filter(|line| is(&line.event)).count()
     }
 }
 
--- a/crates/front/tests/strangers.rs
+++ b/crates/front/tests/strangers.rs
@@ -208,8 +208,8 @@
     let after = lines
         .iter()
         .rev()
-        .take_while(|l| !matches!(l.moment, baydrift_audit::Moment::SetUp { server: 0, .. }));
+        .take_while(|l| !matches!(l.event, baydrift_audit::RecordEvent::SetUp { server: 0, .. }));
     let others =
-        after.filter(|l| matches!(l.moment, baydrift_audit::Moment::SetUp { server: 1, .. })).count();
+        after.filter(|l| matches!(l.event, baydrift_audit::RecordEvent::SetUp { server: 1, .. })).count();
     assert!(others >= 10, "{others}");
 }
--- a/crates/standin/src/far_end.rs
+++ b/crates/standin/src/far_end.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use baydrift_audit::{Moment, Recorder};
+use baydrift_audit::{RecordEvent, Recorder};
 use baydrift_emulator::{Command, FarEndSpec, FarInput, FarOutput};
 use baydrift_isup::{Codec, Data, Packet};
 use futures_util::{SinkExt, StreamExt};
@@ -44,7 +44,7 @@
             addrs.insert(*front, listener.local_addr()?);
             tokio::spawn(accept(*front, listener, listening.clone(), to_model.clone()));
         }
-        recorder.put(Moment::Start { server: spec.number, cold: false });
+        recorder.put(RecordEvent::ServerStarted { server: spec.number, cold: false });
         let model = baydrift_emulator::FarEnd::new(spec, seed);
         tokio::spawn(run(model, heard, received, listens, recorder));
         Ok(Self { addrs, inputs })
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use baydrift_audit::{Moment, Recorder};
+use baydrift_audit::{RecordEvent, Recorder};
 use baydrift_platform::{Cause, Code, Frames, Id, Kind, Message};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -113,7 +113,7 @@
 }
 
 impl Inside {
-    fn put(&self, moment: Moment) {
+    fn put(&self, moment: RecordEvent) {
         self.recorder.put(moment);
     }
 
@@ -149,7 +149,7 @@
                                     continue;
                                 }
                                 let attempt = self.attempt(id, message.call);
-                                self.put(Moment::Reply { server: self.number, attempt, code: STANDS, lost: false });
+                                self.put(RecordEvent::Reply { server: self.number, attempt, code: STANDS, lost: false });
                                 lock(&self.standing).insert(message.call);
                                 tokio::spawn(self.clone().end(id, message.call));
                             }
@@ -169,7 +169,7 @@
         }
         lock(&self.lines).remove(&id);
         for call in open {
-            self.put(Moment::Abort { server: self.number, attempt: self.attempt(id, call) });
+            self.put(RecordEvent::Abort { server: self.number, attempt: self.attempt(id, call) });
         }
     }
 
@@ -185,7 +185,7 @@
             Kind::SetUp => {
                 self.set_ups.fetch_add(1, Ordering::Relaxed);
                 let (attempt, name) = (self.attempt(id, call), format!("caller|{call}"));
-                self.put(Moment::SetUp { server, front: 0, call: name, attempt, redirected: false });
+                self.put(RecordEvent::SetUp { server, front: 0, call: name, attempt, redirected: false });
                 open.insert(call);
                 if manner == Manner::Spoils {
                     let _ = line.send(Line::Noise);
@@ -198,7 +198,7 @@
             Kind::Release => {
                 open.remove(&call);
                 lock(&self.standing).remove(&call);
-                self.put(Moment::Release { server, attempt: self.attempt(id, call) });
+                self.put(RecordEvent::Release { server, attempt: self.attempt(id, call) });
             }
             Kind::Test => say(Message::tested(call)),
             _ => {}
@@ -298,14 +298,14 @@
             waiting.answers.insert(set_up.call, answer);
             waiting.ends.insert(set_up.call, end);
         }
-        self.recorder.put(Moment::Offer {
+        self.recorder.put(RecordEvent::Offer {
             front: 0,
             call: format!("caller|{}", set_up.call),
             first: None,
             class: 0,
             publisher: 0,
             hot: false,
-            gives_up_us: wait.as_micros() as u64,
+            caller_timeout_us: wait.as_micros() as u64,
         });
         if let Ok(bytes) = set_up.to_bytes() {
             self.send(bytes);
@@ -326,15 +326,15 @@
     match waiting.answers.remove(&message.call) {
         Some(waits) => {
             let code = if message.kind == Kind::Answer { STANDS } else { TURNED_AWAY };
-            recorder.put(Moment::Answer { front: 0, call: name, code });
+            recorder.put(RecordEvent::Answer { front: 0, call: name, code });
             let _ = waits.send(told);
         }
         // A second answer that is another one shows as a breach.
         None if message.kind == Kind::Answer => {
-            recorder.put(Moment::Answer { front: 0, call: name, code: STANDS })
+            recorder.put(RecordEvent::Answer { front: 0, call: name, code: STANDS })
         }
         None => {
-            recorder.put(Moment::Cut { front: 0, call: name });
+            recorder.put(RecordEvent::Dropped { front: 0, call: name });
             if let Some(waits) = waiting.ends.remove(&message.call) {
                 let _ = waits.send(cause);
             }
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use baydrift_audit::{Moment, Recorder};
+use baydrift_audit::{RecordEvent, Recorder};
 use baydrift_diameter::{Codec, Frame, Message};
 use baydrift_emulator::{Command, ConnId, ServerInput, ServerOutput, ServerSpec, SessionServer};
 use futures_util::{SinkExt, StreamExt};
@@ -54,7 +54,7 @@
         };
         let addr = listener.local_addr()?;
         let (commands, received) = mpsc::unbounded_channel();
-        recorder.put(Moment::Start { server: spec.number, cold: again.is_some() });
+        recorder.put(RecordEvent::ServerStarted { server: spec.number, cold: again.is_some() });
         let model = SessionServer::new(spec, vec![addr.ip()], seed);
         let model = match again {
             None => model,
