--- a/crates/cli/tests/endings.rs
+++ b/crates/cli/tests/endings.rs
@@ -11,7 +11,7 @@
 use baydrift_audit::{RecordEvent, Recorder};
 use baydrift_platform::{Cause, Code, Frames, Id, Kind, Message};
 use baydrift_standin::{
-    relay_config as config, Listed, Manner, NameServer, PlatformCaller, PlatformServer, Told,
+    relay_config as config, Listed, NameServer, PlatformCaller, PlatformServer, ServerBehaviour, SetUpOutcome,
 };
 use common::{listed, set_up, signal, soon, until, Node, LONG, WAIT};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -120,7 +120,7 @@
 async fn served(caller: &PlatformCaller, from: u64) -> usize {
     for n in 0..200 {
         let (answer, _) = caller.offer(&set_up(from + n as u64), WAIT);
-        if matches!(soon(answer).await, Ok(Told::Stands(_))) {
+        if matches!(soon(answer).await, Ok(SetUpOutcome::Established(_))) {
             return n + 1;
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
@@ -138,7 +138,11 @@
         tokio::spawn(async move {
             for turn in 0.. {
                 for (n, server) in servers.iter().enumerate() {
-                    server.behave(if (turn + n) % 2 == 0 { Manner::Serves } else { Manner::Spoils });
+                    server.set_behaviour(if (turn + n) % 2 == 0 {
+                        ServerBehaviour::Normal
+                    } else {
+                        ServerBehaviour::Malformed
+                    });
                 }
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
@@ -242,7 +246,10 @@
         gone.extend(ids(500_000, 500).map(|id| (id, stage.recorder.now())));
         // Others are answered in it, and served once it is over: a flood looks like a wait at the servers.
         let (answer, _) = caller.offer(&set_up(1 + round), WAIT);
-        assert!(matches!(soon(answer).await, Ok(Told::Stands(_) | Told::Away(_))), "round {round}");
+        assert!(
+            matches!(soon(answer).await, Ok(SetUpOutcome::Established(_) | SetUpOutcome::Rejected(_))),
+            "round {round}"
+        );
     }
     let others = 5 + served(&caller, 10).await;
     tokio::time::sleep(Duration::from_millis(400)).await;
@@ -281,7 +288,7 @@
 #[tokio::test]
 async fn what_the_kernel_had_taken_when_the_listener_closes_is_answered() {
     let stage = Stage::new("endings-backlog", Duration::from_millis(50)).await;
-    until(|| stage.names.asked() > 1).await;
+    until(|| stage.names.query_count() > 1).await;
     stage.node.signal("-TERM");
     tokio::time::sleep(Duration::from_millis(300)).await;
     stage.node.signal("-STOP");
@@ -311,10 +318,10 @@
     let caller = PlatformCaller::connect(stage.node.addr, stage.recorder.clone()).await.expect("it listens");
     for id in 1..=20 {
         let (answer, _) = caller.offer(&set_up(id), WAIT);
-        assert!(matches!(soon(answer).await, Ok(Told::Stands(_))));
+        assert!(matches!(soon(answer).await, Ok(SetUpOutcome::Established(_))));
     }
     // Those sent from now on are answered by nobody.
-    stage.servers.iter().for_each(|server| server.behave(Manner::Silent));
+    stage.servers.iter().for_each(|server| server.set_behaviour(ServerBehaviour::Silent));
     let waits: Vec<_> = (21..=24).map(|id| caller.offer(&set_up(id), WAIT).0).collect();
     until(|| stage.servers.iter().map(PlatformServer::set_ups).sum::<u64>() >= 24).await;
     stage.node.signal("-TERM");
@@ -336,7 +343,7 @@
             () = tokio::time::sleep(Duration::from_millis(1)) => caller.send(noise.clone()),
         }
     };
-    assert!(told.iter().all(|told| matches!(told, Told::Away(_))), "{told:?}");
+    assert!(told.iter().all(|told| matches!(told, SetUpOutcome::Rejected(_))), "{told:?}");
     let standing = || stage.servers.iter().map(PlatformServer::standing).sum::<usize>();
     until(|| standing() == 0).await;
     assert_eq!(stage.node.ended().await.code(), Some(0));
@@ -354,7 +361,7 @@
     let mut stage = Stage::with("endings-before", Duration::from_millis(50), at).await;
     assert_eq!(stage.node.addr, addr);
     let caller = PlatformCaller::connect(addr, stage.recorder.clone()).await.expect("it listens");
-    stage.servers.iter().for_each(|server| server.behave(Manner::Silent));
+    stage.servers.iter().for_each(|server| server.set_behaviour(ServerBehaviour::Silent));
     let (answer, _) = caller.offer(&set_up(1), WAIT);
     until(|| stage.servers.iter().map(PlatformServer::set_ups).sum::<u64>() > 0).await;
     stage.node.signal("-TERM");
@@ -366,7 +373,7 @@
     println!("ready {took:?} after the SIGTERM of the process before");
     assert!(took < Duration::from_secs(2), "ready only {took:?} after the SIGTERM of the one before");
     assert!(stage.node.child.try_wait().expect("known").is_none(), "the one before ends still");
-    assert!(matches!(soon(answer).await, Ok(Told::Away(_))), "and answers what it had taken");
+    assert!(matches!(soon(answer).await, Ok(SetUpOutcome::Rejected(_))), "and answers what it had taken");
     assert_eq!(stage.node.ended().await.code(), Some(0));
     stage.node = next;
     stage.ends().await;
@@ -387,7 +394,7 @@
         let caller = PlatformCaller::connect(addr, stage.recorder.clone()).await.expect("it listens");
         let (answer, _) = caller.offer(&set_up(1 + n), WAIT);
         if n % 2 == 0 {
-            assert!(matches!(soon(answer).await, Ok(Told::Stands(_))), "start {n}");
+            assert!(matches!(soon(answer).await, Ok(SetUpOutcome::Established(_))), "start {n}");
         }
         stage.node.signal("-KILL");
         stage.node.ended().await;
@@ -428,13 +435,16 @@
         for _ in 0..100 {
             idle.push(soon(TcpStream::connect(addr)).await.expect("it listens"));
         }
-        stage.servers.iter().for_each(PlatformServer::break_all);
+        stage.servers.iter().for_each(PlatformServer::close_connections);
         stage.node.signal("-CONT");
         most = most.max(open_descriptors(pid));
         let caller = soon(PlatformCaller::connect(addr, stage.recorder.clone())).await.expect("it listens");
         for n in 0..5 {
             let (answer, _) = caller.offer(&set_up(1 + round * 5 + n), WAIT);
-            assert!(matches!(soon(answer).await, Ok(Told::Stands(_))), "round {round}, call {n}");
+            assert!(
+                matches!(soon(answer).await, Ok(SetUpOutcome::Established(_))),
+                "round {round}, call {n}"
+            );
         }
         most = most.max(open_descriptors(pid));
     }
@@ -448,7 +458,7 @@
     let names = NameServer::start(2, list).await.expect("a name server");
     std::fs::write(&stage.node.config, config(names.addr, &stage.list)).expect("a configuration");
     stage.node.signal("-HUP");
-    until(|| names.asked() > 1).await;
+    until(|| names.query_count() > 1).await;
     let caller = PlatformCaller::connect(addr, stage.recorder.clone()).await.expect("it listens");
     let mut id = 1_000;
     while third.set_ups() == 0 {
@@ -477,21 +487,25 @@
         .replace("\"hard-limit-s\":9.0", "\"hard-limit-s\":0.2");
     std::fs::write(&stage.node.config, other).expect("a configuration");
     stage.node.signal("-HUP");
-    until(|| names.asked() > 2).await;
-    let before = stage.names.asked();
+    until(|| names.query_count() > 2).await;
+    let before = stage.names.query_count();
     let (answer, _) = caller.offer(&set_up(1), WAIT);
     assert!(
-        matches!(soon(answer).await, Ok(Told::Stands(_))),
+        matches!(soon(answer).await, Ok(SetUpOutcome::Established(_))),
         "class, tenant and time of the start's settings"
     );
     for (id, code, value) in [(2, Code::CLASS, "x"), (3, Code::TENANT, "other")] {
         let mut wrong = set_up(id);
         wrong.parameters.retain(|(own, _)| *own != code);
         let (answer, _) = caller.offer(&wrong.with(code, value), WAIT);
-        assert_eq!(soon(answer).await, Ok(Told::Away(Cause::INVALID)), "{value} is the new file's");
+        assert_eq!(
+            soon(answer).await,
+            Ok(SetUpOutcome::Rejected(Cause::INVALID)),
+            "{value} is the new file's"
+        );
     }
-    let asked = names.asked();
-    until(|| names.asked() > asked + 2).await;
-    assert_eq!(stage.names.asked(), before, "the old one is asked no more");
+    let asked = names.query_count();
+    until(|| names.query_count() > asked + 2).await;
+    assert_eq!(stage.names.query_count(), before, "the old one is asked no more");
     stage.ends().await;
 }
--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -10,7 +10,9 @@
 use std::time::Duration;
 
 use baydrift_audit::{rules, Recorder, RuleLimits};
-use baydrift_standin::{relay_config as config, Manner, NameServer, PlatformCaller, PlatformServer, Told};
+use baydrift_standin::{
+    relay_config as config, NameServer, PlatformCaller, PlatformServer, ServerBehaviour, SetUpOutcome,
+};
 use common::{listed, set_up, soon, until, Node, WAIT};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -25,7 +27,7 @@
     let mut stand = 0;
     for (id, (answer, ended)) in answers {
         match soon(answer).await.expect("an answer") {
-            Told::Stands(description) => {
+            SetUpOutcome::Established(description) => {
                 assert_eq!(
                     description,
                     format!("from call {id}").into_bytes(),
@@ -35,8 +37,8 @@
                 // Each end comes to its caller, whatever became of its connection.
                 soon(ended).await.expect("its end");
             }
-            Told::Away(_) => {}
-            Told::Parted => panic!("call {id}: the connection ended"),
+            SetUpOutcome::Rejected(_) => {}
+            SetUpOutcome::Disconnected => panic!("call {id}: the connection ended"),
         }
     }
     stand
@@ -67,18 +69,18 @@
     let (some, ()) = tokio::join!(offer(&caller, 101..201), async {
         for _ in 0..5 {
             tokio::time::sleep(Duration::from_millis(40)).await;
-            one.break_all();
+            one.close_connections();
         }
-        one.behave(Manner::Spoils);
+        one.set_behaviour(ServerBehaviour::Malformed);
         let before = one.set_ups();
         until(|| one.set_ups() > before + 3).await;
-        one.behave(Manner::Serves);
+        one.set_behaviour(ServerBehaviour::Normal);
     });
     assert!(some > 80, "{some} of 100 stood");
     // A server that falls silent under way.
     let (some, ()) = tokio::join!(offer_unended(&caller, 201..301), async {
         tokio::time::sleep(Duration::from_millis(150)).await;
-        two.behave(Manner::Silent);
+        two.set_behaviour(ServerBehaviour::Silent);
     });
     assert!(some > 20, "{some} of 100 stood");
     // Another name server by SIGHUP; its list has a third server, and not the silent one.
@@ -86,7 +88,7 @@
     let other = NameServer::start(2, moved.clone()).await.expect("another name server");
     std::fs::write(&node.config, config(other.addr, &both)).expect("a new configuration");
     node.signal("-HUP");
-    until(|| other.asked() > 2).await;
+    until(|| other.query_count() > 2).await;
     let stand = offer(&caller, 301..401).await;
     assert!(stand > 80 && three.set_ups() > 0, "{stand} of 100 stood, {} at the third", three.set_ups());
     // A configuration that cannot be read changes nothing.
@@ -112,7 +114,7 @@
     }
     let mut stand = 0;
     for (answer, _ended) in answers {
-        stand += usize::from(matches!(soon(answer).await.expect("an answer"), Told::Stands(_)));
+        stand += usize::from(matches!(soon(answer).await.expect("an answer"), SetUpOutcome::Established(_)));
     }
     stand
 }
--- a/crates/day/src/processes/mod.rs
+++ b/crates/day/src/processes/mod.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use baydrift_audit::{RecordEvent, Recorder};
-use baydrift_standin::{Caller, Datagrams as ClientNet, TextCaller};
+use baydrift_standin::{Caller, DatagramRelay as ClientNet, TextCaller};
 use tokio::sync::watch;
 
 pub use child::Program;
--- a/crates/day/src/processes/role.rs
+++ b/crates/day/src/processes/role.rs
@@ -10,7 +10,7 @@
 use baydrift::interface::Micros;
 use baydrift_audit::{RecordEntry, Recorder};
 use baydrift_emulator::Command;
-use baydrift_standin::{Again, Server};
+use baydrift_standin::{Restart, Server};
 use serde::{Deserialize, Serialize};
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::sync::mpsc;
@@ -103,7 +103,7 @@
             let spec = server_spec(&hello.day, number);
             let state_id = again.map_or(1, |(_, state_id)| state_id);
             let seed = hello.day.seed * 100 + number as u64 + 1_000_003 * u64::from(state_id - 1);
-            let again = again.map(|(addr, state_id)| Again { addr, state_id });
+            let again = again.map(|(addr, state_id)| Restart { addr, state_id });
             let server = Server::start_at(spec, recorder, seed, again).await?;
             say(&Word::Ready(Some(server.addr)));
             Part::Server(server)
--- a/crates/day/src/rounds.rs
+++ b/crates/day/src/rounds.rs
@@ -6,7 +6,7 @@
 
 use baydrift_front::{Exchange, ExchangeState, Role, ToExchange};
 use baydrift_signalling::SignallingPoint;
-use baydrift_standin::Packets;
+use baydrift_standin::PacketRelay;
 use baydrift_trunk::rules::{RouteChoice, Selection};
 use baydrift_trunk::{AuditSettings, CallKey, End, GroupId, GroupSpec, Output, Setup, TimerSettings, Trunks};
 use tokio::net::TcpListener;
@@ -111,7 +111,7 @@
 /// Where something cannot start, or an exchange ends.
 pub async fn rounds(spec: &RoundsSpec, mut progress: impl FnMut(u64)) -> Result<RoundsTally, RoundsError> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
-    let relay = Packets::start(listener.local_addr()?, spec.lost, spec.doubled, spec.seed).await?;
+    let relay = PacketRelay::start(listener.local_addr()?, spec.lost, spec.doubled, spec.seed).await?;
     let start = |office, far, role| {
         let (tell, events) = mpsc::channel(EVENTS);
         let exchange = Exchange::start(office, far, role, tell);
--- a/crates/day/src/run.rs
+++ b/crates/day/src/run.rs
@@ -12,7 +12,7 @@
 use baydrift_config::Config;
 use baydrift_emulator::{Command, Fault, Offers};
 use baydrift_front::{Addrs, Bound, Snapshot};
-use baydrift_standin::{push, Caller, Datagrams, FarEnd, Link, Server, TextCaller, Watched};
+use baydrift_standin::{push, Caller, DatagramRelay, FarEnd, Link, RecordedClient, Server, TextCaller};
 use tokio::sync::{mpsc, oneshot, watch};
 
 use crate::baseline::RoundRobin;
@@ -110,7 +110,7 @@
     links: BTreeMap<usize, Vec<Link>>,
     fronts: Vec<FrontThread>,
     offers: Vec<watch::Sender<Offers>>,
-    relays: Vec<Datagrams>,
+    relays: Vec<DatagramRelay>,
     lists: mpsc::UnboundedSender<(Micros, Pool)>,
 }
 
@@ -266,7 +266,7 @@
     let (mut relays, mut others) = (Vec::new(), vec![Vec::new(); fronts.len()]);
     for (place, (a, a_addr)) in fleet.iter().enumerate() {
         for (b, b_addr) in &fleet[place + 1..] {
-            let relay = Datagrams::start(day.seed ^ u64::from(a << 8 | b), None).await?;
+            let relay = DatagramRelay::start(day.seed ^ u64::from(a << 8 | b), None).await?;
             relay.between(*a_addr, *b_addr);
             others[*a as usize].push((*b, relay.addr));
             others[*b as usize].push((*a, relay.addr));
@@ -291,8 +291,9 @@
         {
             // Text goes by a relay that loses datagrams; the front knows the client by the relay's address.
             let lossy = day.datagrams_lost > 0.0;
-            let watched = lossy.then(|| Watched { client: spec.mid.clone(), recorder: recorder.clone() });
-            let relay = Datagrams::start(seed, watched).await?;
+            let watched =
+                lossy.then(|| RecordedClient { client: spec.mid.clone(), recorder: recorder.clone() });
+            let relay = DatagramRelay::start(seed, watched).await?;
             relay.to(addr);
             relay.lose(day.datagrams_lost);
             if lossy {
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -15,10 +15,10 @@
 };
 pub use caller::Caller;
 pub use far_end::FarEnd;
-pub use link::{Datagrams, Link, Watched};
+pub use link::{DatagramRelay, Link, RecordedClient};
 pub use list::push;
 pub use names::{list_answer, relay_config, Listed, NameServer};
-pub use packets::Packets;
-pub use platform::{Manner, PlatformCaller, PlatformServer, Told};
-pub use server::{Again, Server};
+pub use packets::PacketRelay;
+pub use platform::{PlatformCaller, PlatformServer, ServerBehaviour, SetUpOutcome};
+pub use server::{Restart, Server};
 pub use text::TextCaller;
--- a/crates/standin/src/link.rs
+++ b/crates/standin/src/link.rs
@@ -120,7 +120,7 @@
 }
 
 /// A relay of datagrams between two fronts that can lose them. Each front knows the other by this address.
-pub struct Datagrams {
+pub struct DatagramRelay {
     /// Its address.
     pub addr: SocketAddr,
     ends: watch::Sender<Option<(SocketAddr, SocketAddr)>>,
@@ -128,19 +128,19 @@
 }
 
 /// Whose datagrams a relay puts on record: the client that is not `front`.
-pub struct Watched {
+pub struct RecordedClient {
     /// The client's name.
     pub client: String,
     /// The record.
     pub recorder: Arc<Recorder>,
 }
 
-impl Datagrams {
-    /// A relay that knows its ends only once [`Datagrams::between`] tells them; `seed` draws what is lost.
+impl DatagramRelay {
+    /// A relay that knows its ends only once [`DatagramRelay::between`] tells them; `seed` draws what is lost.
     ///
     /// # Errors
     /// Where the socket cannot be bound.
-    pub async fn start(seed: u64, watched: Option<Watched>) -> std::io::Result<Self> {
+    pub async fn start(seed: u64, watched: Option<RecordedClient>) -> std::io::Result<Self> {
         let socket = UdpSocket::bind("127.0.0.1:0").await?;
         let addr = socket.local_addr()?;
         let (ends, known) = watch::channel(None);
--- a/crates/standin/src/names.rs
+++ b/crates/standin/src/names.rs
@@ -99,7 +99,7 @@
     }
 
     /// Queries so far.
-    pub fn asked(&self) -> u64 {
+    pub fn query_count(&self) -> u64 {
         self.asked.load(Ordering::Relaxed)
     }
 }
--- a/crates/standin/src/packets.rs
+++ b/crates/standin/src/packets.rs
@@ -11,19 +11,19 @@
 use tokio_util::codec::{FramedRead, FramedWrite};
 
 /// A running relay; it ends when this is dropped.
-pub struct Packets {
+pub struct PacketRelay {
     /// Where it listens.
     pub addr: SocketAddr,
     task: tokio::task::JoinHandle<()>,
 }
 
-impl Drop for Packets {
+impl Drop for PacketRelay {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-impl Packets {
+impl PacketRelay {
     /// A relay to an address that loses and doubles these shares, each way.
     ///
     /// # Errors
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -20,13 +20,13 @@
 
 /// How a stand-in signalling server behaves from now on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Manner {
+pub enum ServerBehaviour {
     /// As it should.
-    Serves,
+    Normal,
     /// It reads, and says nothing any more: cut off.
     Silent,
     /// Its answers cannot be read.
-    Spoils,
+    Malformed,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -43,7 +43,7 @@
     number: u16,
     hold: Duration,
     recorder: Arc<Recorder>,
-    manner: Mutex<Manner>,
+    manner: Mutex<ServerBehaviour>,
     lines: Mutex<BTreeMap<u64, mpsc::UnboundedSender<Line>>>,
     /// Ends of calls that found no connection.
     owed: Mutex<Vec<Message>>,
@@ -72,7 +72,7 @@
             number,
             hold,
             recorder,
-            manner: Mutex::new(Manner::Serves),
+            manner: Mutex::new(ServerBehaviour::Normal),
             lines: Mutex::default(),
             owed: Mutex::default(),
             standing: Mutex::default(),
@@ -90,12 +90,12 @@
     }
 
     /// Changes its manner.
-    pub fn behave(&self, manner: Manner) {
+    pub fn set_behaviour(&self, manner: ServerBehaviour) {
         *lock(&self.inside.manner) = manner;
     }
 
     /// Breaks all its connections; its calls stand on.
-    pub fn break_all(&self) {
+    pub fn close_connections(&self) {
         for line in lock(&self.inside.lines).values() {
             let _ = line.send(Line::Break);
         }
@@ -177,7 +177,7 @@
         let (server, call) = (self.number, message.call);
         let manner = *lock(&self.manner);
         let say = |message| {
-            if manner != Manner::Silent {
+            if manner != ServerBehaviour::Silent {
                 let _ = line.send(Line::Say(message));
             }
         };
@@ -187,7 +187,7 @@
                 let (attempt, name) = (self.attempt(id, call), format!("caller|{call}"));
                 self.put(RecordEvent::SetUp { server, front: 0, call: name, attempt, redirected: false });
                 open.insert(call);
-                if manner == Manner::Spoils {
+                if manner == ServerBehaviour::Malformed {
                     let _ = line.send(Line::Noise);
                     return;
                 }
@@ -208,7 +208,7 @@
     /// The call's own end, on its connection, or on another, or on the next.
     async fn end(self: Arc<Self>, id: u64, call: Id) {
         tokio::time::sleep(self.hold).await;
-        if *lock(&self.manner) == Manner::Silent || !lock(&self.standing).remove(&call) {
+        if *lock(&self.manner) == ServerBehaviour::Silent || !lock(&self.standing).remove(&call) {
             return;
         }
         let message =
@@ -223,18 +223,18 @@
 
 /// What a caller's set-up came to.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Told {
+pub enum SetUpOutcome {
     /// It stands, with this description.
-    Stands(Vec<u8>),
+    Established(Vec<u8>),
     /// Refused or failed, with this cause.
-    Away(u8),
+    Rejected(u8),
     /// Its connection ended first.
-    Parted,
+    Disconnected,
 }
 
 #[derive(Default)]
 struct Waiting {
-    answers: BTreeMap<Id, oneshot::Sender<Told>>,
+    answers: BTreeMap<Id, oneshot::Sender<SetUpOutcome>>,
     ends: BTreeMap<Id, oneshot::Sender<u8>>,
 }
 
@@ -275,7 +275,7 @@
                 }
             }
             for (_, waits) in std::mem::take(&mut lock(&heard).answers) {
-                let _ = waits.send(Told::Parted);
+                let _ = waits.send(SetUpOutcome::Disconnected);
             }
         });
         Ok(Self { recorder, to_wire, waiting })
@@ -291,7 +291,7 @@
         &self,
         set_up: &Message,
         wait: Duration,
-    ) -> (oneshot::Receiver<Told>, oneshot::Receiver<u8>) {
+    ) -> (oneshot::Receiver<SetUpOutcome>, oneshot::Receiver<u8>) {
         let ((answer, answered), (end, ended)) = (oneshot::channel(), oneshot::channel());
         {
             let mut waiting = lock(&self.waiting);
@@ -319,8 +319,10 @@
     let mut waiting = lock(waiting);
     let cause = message.cause().unwrap_or_default();
     let told = match message.kind {
-        Kind::Answer => Told::Stands(message.must(Code::DESCRIPTION).map(|d| d.to_vec()).unwrap_or_default()),
-        Kind::Release => Told::Away(cause),
+        Kind::Answer => {
+            SetUpOutcome::Established(message.must(Code::DESCRIPTION).map(|d| d.to_vec()).unwrap_or_default())
+        }
+        Kind::Release => SetUpOutcome::Rejected(cause),
         _ => return,
     };
     match waiting.answers.remove(&message.call) {
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -15,7 +15,7 @@
 
 /// Where a server's process starts: at an address that it had before, and then cold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Again {
+pub struct Restart {
     /// Where it listens again.
     pub addr: SocketAddr,
     /// Its origin state: another than that of any process before it.
@@ -46,7 +46,7 @@
         spec: ServerSpec,
         recorder: Arc<Recorder>,
         seed: u64,
-        again: Option<Again>,
+        again: Option<Restart>,
     ) -> std::io::Result<Self> {
         let listener = match again {
             None => TcpListener::bind("127.0.0.1:0").await?,
