--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -1,10 +1,11 @@
-//! What crossed the sockets, and what it shows.
+//! The record of all messages that crossed the sockets of a run, and its evaluation.
 //!
-//! Stand-ins write a [`RecordEntry`] for each message that they read or send, with one clock. [`rules`] checks the
-//! five rules, [`service`] counts service as the users do; both read the record alone, never a front's word.
+//! Test doubles write a [`RecordEntry`] for each message that they read or send, with one clock. [`rules`]
+//! checks the five rules, [`service`] computes the service level and [`sums`] computes fleet-wide totals. All
+//! three read the record only, never what a front reports about itself.
 //!
-//! Messages are timed where a stand-in reads or writes them, so two of them that one front sent in order to
-//! two servers can be seen in a slightly different distance: [`SLACK`] is what that may be.
+//! Messages are time-stamped where a test double reads or writes them. The interval between two messages that
+//! one front sent to two servers can therefore differ from the real one, by at most [`SLACK`].
 
 mod loss;
 mod record;
--- a/crates/audit/src/loss.rs
+++ b/crates/audit/src/loss.rs
@@ -1,4 +1,5 @@
-//! Calls over datagrams that get lost: what the record shows of each copy, and what that excuses.
+//! Calls over datagrams: which copies of a request and its reply were lost, and which missing answers that
+//! excuses.
 
 use std::collections::BTreeMap;
 
@@ -6,38 +7,39 @@
 use crate::rules::SLACK;
 use crate::verdict::Excuse;
 
-/// A front that owes a reply over datagrams says it again at least this often, until its caller gives up.
+/// A front retransmits a reply over datagrams at least this often until the caller's time-out, in
+/// microseconds.
 pub const REPLY_GAP: u64 = 500_000;
 
-/// What was seen of one transaction.
+/// The recorded datagrams of one transaction.
 #[derive(Debug, Default)]
 struct Copies {
-    /// Copies of the request that were lost before one arrived.
+    /// Copies of the request that were lost before the first one arrived.
     lost: usize,
-    /// When the first arrived.
+    /// Arrival time of the first copy of the request.
     arrived: Option<u64>,
-    /// Copies of the reply: when, and whether lost.
+    /// Copies of the reply: the time, and whether it was lost.
     replies: Vec<(u64, bool)>,
 }
 
-/// All transactions on record.
+/// All transactions of the record.
 #[derive(Debug, Default)]
 pub(crate) struct Losses {
     copies: BTreeMap<(String, u32), Copies>,
     transactions: BTreeMap<String, u32>,
 }
 
-/// A call whose answer was not read in time.
+/// A call whose answer was not received in time.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Wanted<'a> {
+pub(crate) struct LateCall<'a> {
     pub(crate) name: &'a str,
     pub(crate) offered: u64,
-    pub(crate) gives_up: u64,
+    pub(crate) deadline: u64,
 }
 
 impl Losses {
-    pub(crate) fn take(&mut self, at: u64, moment: &RecordEvent) {
-        match moment {
+    pub(crate) fn handle(&mut self, at: u64, event: &RecordEvent) {
+        match event {
             RecordEvent::RequestSent { call, transaction } => {
                 self.transactions.insert(call.clone(), *transaction);
             }
@@ -53,26 +55,28 @@
         }
     }
 
-    /// What excuses a call that had no answer in time, in words; or what was seen that does not.
-    pub(crate) fn judge(&self, call: Wanted<'_>) -> Result<(Excuse, String), String> {
-        let Wanted { name, offered, gives_up } = call;
+    /// The excuse for a call that had no answer in time, with a description; otherwise a description of what
+    /// was observed.
+    pub(crate) fn excuse(&self, call: LateCall<'_>) -> Result<(Excuse, String), String> {
+        let LateCall { name, offered, deadline } = call;
         let client = name.split('|').next().unwrap_or("");
         let copies = self.transactions.get(name).and_then(|id| self.copies.get(&(client.to_owned(), *id)));
         let Some(copies) = copies else { return Err("of which no datagram is on record".into()) };
         let lost = copies.lost;
         let arrived = match copies.arrived {
-            Some(at) if at <= gives_up => at,
+            Some(at) if at <= deadline => at,
             _ if lost > 0 => {
                 let text = format!("{name}: all {lost} copies of its request were lost in time");
                 return Ok((Excuse::RequestsLost, text));
             }
             _ => return Err("which was never sent".into()),
         };
-        let in_time: Vec<_> = copies.replies.iter().filter(|(at, _)| *at <= gives_up).collect();
+        let in_time: Vec<_> = copies.replies.iter().filter(|(at, _)| *at <= deadline).collect();
         let Some((first, _)) = in_time.first() else {
-            // The front counts its caller's patience from the copy that it read.
-            let patience = gives_up - offered;
-            let answered = copies.replies.first().is_some_and(|(at, _)| *at <= arrived + patience + SLACK);
+            // The front starts the caller's time-out at the copy that it received.
+            let caller_timeout = deadline - offered;
+            let answered =
+                copies.replies.first().is_some_and(|(at, _)| *at <= arrived + caller_timeout + SLACK);
             if lost > 0 && answered {
                 let text = format!("{name}: {lost} copies of its request were lost, the next came late");
                 return Ok((Excuse::LateArrival, text));
@@ -82,7 +86,7 @@
         if let Some((at, _)) = in_time.iter().find(|(_, lost)| !lost) {
             return Err(format!("whose reply was carried to it at {at} us"));
         }
-        let times = in_time.iter().map(|(at, _)| *at).chain([gives_up]);
+        let times = in_time.iter().map(|(at, _)| *at).chain([deadline]);
         let gap = times.scan(*first, |last, at| Some(at - std::mem::replace(last, at))).max().unwrap_or(0);
         let count = in_time.len();
         if gap > REPLY_GAP {
--- a/crates/audit/src/record.rs
+++ b/crates/audit/src/record.rs
@@ -1,26 +1,26 @@
-//! The record: one line of JSON for each moment.
+//! The record: one line of JSON per event.
 
 use std::io::{BufRead, Write};
 use std::sync::{Mutex, PoisonError};
 
 use serde::{Deserialize, Serialize};
 
-/// One line: when, and what.
+/// One line of the record: an event and its time.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RecordEntry {
     /// Microseconds since the record began.
     pub at: u64,
-    /// What.
+    /// The event; its fields are written beside `at`.
     #[serde(flatten)]
     pub event: RecordEvent,
 }
 
-/// What stand-ins see. A call is named by its owner and session, "owner|session", at both ends.
+/// An event that a test double observed. Both ends name a call by its owner and session, "owner|session".
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "moment", rename_all = "kebab-case")]
 #[allow(missing_docs)]
 pub enum RecordEvent {
-    /// A caller offers a call to a front. `first` is the call that it repeats, if it is dialled again.
+    /// A caller offers a call to a front. For a redial, `first` is the caller's first call.
     Offer {
         front: u32,
         call: String,
@@ -31,107 +31,109 @@
         #[serde(rename = "gives_up_us")]
         caller_timeout_us: u64,
     },
-    /// The caller says the same request again.
+    /// A caller retransmits a request.
     #[serde(rename = "again")]
     Retransmit { front: u32, call: String },
-    /// A caller reads its final answer.
+    /// A caller receives its final answer.
     Answer { front: u32, call: String, code: u32 },
-    /// A caller gives up unanswered.
+    /// A caller's time-out passes without an answer.
     #[serde(rename = "give-up")]
     CallerTimeout { front: u32, call: String },
-    /// A caller releases.
+    /// A caller releases its call.
     Hangup { front: u32, call: String },
-    /// A caller is told that its call was cut.
+    /// A caller is notified that its established call was dropped.
     #[serde(rename = "cut")]
     Dropped { front: u32, call: String },
-    /// A caller's connection ended.
+    /// A client's connection to its front ended.
     #[serde(rename = "parted")]
     ClientDisconnected { front: u32, client: String },
-    /// A server reads a set-up.
+    /// A server receives a set-up.
     SetUp { server: u16, front: u32, call: String, attempt: String, redirected: bool },
-    /// A server answers a set-up.
+    /// A server answers a set-up; `lost` marks an answer that never reaches its front.
     Reply { server: u16, attempt: String, code: u32, lost: bool },
-    /// A server cuts a call, or what it takes for one.
+    /// A server drops a call, or an attempt that it considers a call.
     Abort { server: u16, attempt: String },
-    /// A server reads a release.
+    /// A server receives a release.
     Release { server: u16, attempt: String },
-    /// A server reads a watchdog request that it will not answer, or a link begins to hold its answers.
+    /// A server receives a watchdog request that it will not answer, or a link begins to hold back its
+    /// answers.
     #[serde(rename = "mute")]
     Unresponsive { server: u16, front: u32 },
-    /// A server, or the link that held its answers, goes on.
+    /// A server answers again, or the link that held back its answers delivers them.
     #[serde(rename = "speaks")]
     Responsive { server: u16, front: u32 },
-    /// A client's way to its front begins to hold what it carries, or goes on and delivers it.
+    /// The path from a client to its front begins to hold back messages, or delivers them again.
     Held { client: String, held: bool },
-    /// The connection between a front and a server ended.
+    /// The connection between a front and a server ended, as seen by the server.
     #[serde(rename = "unlinked")]
     Disconnected { server: u16, front: u32 },
-    /// A front was told that a server is ready, or not: by the list, or by the server itself.
+    /// A front received the readiness of a server, from the pool list or from the server itself.
     #[serde(rename = "told")]
     ReadinessReported { server: u16, front: u32, ready: bool, by_list: bool },
-    /// A server's process starts.
+    /// A server's process starts; `cold` if it has to warm up.
     #[serde(rename = "start")]
     ServerStarted { server: u16, cold: bool },
-    /// A server's process ends.
+    /// A server's process exits.
     #[serde(rename = "die")]
     ServerExited { server: u16 },
-    /// A cold server was sent more than it can do: rule 4.
+    /// A cold server collapsed, as it received more set-ups than it can process: a breach of rule 4.
     #[serde(rename = "fall")]
     ServerOverloaded { server: u16 },
-    /// A front's process stands still from now on for so long.
+    /// A front's process is suspended for `us` microseconds from now on.
     Stall { front: u32, us: u64 },
-    /// A client's transport loses messages: an answer given in time may be read late.
+    /// A client's transport loses messages, so that an answer sent in time may be received late.
     Lossy { client: String },
-    /// A caller's request goes under this transaction, by a transport that may lose it.
+    /// A caller's request is sent with this transaction number over a transport that may lose it.
     #[serde(rename = "asks")]
     RequestSent { call: String, transaction: u32 },
-    /// A datagram with a client's request, or with a reply to it, was carried or lost.
+    /// A datagram with a client's request, or with a reply to it, was delivered or lost.
     Datagram { client: String, to_front: bool, transaction: u32, lost: bool },
-    /// The record ends here, whole.
+    /// The end of the record; a record without it is truncated.
     End,
-    /// A front's process is killed.
+    /// A front's process was killed.
     #[serde(rename = "killed")]
     FrontKilled { front: u32 },
-    /// A front's process serves, after one that was killed or told to end.
+    /// A front's process serves again, after the one before was killed or asked to shut down.
     #[serde(rename = "started")]
     FrontStarted { front: u32 },
-    /// A front's set-up of a call, or without one its release of an attempt, entered a way to a server; read there
-    /// later.
+    /// A front's set-up (with `call`) or release (without) entered the network path to a server, which
+    /// receives it later.
     Sent { server: u16, front: u32, call: Option<String>, attempt: String },
-    /// A set-up entered a way that holds nothing; read at the server, if it runs.
+    /// A set-up entered a network path that holds back nothing; the server receives it if it runs.
     Entered { server: u16, attempt: String },
-    /// A connection from a front to a server came up on the net between them.
+    /// A connection from a front to a server was opened, as seen by the network between them.
     #[serde(rename = "linked")]
     LinkUp { server: u16, front: u32 },
-    /// Such a connection is no more, on the net.
+    /// A connection from a front to a server was closed, as seen by the network between them.
     #[serde(rename = "parting")]
     LinkDown { server: u16, front: u32 },
-    /// A datagram from one front to another entered the net.
+    /// A gossip datagram from one front to another entered the network.
     #[serde(rename = "word")]
     GossipSent { from: u32, to: u32, bytes: usize },
-    /// A fault of the day begins, and is over at a time.
+    /// A scheduled fault begins; `over` is the time of its end in microseconds.
     Fault { what: String, over: u64 },
 }
 
-/// The machine's monotonic clock, in microseconds: the same for all its processes, whatever their own clocks say.
+/// The machine's monotonic clock, in microseconds. All processes share it, even those with a skewed clock of
+/// their own.
 pub fn monotonic() -> u64 {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
     now.tv_sec as u64 * 1_000_000 + now.tv_nsec as u64 / 1_000
 }
 
-/// Who takes lines out of a process as they come.
-type Tap = Box<dyn FnMut(&RecordEntry) + Send>;
+/// Receives each entry as it is recorded, to send it to another process.
+type EntrySink = Box<dyn FnMut(&RecordEntry) + Send>;
 
-/// Where a recorder's lines go.
-enum Kept {
-    Here(Vec<RecordEntry>),
-    Told(Tap),
+/// Where a recorder puts its entries.
+enum Storage {
+    Local(Vec<RecordEntry>),
+    Forwarded(EntrySink),
 }
 
-/// Collects lines from all stand-ins of a run, with one clock.
+/// Collects the entries of all test doubles of a run, with one clock.
 pub struct Recorder {
     origin: u64,
-    kept: Mutex<Kept>,
+    storage: Mutex<Storage>,
 }
 
 impl std::fmt::Debug for Recorder {
@@ -142,18 +144,18 @@
 
 impl Default for Recorder {
     fn default() -> Self {
-        Self { origin: monotonic(), kept: Mutex::new(Kept::Here(Vec::new())) }
+        Self { origin: monotonic(), storage: Mutex::new(Storage::Local(Vec::new())) }
     }
 }
 
 impl Recorder {
-    /// One of a process whose lines another one keeps: `tap` hears each as it is put, before what it tells of goes
-    /// on. Guards against a record that a killed process takes with it.
-    pub fn forwarding(origin: u64, tap: impl FnMut(&RecordEntry) + Send + 'static) -> Self {
-        Self { origin, kept: Mutex::new(Kept::Told(Box::new(tap))) }
+    /// A recorder that stores nothing and passes each entry to `sink`, before the recorded message is
+    /// processed further. The entries of a process that is killed are then storage by another process.
+    pub fn forwarding(origin: u64, sink: impl FnMut(&RecordEntry) + Send + 'static) -> Self {
+        Self { origin, storage: Mutex::new(Storage::Forwarded(Box::new(sink))) }
     }
 
-    /// The moment of [`monotonic`] that its times count from.
+    /// The value of [`monotonic`] at which the record began.
     pub fn origin(&self) -> u64 {
         self.origin
     }
@@ -163,41 +165,41 @@
         monotonic().saturating_sub(self.origin)
     }
 
-    /// Adds a moment, now.
-    pub fn put(&self, moment: RecordEvent) {
-        let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        // The clock is read under the lock: lines are in order of time.
-        let line = RecordEntry { at: self.now(), event: moment };
-        match &mut *kept {
-            Kept::Here(lines) => lines.push(line),
-            Kept::Told(tap) => tap(&line),
+    /// Records an event at the current time.
+    pub fn put(&self, event: RecordEvent) {
+        let mut storage = self.storage.lock().unwrap_or_else(PoisonError::into_inner);
+        // The clock is read under the lock, so that the entries are in order of time.
+        let entry = RecordEntry { at: self.now(), event };
+        match &mut *storage {
+            Storage::Local(entries) => entries.push(entry),
+            Storage::Forwarded(sink) => sink(&entry),
         }
     }
 
-    /// Adds a line that another process put, by the same clock.
-    pub fn add(&self, line: RecordEntry) {
-        match &mut *self.kept.lock().unwrap_or_else(PoisonError::into_inner) {
-            Kept::Here(lines) => lines.push(line),
-            Kept::Told(tap) => tap(&line),
+    /// Adds an entry that another process recorded with the same clock.
+    pub fn add(&self, entry: RecordEntry) {
+        match &mut *self.storage.lock().unwrap_or_else(PoisonError::into_inner) {
+            Storage::Local(entries) => entries.push(entry),
+            Storage::Forwarded(sink) => sink(&entry),
         }
     }
 
-    /// All lines so far, in order of time; none where they are told elsewhere.
+    /// All entries so far, in order of time; empty for a recorder that forwards its entries.
     pub fn lines(&self) -> Vec<RecordEntry> {
-        let mut lines = match &*self.kept.lock().unwrap_or_else(PoisonError::into_inner) {
-            Kept::Here(lines) => lines.clone(),
-            Kept::Told(_) => Vec::new(),
+        let mut entries = match &*self.storage.lock().unwrap_or_else(PoisonError::into_inner) {
+            Storage::Local(entries) => entries.clone(),
+            Storage::Forwarded(_) => Vec::new(),
         };
-        // Stable: what one process put in one microsecond stays in its order.
-        lines.sort_by_key(|line| line.at);
-        lines
+        // A stable sort: entries of one process with the same time stay in order.
+        entries.sort_by_key(|entry| entry.at);
+        entries
     }
 }
 
-/// Writes a record, a line of JSON for each moment, and a last one that says that it is whole.
+/// Writes a record, one line of JSON per entry, and the closing [`RecordEvent::End`].
 ///
 /// # Errors
-/// Those of the writer.
+/// The errors of the writer.
 pub fn write_record(lines: &[RecordEntry], to: impl Write) -> std::io::Result<()> {
     let mut to = std::io::BufWriter::new(to);
     for line in lines {
@@ -218,34 +220,32 @@
     /// The file cannot be read.
     #[error("line {line}: {error}")]
     Io {
-        /// From 1.
+        /// Line number, from 1.
         line: usize,
-        /// Why.
+        /// The cause.
         error: std::io::Error,
     },
-    /// A line is none of a record's.
+    /// A line is not a valid entry.
     #[error("line {line}: {error}")]
     Line {
-        /// From 1.
+        /// Line number, from 1.
         line: usize,
-        /// Why.
+        /// The cause.
         error: serde_json::Error,
     },
-    /// There is no call in it: nothing was shown.
-    #[error("the record is empty: it shows no call, and so no rule kept")]
+    /// The record has no call, so that it proves nothing.
+    #[error("the record is empty: it has no call, so no rule can be checked")]
     Empty,
-    /// Its last line is not there.
-    #[error(
-        "the record is truncated after line {line}: its last line, which says that it is whole, is missing"
-    )]
+    /// The closing entry is missing.
+    #[error("the record is truncated after line {line}: its closing `end` entry is missing")]
     Truncated {
-        /// From 1.
+        /// Line number, from 1.
         line: usize,
     },
-    /// A line is earlier than the one before.
+    /// An entry is earlier than the one before it.
     #[error("line {line}: earlier than the line before")]
     Order {
-        /// From 1.
+        /// Line number, from 1.
         line: usize,
     },
 }
@@ -253,7 +253,8 @@
 /// Reads a record.
 ///
 /// # Errors
-/// The first line that is none, or out of order; a record that is empty, or not whole.
+/// The first line that cannot be read, is not a valid entry or is out of order; a record without a call, or a
+/// truncated one.
 pub fn read_record(from: impl BufRead) -> Result<Vec<RecordEntry>, RecordError> {
     let mut lines: Vec<RecordEntry> = Vec::new();
     for (index, text) in from.lines().enumerate() {
--- a/crates/audit/src/service.rs
+++ b/crates/audit/src/service.rs
@@ -1,5 +1,5 @@
-//! Service as the users count it: the worth of calls that stood in time and were not cut, over the worth
-//! offered; a caller's further tries belong to its first.
+//! The service level: the value of calls that were established in time and not dropped, divided by the value
+//! of all offered calls. A caller's redials count towards its first call.
 
 use std::collections::BTreeMap;
 
@@ -7,34 +7,34 @@
 
 use crate::record::{RecordEntry, RecordEvent};
 
-/// What a class is worth, and when.
+/// The value of a class's calls, and its target time.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClassConfig {
-    /// Its name.
+    /// The class's name.
     pub name: String,
-    /// Worth of a call that stands within the aim.
+    /// Value of a call that is established within the target time.
     pub worth: f64,
-    /// Fraction of it for one that stands later.
+    /// Fraction of that value for a call that is established later.
     pub late_worth: f64,
-    /// Microseconds, from the first try.
+    /// Target time from the first offer to the answer, in microseconds.
     pub aim: u64,
-    /// Fraction of the worth of a call to the hot number.
+    /// Factor on the value of a call to the hot number.
     pub hot_worth: f64,
 }
 
-/// Worth earned over worth offered.
+/// Value earned and value offered.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Shares {
-    /// Calls, first tries only.
+    /// Number of calls, without redials.
     pub calls: usize,
-    /// Worth offered.
+    /// Value of all offered calls.
     pub offered: f64,
-    /// Worth earned.
+    /// Value earned by established calls.
     pub earned: f64,
 }
 
 impl Shares {
-    /// Service; 1 where nothing was offered.
+    /// The service level; 1 if nothing was offered.
     pub fn service(&self) -> f64 {
         if self.offered > 0.0 {
             self.earned / self.offered
@@ -50,20 +50,20 @@
     }
 }
 
-/// Percentiles of the time from offer to answer, microseconds.
+/// Percentiles of the time from offer to answer, in microseconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Latency {
     /// Median.
     pub p50: u64,
-    /// 90%.
+    /// 90th percentile.
     pub p90: u64,
-    /// 99%.
+    /// 99th percentile.
     pub p99: u64,
-    /// The longest.
+    /// Maximum.
     pub max: u64,
 }
 
-/// Service of a run.
+/// Service level of a run.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Service {
     /// All calls.
@@ -72,26 +72,29 @@
     pub classes: BTreeMap<String, Shares>,
     /// By publisher.
     pub publishers: BTreeMap<String, Shares>,
-    /// By publisher and protocol, where there are two: a text client's name begins with `<`.
+    /// By publisher and protocol, if the run has two protocols. The name of a text client begins with `<`.
     pub protocols: BTreeMap<String, Shares>,
-    /// The worst 10 s, by when calls were offered.
+    /// The lowest service level of all 10 s windows, by time of offer.
     pub worst_window: f64,
-    /// Calls that stood and were cut.
+    /// Calls that were established and then dropped.
     pub dropped: usize,
-    /// Answers: stands.
+    /// Answers with code 2001: established.
     pub established: usize,
-    /// Answers: refused.
+    /// Answers with code 3004: refused.
     pub refused: usize,
-    /// Answers: failed.
+    /// Answers with any other code: failed.
     pub failed: usize,
-    /// From offer to "it stands".
+    /// Time from the offer to the answer of established calls.
     pub latency: Latency,
 }
 
-/// s of a window; a window needs so many calls to count.
-const WINDOW: (u64, usize) = (10_000_000, 20);
+/// Length of a window, in microseconds.
+const WINDOW_US: u64 = 10_000_000;
+/// A window with fewer calls is not considered for the worst one.
+const MIN_WINDOW_CALLS: usize = 20;
 
-struct Try {
+/// One offer of a call: the first one or a redial.
+struct Offer {
     first: String,
     at: u64,
     answered: bool,
@@ -103,86 +106,86 @@
     publisher: usize,
     hot: bool,
     at: u64,
-    /// Microseconds after the first offer.
-    stood: Option<u64>,
-    cut: bool,
+    /// Time from the first offer to the answer, in microseconds.
+    established: Option<u64>,
+    dropped: bool,
 }
 
-/// Counts a whole record.
+/// Computes the service level of a whole record.
 pub fn service(lines: &[RecordEntry], classes: &[ClassConfig], publishers: &[String]) -> Service {
-    let mut tries: BTreeMap<&str, Try> = BTreeMap::new();
+    let mut offers: BTreeMap<&str, Offer> = BTreeMap::new();
     let mut calls: BTreeMap<String, Outcome> = BTreeMap::new();
-    let mut seen = Service::default();
+    let mut service_level = Service::default();
     let mut latency = Histogram::<u64>::new(3).ok();
-    for line in lines {
-        match &line.event {
+    for entry in lines {
+        match &entry.event {
             RecordEvent::Offer { call, first, class, publisher, hot, .. } => {
                 let first = first.clone().unwrap_or_else(|| call.clone());
                 calls.entry(first.clone()).or_insert(Outcome {
                     class: *class,
                     publisher: *publisher,
                     hot: *hot,
-                    at: line.at,
+                    at: entry.at,
                     ..Outcome::default()
                 });
-                tries.insert(call, Try { first, at: line.at, answered: false });
+                offers.insert(call, Offer { first, at: entry.at, answered: false });
             }
             RecordEvent::Answer { call, code, .. } => {
-                // The same answer again, to a repeat, counts once.
-                let tried = tries.get_mut(call.as_str()).filter(|tried| !tried.answered);
-                let Some(tried) = tried else { continue };
-                tried.answered = true;
+                // The answer to a retransmitted request counts once.
+                let offer = offers.get_mut(call.as_str()).filter(|offer| !offer.answered);
+                let Some(offer) = offer else { continue };
+                offer.answered = true;
                 match code {
-                    2001 => seen.established += 1,
-                    3004 => seen.refused += 1,
-                    _ => seen.failed += 1,
+                    2001 => service_level.established += 1,
+                    3004 => service_level.refused += 1,
+                    _ => service_level.failed += 1,
                 }
                 if *code == 2001 {
                     if let Some(latency) = &mut latency {
-                        let _ = latency.record(line.at - tried.at);
+                        let _ = latency.record(entry.at - offer.at);
                     }
-                    if let Some(outcome) = calls.get_mut(&tried.first) {
-                        outcome.stood.get_or_insert(line.at - outcome.at);
+                    if let Some(outcome) = calls.get_mut(&offer.first) {
+                        outcome.established.get_or_insert(entry.at - outcome.at);
                     }
                 }
             }
             RecordEvent::Dropped { call, .. } => {
-                seen.dropped += 1;
-                let outcome = tries.get(call.as_str()).and_then(|tried| calls.get_mut(&tried.first));
+                service_level.dropped += 1;
+                let outcome = offers.get(call.as_str()).and_then(|offer| calls.get_mut(&offer.first));
                 if let Some(outcome) = outcome {
-                    outcome.cut = true;
+                    outcome.dropped = true;
                 }
             }
             _ => {}
         }
     }
     let mut windows: BTreeMap<u64, Shares> = BTreeMap::new();
-    let both =
+    let two_protocols =
         calls.keys().any(|name| name.starts_with('<')) && calls.keys().any(|name| !name.starts_with('<'));
     for (name, outcome) in &calls {
         let Some(class) = classes.get(outcome.class) else { continue };
         let offered = class.worth * if outcome.hot { class.hot_worth } else { 1.0 };
-        let earned = match outcome.stood.filter(|_| !outcome.cut) {
+        let earned = match outcome.established.filter(|_| !outcome.dropped) {
             Some(after) if after <= class.aim => offered,
             Some(_) => offered * class.late_worth,
             None => 0.0,
         };
-        seen.total.add(offered, earned);
-        seen.classes.entry(class.name.clone()).or_default().add(offered, earned);
+        service_level.total.add(offered, earned);
+        service_level.classes.entry(class.name.clone()).or_default().add(offered, earned);
         let publisher = publishers.get(outcome.publisher).map_or("other", String::as_str);
-        seen.publishers.entry(publisher.into()).or_default().add(offered, earned);
-        if both {
+        service_level.publishers.entry(publisher.into()).or_default().add(offered, earned);
+        if two_protocols {
             let protocol = if name.starts_with('<') { "text" } else { "diameter" };
             let key = format!("{publisher}, {protocol}");
-            seen.protocols.entry(key).or_default().add(offered, earned);
+            service_level.protocols.entry(key).or_default().add(offered, earned);
         }
-        windows.entry(outcome.at / WINDOW.0).or_default().add(offered, earned);
+        windows.entry(outcome.at / WINDOW_US).or_default().add(offered, earned);
     }
-    let full = windows.values().filter(|shares| shares.calls >= WINDOW.1);
-    seen.worst_window = full.map(Shares::service).fold(1.0, f64::min);
+    let full = windows.values().filter(|shares| shares.calls >= MIN_WINDOW_CALLS);
+    service_level.worst_window = full.map(Shares::service).fold(1.0, f64::min);
     if let Some(latency) = latency.filter(|latency| !latency.is_empty()) {
         let at = |q| latency.value_at_quantile(q);
-        seen.latency = Latency { p50: at(0.5), p90: at(0.9), p99: at(0.99), max: latency.max() };
+        service_level.latency = Latency { p50: at(0.5), p90: at(0.9), p99: at(0.99), max: latency.max() };
     }
-    seen
+    service_level
 }
