--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -7,14 +7,14 @@
 //! Messages are time-stamped where a test double reads or writes them. The interval between two messages that
 //! one front sent to two servers can therefore differ from the real one, by at most [`SLACK`].
 
-mod loss;
+mod datagram_loss;
 mod record;
 mod rules;
 mod service;
 mod sums;
 mod verdict;
 
-pub use loss::REPLY_GAP;
+pub use datagram_loss::REPLY_GAP;
 pub use record::{monotonic, read_record, write_record, RecordEntry, RecordError, RecordEvent, Recorder};
 pub use rules::{rules, RuleLimits, SLACK};
 pub use service::{service, ClassConfig, Latency, Service, Shares};
--- a/crates/audit/src/rules.rs
+++ b/crates/audit/src/rules.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::loss::{LateCall, Losses};
+use crate::datagram_loss::{LateCall, Losses};
 use crate::record::{RecordEntry, RecordEvent};
 use crate::verdict::{Excuse, Verdict};
 
--- a/crates/audit/tests/planted.rs
+++ b/crates/audit/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Each check catches a planted breach, and a clean record passes all.
+//! Each check detects a planted breach, and a clean record passes all of them.
 
 use baydrift_audit::{
     read_record, rules, service, write_record, ClassConfig, Excuse, RecordEntry, RecordEvent, Recorder,
@@ -37,12 +37,12 @@
     RecordEvent::Release { server, attempt: attempt.into() }
 }
 
-/// Lines by milliseconds.
-fn record(moments: Vec<(u64, RecordEvent)>) -> Vec<RecordEntry> {
-    moments.into_iter().map(|(ms, moment)| RecordEntry { at: ms * MS, event: moment }).collect()
+/// Builds a record from events and their times in milliseconds.
+fn record(events: Vec<(u64, RecordEvent)>) -> Vec<RecordEntry> {
+    events.into_iter().map(|(ms, event)| RecordEntry { at: ms * MS, event }).collect()
 }
 
-/// A call that times out at one server and stands at another, after all guards.
+/// A call that times out at one server and is established at another, after the retry hold-off.
 fn clean() -> Vec<(u64, RecordEvent)> {
     vec![
         (0, offer("c|1")),
@@ -55,127 +55,131 @@
     ]
 }
 
-fn broken(moments: Vec<(u64, RecordEvent)>) -> Vec<u8> {
-    let verdict = rules(&record(moments), RuleLimits::default());
+/// The numbers of the rules that are broken.
+fn broken(events: Vec<(u64, RecordEvent)>) -> Vec<u8> {
+    let verdict = rules(&record(events), RuleLimits::default());
     verdict.breaches.iter().map(|breach| breach.rule).collect()
 }
 
-fn with(change: impl Fn(&mut Vec<(u64, RecordEvent)>)) -> Vec<u8> {
-    let mut moments = clean();
-    change(&mut moments);
-    moments.sort_by_key(|(at, _)| *at);
-    broken(moments)
+/// The rules that the clean record breaks after a change.
+fn broken_after(change: impl Fn(&mut Vec<(u64, RecordEvent)>)) -> Vec<u8> {
+    let mut events = clean();
+    change(&mut events);
+    events.sort_by_key(|(at, _)| *at);
+    broken(events)
 }
 
 #[test]
-fn a_clean_record_passes() {
+fn clean_record_passes() {
     let verdict = rules(&record(clean()), RuleLimits::default());
     assert_eq!((verdict.passed(), verdict.calls, verdict.answered), (true, 1, 1), "{:?}", verdict.breaches);
     assert_eq!(verdict.shortest_holdoff, Some(350 * MS));
 }
 
 #[test]
-fn rule_1_catches_no_answer_two_answers_late_answers_and_set_ups_after() {
-    assert_eq!(with(|m| m.retain(|(_, x)| !matches!(x, RecordEvent::Answer { .. }))), [1]);
-    assert_eq!(with(|m| m.push((1_400, answer("c|1", 3004)))), [1]);
-    assert_eq!(with(|m| m.push((1_400, answer("c|1", 2001)))), NONE);
-    assert_eq!(with(|m| m[5] = (3_100, answer("c|1", 2001))), [1]);
-    assert_eq!(with(|m| m.push((2_000, set_up(0, "c|1", "a3")))), [1]);
-    assert_eq!(with(|m| m.push((2_000, answer("c|9", 2001)))), [1]);
-    // Excused: the front stood still when the caller gave up; the connection ended.
+fn rule_1_detects_missing_conflicting_and_late_answers() {
+    assert_eq!(broken_after(|m| m.retain(|(_, x)| !matches!(x, RecordEvent::Answer { .. }))), [1]);
+    assert_eq!(broken_after(|m| m.push((1_400, answer("c|1", 3004)))), [1]);
+    assert_eq!(broken_after(|m| m.push((1_400, answer("c|1", 2001)))), NONE);
+    assert_eq!(broken_after(|m| m[5] = (3_100, answer("c|1", 2001))), [1]);
+    assert_eq!(broken_after(|m| m.push((2_000, set_up(0, "c|1", "a3")))), [1]);
+    assert_eq!(broken_after(|m| m.push((2_000, answer("c|9", 2001)))), [1]);
+    // Excused: the front was suspended at the caller's time-out, or the connection ended.
     let stall = RecordEvent::Stall { front: 0, us: 2_000_000 };
-    assert_eq!(with(|m| m.extend([(2_000, stall.clone()), (4_100, answer("c|1", 2001))])), NONE);
-    // Offered while it stood still: excused. Offered before: not.
+    assert_eq!(broken_after(|m| m.extend([(2_000, stall.clone()), (4_100, answer("c|1", 2001))])), NONE);
+    // A call that is offered while the front is suspended is excused; one that is offered before is not.
     let before = RecordEvent::Stall { front: 0, us: 50_000 };
     let late = |at: u64| {
-        with(|m| {
+        broken_after(|m| {
             m[5] = (3_100, answer("c|1", 2001));
             m.insert(0, (at, before.clone()));
         })
     };
     assert_eq!((late(0), late(100)), (NONE.to_vec(), vec![1]));
-    let parted = RecordEvent::ClientDisconnected { front: 0, client: "c".into() };
+    let disconnected = RecordEvent::ClientDisconnected { front: 0, client: "c".into() };
     assert_eq!(
-        with(|m| {
-            m[5] = (1_301, parted.clone());
+        broken_after(|m| {
+            m[5] = (1_301, disconnected.clone());
         }),
         NONE
     );
 }
 
-/// The clean call by datagrams: offered at 0 as transaction 7, its answer not read. Copies: when, towards the front,
-/// lost.
+/// The clean call by datagrams: offered at 0 as transaction 7, its answer not read. Copies: when, towards the
+/// front, lost.
 fn by_datagrams(
     copies: &[(u64, bool, bool)],
     more: &[(u64, RecordEvent)],
 ) -> (Vec<u8>, Vec<(Excuse, usize)>) {
-    let mut moments = clean();
-    moments.remove(5);
+    let mut events = clean();
+    events.remove(5);
     let client = "c".to_owned();
-    moments.push((0, RecordEvent::Lossy { client: client.clone() }));
-    moments.push((0, RecordEvent::RequestSent { call: "c|1".into(), transaction: 7 }));
-    moments.extend(copies.iter().map(|(at, to_front, lost)| {
+    events.push((0, RecordEvent::Lossy { client: client.clone() }));
+    events.push((0, RecordEvent::RequestSent { call: "c|1".into(), transaction: 7 }));
+    events.extend(copies.iter().map(|(at, to_front, lost)| {
         let (client, to_front, lost) = (client.clone(), *to_front, *lost);
         (*at, RecordEvent::Datagram { client, to_front, transaction: 7, lost })
     }));
-    moments.extend(more.iter().cloned());
-    moments.push((9_000, RecordEvent::Unresponsive { server: 9, front: 9 }));
-    moments.sort_by_key(|(at, _)| *at);
-    let verdict = rules(&record(moments), RuleLimits::default());
+    events.extend(more.iter().cloned());
+    events.push((9_000, RecordEvent::Unresponsive { server: 9, front: 9 }));
+    events.sort_by_key(|(at, _)| *at);
+    let verdict = rules(&record(events), RuleLimits::default());
     (verdict.breaches.iter().map(|b| b.rule).collect(), verdict.excused.into_iter().collect())
 }
 
 #[test]
-fn lost_datagrams_excuse_what_they_explain_and_no_more() {
+fn lost_datagrams_excuse_only_missing_answers_they_explain() {
     let (arrives, lost) = ((1, true, false), (1, true, true));
-    // Every copy of the request, or of the reply, was lost.
+    // Every copy of the request or of the reply was lost.
     assert_eq!(by_datagrams(&[lost], &[]), (vec![], vec![(Excuse::RequestsLost, 1)]));
-    let said = |times: &[u64]| {
+    let lost_replies = |times: &[u64]| {
         let copies = times.iter().map(|at| (*at, false, true));
         [arrives].into_iter().chain(copies).collect::<Vec<_>>()
     };
-    let often = said(&[1_300, 1_700, 2_150, 2_600]);
-    assert_eq!(by_datagrams(&often, &[]), (vec![], vec![(Excuse::RepliesLost, 1)]));
-    // It was not said again for more than half a second; never said; carried; no datagram seen at all.
-    assert_eq!(by_datagrams(&said(&[1_300, 1_700, 2_300, 2_700]), &[]).0, [1]);
-    assert_eq!(by_datagrams(&said(&[1_300, 1_700]), &[]).0, [1]);
+    let often_enough = lost_replies(&[1_300, 1_700, 2_150, 2_600]);
+    assert_eq!(by_datagrams(&often_enough, &[]), (vec![], vec![(Excuse::RepliesLost, 1)]));
+    // A gap of more than 500 ms between retransmissions; no reply sent; a reply delivered; no datagram
+    // recorded.
+    assert_eq!(by_datagrams(&lost_replies(&[1_300, 1_700, 2_300, 2_700]), &[]).0, [1]);
+    assert_eq!(by_datagrams(&lost_replies(&[1_300, 1_700]), &[]).0, [1]);
     assert_eq!(by_datagrams(&[arrives], &[]).0, [1]);
     assert_eq!(by_datagrams(&[arrives, (1_300, false, false)], &[]).0, [1]);
     assert_eq!(by_datagrams(&[], &[]).0, [1]);
-    // Read late: all copies in time were lost, or the request came late; else the front was late.
+    // A late answer is excused if all replies in time were lost or the request arrived late. Otherwise it is
+    // a breach.
     let read = [(3_100, answer("c|1", 2001))];
     let late = |copies: &[(u64, bool, bool)]| by_datagrams(copies, &read);
-    assert_eq!(late(&often), (vec![], vec![(Excuse::RepliesLost, 1)]));
+    assert_eq!(late(&often_enough), (vec![], vec![(Excuse::RepliesLost, 1)]));
     let came_late = [(0, true, true), (100, true, false), (3_050, false, false)];
     assert_eq!(late(&came_late), (vec![], vec![(Excuse::LateArrival, 1)]));
     assert_eq!(late(&[arrives, (3_050, false, false)]).0, [1]);
-    // Two answers stay two answers.
+    // Two different answers are a breach even if the first one is excused.
     let two = [(3_100, answer("c|1", 2001)), (3_200, answer("c|1", 3004))];
-    assert_eq!(by_datagrams(&often, &two).0, [1]);
+    assert_eq!(by_datagrams(&often_enough, &two).0, [1]);
 }
 
 #[test]
-fn a_call_asked_for_again_after_its_connection_ended_is_owed_its_answer() {
-    let parted = |at| (at, RecordEvent::ClientDisconnected { front: 0, client: "c".into() });
+fn retransmission_after_disconnect_is_owed_an_answer() {
+    let disconnected = |at| (at, RecordEvent::ClientDisconnected { front: 0, client: "c".into() });
     let again = |at| (at, RecordEvent::Retransmit { front: 0, call: "c|1".into() });
     let without =
         |m: &mut Vec<(u64, RecordEvent)>| m.retain(|(_, x)| !matches!(x, RecordEvent::Answer { .. }));
     let with_these = |these: Vec<(u64, RecordEvent)>| {
-        with(|m| {
+        broken_after(|m| {
             without(m);
             m.extend(these.clone());
         })
     };
-    assert_eq!(with_these(vec![parted(1_290)]), NONE);
-    assert_eq!(with_these(vec![parted(1_290), again(1_320)]), [1]);
-    assert_eq!(with_these(vec![parted(1_290), again(2_900)]), NONE);
+    assert_eq!(with_these(vec![disconnected(1_290)]), NONE);
+    assert_eq!(with_these(vec![disconnected(1_290), again(1_320)]), [1]);
+    assert_eq!(with_these(vec![disconnected(1_290), again(2_900)]), NONE);
 }
 
 #[test]
-fn a_call_held_on_its_way_is_excused_and_its_neighbours_are_not() {
+fn only_calls_held_back_in_transit_are_excused() {
     let held = |at, client: &str, held| (at, RecordEvent::Held { client: client.into(), held });
     let unanswered = |these: Vec<(u64, RecordEvent)>| {
-        with(|m| {
+        broken_after(|m| {
             m.retain(|(_, x)| !matches!(x, RecordEvent::Answer { .. }));
             let rest = std::mem::take(m);
             m.extend(these.clone());
@@ -185,11 +189,11 @@
     };
     assert_eq!(unanswered(vec![]), [1]);
     assert_eq!(unanswered(vec![held(0, "c", true), held(900, "c", false)]), NONE);
-    // Another client's way; a hold that was over, or began later; and two answers stay two.
+    // Not excused: another client's path, a hold that was over or began later, and two different answers.
     assert_eq!(unanswered(vec![held(0, "d", true)]), [1]);
     assert_eq!(unanswered(vec![held(0, "c", true), held(0, "c", false)]), [1]);
     assert_eq!(unanswered(vec![held(1_000, "c", true)]), [1]);
-    let two = with(|m| {
+    let two = broken_after(|m| {
         m.insert(0, held(0, "c", true));
         m.push((2_000, answer("c|1", 5012)));
     });
@@ -197,46 +201,50 @@
 }
 
 #[test]
-fn rule_2_catches_a_second_attempt() {
-    assert_eq!(with(|m| m[2] = (1_260, release(0, "a1"))), [2]);
-    // A lost answer ends nothing, nor does a watchdog that goes unanswered: the server still reads, and may set up.
+fn rule_2_detects_concurrent_attempts() {
+    assert_eq!(broken_after(|m| m[2] = (1_260, release(0, "a1"))), [2]);
+    // Neither a lost answer nor an unanswered watchdog ends an attempt: the server still receives and may set
+    // up.
     let lost = RecordEvent::Reply { server: 0, attempt: "a1".into(), code: 3004, lost: true };
-    assert_eq!(with(|m| m[2] = (900, lost.clone())), [2]);
-    assert_eq!(with(|m| m[2] = (900, RecordEvent::Unresponsive { server: 0, front: 0 })), [2]);
-    // A release that is lost, and one that comes after the next set-up.
-    assert_eq!(with(|m| m.retain(|(_, x)| !matches!(x, RecordEvent::Release { server: 0, .. }))), [2]);
-    assert_eq!(with(|m| m[2] = (1_251, release(0, "a1"))), [2]);
-    assert_eq!(with(|m| m[2] = (900, RecordEvent::Disconnected { server: 0, front: 0 })), NONE);
-    // One that speaks again is no excuse for later attempts.
-    let spoke = [
+    assert_eq!(broken_after(|m| m[2] = (900, lost.clone())), [2]);
+    assert_eq!(broken_after(|m| m[2] = (900, RecordEvent::Unresponsive { server: 0, front: 0 })), [2]);
+    // A release that is lost, and one that arrives after the next set-up.
+    assert_eq!(
+        broken_after(|m| m.retain(|(_, x)| !matches!(x, RecordEvent::Release { server: 0, .. }))),
+        [2]
+    );
+    assert_eq!(broken_after(|m| m[2] = (1_251, release(0, "a1"))), [2]);
+    assert_eq!(broken_after(|m| m[2] = (900, RecordEvent::Disconnected { server: 0, front: 0 })), NONE);
+    // A server that answers the watchdog again does not end its attempts either.
+    let watchdog = [
         (0, RecordEvent::Unresponsive { server: 0, front: 0 }),
         (1, RecordEvent::Responsive { server: 0, front: 0 }),
     ];
     let again = |m: &mut Vec<(u64, RecordEvent)>| {
-        m.splice(1..1, spoke.clone());
+        m.splice(1..1, watchdog.clone());
         m.retain(|(_, x)| !matches!(x, RecordEvent::Release { server: 0, .. }));
     };
-    assert_eq!(with(again), [2]);
+    assert_eq!(broken_after(again), [2]);
 }
 
 #[test]
-fn rule_3_catches_a_set_up_after_a_drain() {
-    let told = |ready| RecordEvent::ReadinessReported { server: 1, front: 0, ready, by_list: true };
-    assert_eq!(with(|m| m.push((200, told(false)))), [3]);
-    assert_eq!(with(|m| m.push((300, told(false)))), NONE);
-    assert_eq!(with(|m| m.extend([(100, told(false)), (1_000, told(true))])), NONE);
+fn rule_3_detects_set_up_after_drain() {
+    let readiness = |ready| RecordEvent::ReadinessReported { server: 1, front: 0, ready, by_list: true };
+    assert_eq!(broken_after(|m| m.push((200, readiness(false)))), [3]);
+    assert_eq!(broken_after(|m| m.push((300, readiness(false)))), NONE);
+    assert_eq!(broken_after(|m| m.extend([(100, readiness(false)), (1_000, readiness(true))])), NONE);
 }
 
 #[test]
-fn rule_4_catches_a_fall() {
-    assert_eq!(with(|m| m.push((200, RecordEvent::ServerOverloaded { server: 1 }))), [4]);
+fn rule_4_detects_overload_of_cold_server() {
+    assert_eq!(broken_after(|m| m.push((200, RecordEvent::ServerOverloaded { server: 1 }))), [4]);
 }
 
 #[test]
-fn rule_5_catches_an_early_resend_and_a_sixth_attempt() {
-    assert_eq!(with(|m| m[2] = (1_000, release(0, "a1"))), [5]);
-    // What was refused never ran: it may go elsewhere at once.
-    assert_eq!(with(|m| m[2] = (1_249, reply(0, "a1", 3004))), NONE);
+fn rule_5_detects_early_retry_and_attempt_limit() {
+    assert_eq!(broken_after(|m| m[2] = (1_000, release(0, "a1"))), [5]);
+    // A refused attempt holds nothing at its server, so the call may be set up elsewhere at once.
+    assert_eq!(broken_after(|m| m[2] = (1_249, reply(0, "a1", 3004))), NONE);
     let mut many = vec![(0, offer("c|1"))];
     for n in 0..6u64 {
         many.push((n * 10 + 1, set_up(0, "c|1", &format!("a{n}"))));
@@ -253,10 +261,10 @@
 }
 
 #[test]
-fn what_a_severed_way_gives_on_late_counts_from_when_it_was_sent() {
-    // Sent in time, held for two seconds, given up meanwhile and set up elsewhere: nothing is broken.
+fn set_ups_held_in_transit_count_from_sending() {
+    // Sent in time, held back for more than two seconds, meanwhile abandoned and set up elsewhere: no breach.
     let held = |given_up: u64, second: u64| {
-        let mut moments = vec![
+        let mut events = vec![
             (0, offer("c|1")),
             (1, sent(0, "a1", Some("c|1"))),
             (given_up, sent(0, "a1", None)),
@@ -268,15 +276,16 @@
             (2_500, release(0, "a1")),
             (9_000, release(1, "a2")),
         ];
-        moments.sort_by_key(|(at, _)| *at);
-        broken(moments)
+        events.sort_by_key(|(at, _)| *at);
+        broken(events)
     };
     assert_eq!(held(900, 1_250), NONE);
-    // Sooner than the guard after it was given up, or before that: as for any other attempt.
+    // A set-up within the retry hold-off after the abandonment, or before it, is a breach as for any other
+    // attempt.
     assert_eq!(held(900, 1_100), [5]);
     assert_eq!(held(900, 800), [2]);
-    // A connection that ended with the set-up on its way gives it up.
-    let parted = |second: u64| {
+    // A connection that ends while the set-up is in transit ends the attempt.
+    let disconnected = |second: u64| {
         broken(vec![
             (0, offer("c|1")),
             (1, sent(0, "a1", Some("c|1"))),
@@ -288,11 +297,11 @@
             (second + 11, answer("c|1", 2001)),
         ])
     };
-    assert_eq!(parted(330), NONE);
+    assert_eq!(disconnected(330), NONE);
 }
 
 #[test]
-fn a_killed_front_owes_answers_again_once_it_serves() {
+fn killed_front_owes_answers_once_it_serves_again() {
     let killed = |offered: u64| {
         broken(vec![
             (100, RecordEvent::FrontKilled { front: 0 }),
@@ -307,7 +316,7 @@
 }
 
 #[test]
-fn service_counts_worth_in_time_and_uncut() {
+fn service_counts_value_of_calls_in_time_and_not_dropped() {
     let classes =
         [ClassConfig { name: "grid".into(), worth: 2.0, late_worth: 0.25, aim: 1_000 * MS, hot_worth: 0.1 }];
     let again = |call: &str, first: &str| match offer(call) {
@@ -338,21 +347,21 @@
         (2_000, answer("c|3", 5012)),
     ]);
     let seen = service(&lines, &classes, &["gulf".into()]);
-    // In time 2, late 0.5, failed 0, cut 0, of 8.
+    // Earned of 8: in time 2, late 0.5, failed 0, dropped 0.
     assert_eq!((seen.total.calls, seen.total.service()), (4, 2.5 / 8.0));
     assert_eq!((seen.established, seen.refused, seen.failed, seen.dropped), (3, 1, 1, 1));
     assert!(seen.latency.p50 >= 599 * MS && seen.latency.max >= 699 * MS);
 }
 
 #[test]
-fn a_record_is_written_and_read_whole_and_a_broken_line_is_named() {
+fn record_round_trip_and_invalid_lines() {
     let recorder = Recorder::default();
     recorder.put(offer("c|1"));
     recorder.put(RecordEvent::Unresponsive { server: 3, front: 1 });
     let mut bytes = Vec::new();
     write_record(&recorder.lines(), &mut bytes).unwrap();
     assert_eq!(read_record(&bytes[..]).unwrap(), recorder.lines());
-    // Truncated: by a line, within a line, to nothing; and whole, but without a call.
+    // Truncated by a line, within a line and to nothing; and complete, but without a call.
     let lines: Vec<_> = bytes.split_inclusive(|byte| *byte == b'\n').collect();
     let error = read_record(&lines[..2].concat()[..]).unwrap_err().to_string();
     assert!(error.starts_with("the record is truncated after line 2"), "{error}");
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -3,9 +3,9 @@
 mod caller;
 mod far_end;
 mod link;
-mod list;
-mod names;
-mod packets;
+mod list_service;
+mod name_server;
+mod packet_relay;
 mod platform;
 mod server;
 mod text;
@@ -16,9 +16,9 @@
 pub use caller::Caller;
 pub use far_end::FarEnd;
 pub use link::{DatagramRelay, Link, RecordedClient};
-pub use list::push;
-pub use names::{list_answer, relay_config, Listed, NameServer};
-pub use packets::PacketRelay;
+pub use list_service::push;
+pub use name_server::{list_answer, relay_config, Listed, NameServer};
+pub use packet_relay::PacketRelay;
 pub use platform::{PlatformCaller, PlatformServer, ServerBehaviour, SetUpOutcome};
 pub use server::{Restart, Server};
 pub use text::TextCaller;
