--- a/crates/cli/tests/endings.rs
+++ b/crates/cli/tests/endings.rs
@@ -344,7 +344,7 @@
         }
     };
     assert!(told.iter().all(|told| matches!(told, SetUpOutcome::Rejected(_))), "{told:?}");
-    let standing = || stage.servers.iter().map(PlatformServer::standing).sum::<usize>();
+    let standing = || stage.servers.iter().map(PlatformServer::established_calls).sum::<usize>();
     until(|| standing() == 0).await;
     assert_eq!(stage.node.ended().await.code(), Some(0));
     assert!(from.elapsed() < Duration::from_millis(3_700), "killed by then: {:?}", from.elapsed());
--- a/crates/standin/src/caller.rs
+++ b/crates/standin/src/caller.rs
@@ -1,4 +1,4 @@
-//! Callers behind one client connection, on a socket.
+//! Diameter callers behind one client connection, on a TCP socket.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,13 +13,13 @@
 use tokio::sync::watch;
 use tokio_util::codec::Framed;
 
-/// Running callers.
+/// A running task with the callers of one client.
 pub struct Caller {
     task: tokio::task::JoinHandle<()>,
 }
 
 impl Caller {
-    /// Connects and calls until offers end and all calls are over; `offers` may change meanwhile.
+    /// Connects and offers calls until the offers end and all calls are over. `offers` may change meanwhile.
     pub fn start(
         spec: CallerSpec,
         front: SocketAddr,
@@ -37,9 +37,9 @@
     }
 }
 
-type Wire = Framed<TcpStream, Codec>;
+type Connection = Framed<TcpStream, Codec>;
 
-async fn connect(front: SocketAddr) -> Option<Wire> {
+async fn connect(front: SocketAddr) -> Option<Connection> {
     let stream = TcpStream::connect(front).await.ok()?;
     let _ = stream.set_nodelay(true);
     Some(Framed::new(stream, Codec::default()))
@@ -51,30 +51,30 @@
     mut offers: watch::Receiver<Offers>,
     recorder: Arc<Recorder>,
 ) {
-    let mut wire: Option<Wire> = None;
-    let mut out = Vec::new();
+    let mut connection: Option<Connection> = None;
+    let mut outputs = Vec::new();
     let mut input = Some(CallerInput::Tick);
     loop {
         if offers.has_changed().unwrap_or(false) {
             callers.offer_so(offers.borrow_and_update().clone());
         }
         if let Some(input) = input.take() {
-            callers.handle(recorder.now(), input, &mut out);
+            callers.handle(recorder.now(), input, &mut outputs);
         }
-        let mut connects = false;
-        for output in out.drain(..) {
+        let mut reconnect = false;
+        for output in outputs.drain(..) {
             match output {
-                CallerOutput::Connect => connects = true,
+                CallerOutput::Connect => reconnect = true,
                 CallerOutput::Send(message) => {
-                    if let Some(wire) = &mut wire {
-                        let _ = wire.feed(message).await;
+                    if let Some(connection) = &mut connection {
+                        let _ = connection.feed(message).await;
                     }
                 }
                 CallerOutput::Close => {
-                    if let Some(mut wire) = wire.take() {
-                        let _ = wire.flush().await;
+                    if let Some(mut connection) = connection.take() {
+                        let _ = connection.flush().await;
                         if callers.is_over() {
-                            let _ = tokio::time::timeout(Duration::from_millis(500), wire.next()).await;
+                            let _ = tokio::time::timeout(Duration::from_millis(500), connection.next()).await;
                         }
                     }
                 }
@@ -84,32 +84,32 @@
         if callers.is_over() {
             return;
         }
-        if connects {
-            wire = connect(front).await;
-            input = Some(if wire.is_some() { CallerInput::Connected } else { CallerInput::Closed });
+        if reconnect {
+            connection = connect(front).await;
+            input = Some(if connection.is_some() { CallerInput::Connected } else { CallerInput::Closed });
             continue;
         }
-        let flushed = match &mut wire {
-            Some(wire) => wire.flush().await.is_ok(),
+        let flushed = match &mut connection {
+            Some(connection) => connection.flush().await.is_ok(),
             None => true,
         };
         if !flushed {
-            wire = None;
+            connection = None;
             input = Some(CallerInput::Closed);
             continue;
         }
-        input = Some(next(&callers, &mut wire, &recorder).await);
+        input = Some(next(&callers, &mut connection, &recorder).await);
     }
 }
 
-/// What callers hear next.
-async fn next(callers: &Callers, wire: &mut Option<Wire>, recorder: &Recorder) -> CallerInput {
-    const LOOK: Micros = 1_000_000;
+/// Waits for the next input: a frame, the end of the connection or a timer.
+async fn next(callers: &Callers, connection: &mut Option<Connection>, recorder: &Recorder) -> CallerInput {
+    const MAX_WAIT_US: Micros = 1_000_000;
     let now = recorder.now();
-    let wait = Duration::from_micros(callers.due(now).saturating_sub(now).min(LOOK));
+    let wait = Duration::from_micros(callers.due(now).saturating_sub(now).min(MAX_WAIT_US));
     let frame = async {
-        match wire {
-            Some(wire) => wire.next().await,
+        match connection {
+            Some(connection) => connection.next().await,
             None => std::future::pending().await,
         }
     };
@@ -120,7 +120,7 @@
     match frame {
         Some(Ok(frame)) => CallerInput::Received(frame),
         _ => {
-            *wire = None;
+            *connection = None;
             CallerInput::Closed
         }
     }
--- a/crates/standin/src/far_end.rs
+++ b/crates/standin/src/far_end.rs
@@ -1,4 +1,5 @@
-//! A far end of trunk groups on sockets: one listener a front, so that it knows each by the port that it dials.
+//! The far end of trunk groups on TCP sockets. It has one listener per front, and identifies a front by the
+//! port to which the front connects.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,15 +16,16 @@
 
 use crate::server::listen_again;
 
-/// A running far end; it ends when this is dropped.
+/// A running far end; it stops when this is dropped.
 pub struct FarEnd {
-    /// Where it listens, by front.
+    /// Its listening address for each front.
     pub addrs: BTreeMap<u32, SocketAddr>,
     inputs: mpsc::UnboundedSender<FarInput>,
 }
 
-/// A connection and its front: numbered, since an old one may end after the next has begun.
-enum Heard {
+/// An input from a connection. A front's connections are numbered, since one may close after the next was
+/// opened.
+enum ConnectionInput {
     Model(FarInput),
     Opened(u32, u64, mpsc::UnboundedSender<Data>),
     Closed(u32, u64),
@@ -33,10 +35,10 @@
     /// Listens on loopback and runs on the current runtime.
     ///
     /// # Errors
-    /// Where a socket cannot be bound.
+    /// If a socket cannot be bound.
     pub async fn start(spec: FarEndSpec, recorder: Arc<Recorder>, seed: u64) -> std::io::Result<Self> {
         let (inputs, received) = mpsc::unbounded_channel();
-        let (to_model, heard) = mpsc::unbounded_channel();
+        let (to_model, from_connections) = mpsc::unbounded_channel();
         let (listens, listening) = watch::channel(true);
         let mut addrs = BTreeMap::new();
         for front in spec.fronts.values() {
@@ -46,27 +48,27 @@
         }
         recorder.put(RecordEvent::ServerStarted { server: spec.number, cold: false });
         let model = baydrift_emulator::FarEnd::new(spec, seed);
-        tokio::spawn(run(model, heard, received, listens, recorder));
+        tokio::spawn(run(model, from_connections, received, listens, recorder));
         Ok(Self { addrs, inputs })
     }
 
-    /// Causes a trouble.
+    /// Injects a fault.
     pub fn command(&self, command: Command) {
         let _ = self.inputs.send(FarInput::Command(command));
     }
 
-    /// Its own calls come at so many times their rate; 0 ends them.
+    /// Multiplies the configured rate of its own calls by `factor`; 0 stops them.
     pub fn offer(&self, factor: f64) {
         let _ = self.inputs.send(FarInput::Offer(factor));
     }
 }
 
-/// Takes connections of a front while a process runs.
+/// Accepts connections of a front while the far end's process runs.
 async fn accept(
     front: u32,
     listener: TcpListener,
     mut listening: watch::Receiver<bool>,
-    to_model: mpsc::UnboundedSender<Heard>,
+    to_model: mpsc::UnboundedSender<ConnectionInput>,
 ) {
     let Ok(addr) = listener.local_addr() else { return };
     let (mut listener, mut next) = (Some(listener), 0);
@@ -92,35 +94,35 @@
             },
         };
         next += 1;
-        tokio::spawn(carry(front, next, stream, to_model.clone()));
+        tokio::spawn(run_connection(front, next, stream, to_model.clone()));
     }
 }
 
 async fn run(
     mut model: baydrift_emulator::FarEnd,
-    mut heard: mpsc::UnboundedReceiver<Heard>,
+    mut from_connections: mpsc::UnboundedReceiver<ConnectionInput>,
     mut inputs: mpsc::UnboundedReceiver<FarInput>,
     listens: watch::Sender<bool>,
     recorder: Arc<Recorder>,
 ) {
-    let mut conns: BTreeMap<u32, (u64, mpsc::UnboundedSender<Data>)> = BTreeMap::new();
-    let mut out = Vec::new();
+    let mut connections: BTreeMap<u32, (u64, mpsc::UnboundedSender<Data>)> = BTreeMap::new();
+    let mut outputs = Vec::new();
     loop {
         let wait = Duration::from_micros(model.due().saturating_sub(recorder.now()).min(10_000_000));
         let input = tokio::select! {
-            what = heard.recv() => match what {
-                Some(Heard::Model(input)) => input,
-                Some(Heard::Opened(front, id, to_conn)) => {
-                    if conns.insert(front, (id, to_conn)).is_some() {
-                        model.handle(recorder.now(), FarInput::Down(front), &mut out);
+            input = from_connections.recv() => match input {
+                Some(ConnectionInput::Model(input)) => input,
+                Some(ConnectionInput::Opened(front, id, to_connection)) => {
+                    if connections.insert(front, (id, to_connection)).is_some() {
+                        model.handle(recorder.now(), FarInput::Down(front), &mut outputs);
                     }
                     FarInput::Up(front)
                 }
-                Some(Heard::Closed(front, id)) => {
-                    if conns.get(&front).is_none_or(|(known, _)| *known != id) {
+                Some(ConnectionInput::Closed(front, id)) => {
+                    if connections.get(&front).is_none_or(|(known, _)| *known != id) {
                         continue;
                     }
-                    conns.remove(&front);
+                    connections.remove(&front);
                     FarInput::Down(front)
                 }
                 None => return,
@@ -131,18 +133,18 @@
             },
             () = tokio::time::sleep(wait) => FarInput::Tick,
         };
-        model.handle(recorder.now(), input, &mut out);
-        for output in out.drain(..) {
+        model.handle(recorder.now(), input, &mut outputs);
+        for output in outputs.drain(..) {
             match output {
                 FarOutput::Send(front, data) => {
-                    if let Some((_, conn)) = conns.get(&front) {
-                        let _ = conn.send(data);
+                    if let Some((_, connection)) = connections.get(&front) {
+                        let _ = connection.send(data);
                     }
                 }
                 FarOutput::Record(moment) => recorder.put(moment),
                 FarOutput::Stopped => {
                     listens.send_replace(false);
-                    conns.clear();
+                    connections.clear();
                 }
                 FarOutput::Started => drop(listens.send_replace(true)),
             }
@@ -150,43 +152,49 @@
     }
 }
 
-/// One connection; it closes when its queue from the model does.
-async fn carry(front: u32, id: u64, stream: TcpStream, to_model: mpsc::UnboundedSender<Heard>) {
+/// Runs one connection until its peer closes it or the model closes its queue.
+async fn run_connection(
+    front: u32,
+    id: u64,
+    stream: TcpStream,
+    to_model: mpsc::UnboundedSender<ConnectionInput>,
+) {
     let _ = stream.set_nodelay(true);
-    let mut wire = Framed::new(stream, Codec);
-    // Nothing is traffic before the front's word that it is up.
+    let mut connection = Framed::new(stream, Codec);
+    // Packets before the front's ASP Up are ignored.
     loop {
-        match wire.next().await {
+        match connection.next().await {
             Some(Ok(Packet::AspUp)) => break,
             Some(Ok(_)) => {}
             Some(Err(_)) | None => return,
         }
     }
-    let (to_conn, mut from_model) = mpsc::unbounded_channel();
-    if wire.send(Packet::AspUpAck).await.is_err() || to_model.send(Heard::Opened(front, id, to_conn)).is_err()
+    let (to_connection, mut from_model) = mpsc::unbounded_channel();
+    if connection.send(Packet::AspUpAck).await.is_err()
+        || to_model.send(ConnectionInput::Opened(front, id, to_connection)).is_err()
     {
         return;
     }
     loop {
         tokio::select! {
-            packet = wire.next() => match packet {
+            packet = connection.next() => match packet {
                 Some(Ok(Packet::Data(data))) => {
-                    let _ = to_model.send(Heard::Model(FarInput::Received(front, data)));
+                    let _ = to_model.send(ConnectionInput::Model(FarInput::Received(front, data)));
                 }
-                Some(Ok(Packet::AspUp)) => drop(wire.send(Packet::AspUpAck).await),
+                Some(Ok(Packet::AspUp)) => drop(connection.send(Packet::AspUpAck).await),
                 Some(Ok(Packet::AspUpAck | Packet::Other(..))) => {}
                 Some(Err(_)) | None => {
-                    let _ = to_model.send(Heard::Closed(front, id));
+                    let _ = to_model.send(ConnectionInput::Closed(front, id));
                     return;
                 }
             },
             data = from_model.recv() => {
                 let Some(data) = data else { return };
-                let _ = wire.feed(Packet::Data(data)).await;
+                let _ = connection.feed(Packet::Data(data)).await;
                 while let Ok(data) = from_model.try_recv() {
-                    let _ = wire.feed(Packet::Data(data)).await;
+                    let _ = connection.feed(Packet::Data(data)).await;
                 }
-                let _ = wire.flush().await;
+                let _ = connection.flush().await;
             }
         }
     }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,4 +1,6 @@
-//! The models of `baydrift-emulator` on loopback sockets, and links with faults; all is recorded.
+//! Test doubles on loopback: the models of `baydrift-emulator` on sockets, a list service, a name server, a
+//! signalling platform, and relays that inject faults. Servers, callers and watched relays put their messages
+//! on record.
 
 mod caller;
 mod far_end;
--- a/crates/standin/src/list_service.rs
+++ b/crates/standin/src/list_service.rs
@@ -1,4 +1,4 @@
-//! The list service's side: a pushed pool list.
+//! The client side of a list service that pushes the pool list to a front.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,7 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
-/// Pushes a list to a front; its status, 0 where there was no answer.
+/// Pushes a list to a front. Returns the HTTP status, or 0 if there was no response.
 pub async fn push(addr: SocketAddr, token: &str, list: &serde_json::Value) -> u16 {
     let sent = async {
         let stream = TcpStream::connect(addr).await.ok()?;
--- a/crates/standin/src/name_server.rs
+++ b/crates/standin/src/name_server.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the platform's name server: the list of signalling servers by DNS over UDP, and as a front node's
-//! configuration holds it.
+//! A test double of the platform's name server, which serves the list of signalling servers by DNS over UDP.
+//! Also writes the configuration of a front node that contains such a list.
 
 use std::net::{IpAddr, SocketAddr};
 use std::str::FromStr;
@@ -12,39 +12,39 @@
 use hickory_proto::rr::{Name, RData, Record};
 use tokio::net::UdpSocket;
 
-/// One server on the list.
+/// A signalling server on the list.
 #[derive(Debug, Clone)]
 pub struct Listed {
-    /// Its id.
+    /// Its identifier.
     pub name: String,
-    /// Where it listens.
+    /// Its listening address.
     pub addr: SocketAddr,
-    /// Its number.
+    /// Its group number.
     pub number: u16,
-    /// It drains.
+    /// Whether it drains.
     pub drains: bool,
-    /// When its process started, in Unix milliseconds; 0 for long ago.
+    /// Start time of its process in Unix milliseconds; 0 means long ago.
     pub started_ms: u64,
 }
 
 impl Listed {
-    /// A server that is ready for long.
+    /// A server that does not drain and is warm.
     pub fn ready(name: &str, addr: SocketAddr, number: u16) -> Self {
         Self { name: name.to_owned(), addr, number, drains: false, started_ms: 0 }
     }
 }
 
-/// A front node's configuration as the platform writes it: two classes (`load`, `check`), one tenant (`acme`), and
-/// these servers at the start.
+/// The configuration of a front node in the platform's format, with two classes (`load`, `check`), one tenant
+/// (`acme`) and `servers` as the initial list.
 pub fn relay_config(names: SocketAddr, servers: &[Listed]) -> String {
-    let lines = servers.iter().map(|s| {
+    let endpoints = servers.iter().map(|s| {
         let Listed { name, addr, number, started_ms, .. } = s;
         let status = if s.drains { "terminating" } else { "in_service" };
         format!(
             r#"{{"name":"{name}","address":"{addr}","zone":"east","type":"std","group":{number},"status":"{status}","weight":1,"since_ms":{started_ms}}}"#
         )
     });
-    let lines: Vec<_> = lines.collect();
+    let endpoints: Vec<_> = endpoints.collect();
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964",
         "limits":{{"cores":1.0,"memory_mb":32,"sockets":256}},"names":"{names}",
@@ -57,54 +57,56 @@
             "family-info":{{"circuits-by-class":[1,1],"guard-s":0.3,"t1-s":0.5,"topology":"skills","skilled-pools":[[0,1,2],[0,1,2]]}},
             "policy-limits":{{"max-attempts":5,"cancelling":true,"dial-timeout-s":0.5,"max-open":20000}},
             "rules":{{"cold-from":0.33,"fall-multiple":2.0,"fall-s":1.5,"ramp-time-s":13.0,"stop-sending-within-s":1.0}}}}}}"#,
-        lines.join(",")
+        endpoints.join(",")
     )
 }
 
-/// A name server on loopback; it ends with its runtime.
+/// A name server on loopback; it stops with its runtime.
 pub struct NameServer {
-    /// Where it listens.
+    /// Its listening address.
     pub addr: SocketAddr,
+    /// The serial number and the servers.
     list: Arc<Mutex<(u32, Vec<Listed>)>>,
-    asked: Arc<AtomicU64>,
+    queries: Arc<AtomicU64>,
 }
 
 impl NameServer {
-    /// Answers with this list, as of the event of this number.
+    /// Starts a server that answers with this list and serial number.
     ///
     /// # Errors
-    /// Where the socket cannot be bound.
+    /// If the socket cannot be bound.
     pub async fn start(serial: u32, servers: Vec<Listed>) -> std::io::Result<Self> {
         let socket = UdpSocket::bind("127.0.0.1:0").await?;
         let addr = socket.local_addr()?;
-        let (list, asked) = (Arc::new(Mutex::new((serial, servers))), Arc::new(AtomicU64::new(0)));
-        let (told, count) = (list.clone(), asked.clone());
+        let (list, queries) = (Arc::new(Mutex::new((serial, servers))), Arc::new(AtomicU64::new(0)));
+        let (current_list, count) = (list.clone(), queries.clone());
         tokio::spawn(async move {
             let mut buffer = [0; 512];
             while let Ok((size, from)) = socket.recv_from(&mut buffer).await {
                 count.fetch_add(1, Ordering::Relaxed);
-                let (serial, servers) = told.lock().unwrap_or_else(PoisonError::into_inner).clone();
+                let (serial, servers) = current_list.lock().unwrap_or_else(PoisonError::into_inner).clone();
                 if let Some(answer) = list_answer(&buffer[..size], serial, &servers) {
                     let _ = socket.send_to(&answer, from).await;
                 }
             }
         });
-        Ok(Self { addr, list, asked })
+        Ok(Self { addr, list, queries })
     }
 
-    /// The next event: from now on the list is this.
-    pub fn tell(&self, servers: Vec<Listed>) {
+    /// Replaces the list and increments the serial number.
+    pub fn set_list(&self, servers: Vec<Listed>) {
         let mut list = self.list.lock().unwrap_or_else(PoisonError::into_inner);
         *list = (list.0 + 1, servers);
     }
 
-    /// Queries so far.
+    /// Number of queries received so far.
     pub fn query_count(&self) -> u64 {
-        self.asked.load(Ordering::Relaxed)
+        self.queries.load(Ordering::Relaxed)
     }
 }
 
-/// The answer to a query for the list, as of the event of this number; `None` where the query is none.
+/// Encodes the answer to a query for the list, with this serial number. Returns `None` if the query cannot be
+/// decoded.
 pub fn list_answer(query: &[u8], serial: u32, servers: &[Listed]) -> Option<Vec<u8>> {
     let query = Message::from_vec(query).ok()?;
     let list = Name::from_str(LIST).ok()?;
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,6 +1,8 @@
-//! Stand-ins for the users' platform: signalling servers, the name server and callers, as their pages tell.
+//! Test doubles of the users' platform: signalling servers and callers, as the platform's documentation
+//! describes them.
 //!
-//! They know the wire alone, and record what crosses it in the moments of `baydrift-audit`; all is one front's.
+//! They implement the wire protocol only, and put the messages on record as events of `baydrift-audit`. All
+//! events name front 0.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -14,18 +16,19 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot};
 
-/// The result that the record's rules take for 'stands', and one for everything else.
-const STANDS: u32 = 2001;
-const TURNED_AWAY: u32 = 3004;
+/// Result code in the record for an established call.
+const ESTABLISHED: u32 = 2001;
+/// Result code in the record for a refused or failed call.
+const REJECTED: u32 = 3004;
 
-/// How a stand-in signalling server behaves from now on.
+/// The behaviour of a signalling server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerBehaviour {
-    /// As it should.
+    /// Answers as the protocol requires.
     Normal,
-    /// It reads, and says nothing any more: cut off.
+    /// Receives messages but sends none, as if its outgoing path were cut.
     Silent,
-    /// Its answers cannot be read.
+    /// Answers set-ups with bytes that cannot be decoded.
     Malformed,
 }
 
@@ -33,103 +36,111 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-enum Line {
-    Say(Message),
-    Noise,
-    Break,
+/// A command to the task of a connection.
+enum ConnectionCommand {
+    Send(Message),
+    SendGarbage,
+    Close,
 }
 
-struct Inside {
+/// The state that the connections of a server share.
+struct Shared {
     number: u16,
-    hold: Duration,
+    call_duration: Duration,
     recorder: Arc<Recorder>,
-    manner: Mutex<ServerBehaviour>,
-    lines: Mutex<BTreeMap<u64, mpsc::UnboundedSender<Line>>>,
-    /// Ends of calls that found no connection.
-    owed: Mutex<Vec<Message>>,
-    /// Calls that stand.
-    standing: Mutex<BTreeSet<Id>>,
+    behaviour: Mutex<ServerBehaviour>,
+    connections: Mutex<BTreeMap<u64, mpsc::UnboundedSender<ConnectionCommand>>>,
+    /// Releases of calls that ended while there was no connection.
+    pending_releases: Mutex<Vec<Message>>,
+    /// Established calls.
+    established: Mutex<BTreeSet<Id>>,
     set_ups: AtomicU64,
 }
 
-/// A signalling server on loopback; it ends with its runtime.
+/// A signalling server on loopback; it stops with its runtime.
 #[derive(Clone)]
 pub struct PlatformServer {
-    /// Where it listens.
+    /// Its listening address.
     pub addr: SocketAddr,
-    inside: Arc<Inside>,
+    shared: Arc<Shared>,
 }
 
 impl PlatformServer {
-    /// Listens; a call stands for `hold`.
+    /// Starts a server that releases each call `call_duration` after it was established.
     ///
     /// # Errors
-    /// Where the socket cannot be bound.
-    pub async fn start(number: u16, hold: Duration, recorder: Arc<Recorder>) -> std::io::Result<Self> {
+    /// If the socket cannot be bound.
+    pub async fn start(
+        number: u16,
+        call_duration: Duration,
+        recorder: Arc<Recorder>,
+    ) -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let addr = listener.local_addr()?;
-        let inside = Arc::new(Inside {
+        let shared = Arc::new(Shared {
             number,
-            hold,
+            call_duration,
             recorder,
-            manner: Mutex::new(ServerBehaviour::Normal),
-            lines: Mutex::default(),
-            owed: Mutex::default(),
-            standing: Mutex::default(),
+            behaviour: Mutex::new(ServerBehaviour::Normal),
+            connections: Mutex::default(),
+            pending_releases: Mutex::default(),
+            established: Mutex::default(),
             set_ups: AtomicU64::new(0),
         });
-        let server = Self { addr, inside: inside.clone() };
+        let server = Self { addr, shared: shared.clone() };
         tokio::spawn(async move {
             let mut next = 0;
             while let Ok((stream, _)) = listener.accept().await {
                 next += 1;
-                tokio::spawn(inside.clone().serve(next, stream));
+                tokio::spawn(shared.clone().serve(next, stream));
             }
         });
         Ok(server)
     }
 
-    /// Changes its manner.
-    pub fn set_behaviour(&self, manner: ServerBehaviour) {
-        *lock(&self.inside.manner) = manner;
+    /// Sets its behaviour from now on.
+    pub fn set_behaviour(&self, behaviour: ServerBehaviour) {
+        *lock(&self.shared.behaviour) = behaviour;
     }
 
-    /// Breaks all its connections; its calls stand on.
+    /// Closes all its connections; its calls remain established.
     pub fn close_connections(&self) {
-        for line in lock(&self.inside.lines).values() {
-            let _ = line.send(Line::Break);
+        for connection in lock(&self.shared.connections).values() {
+            let _ = connection.send(ConnectionCommand::Close);
         }
     }
 
-    /// Set-ups read so far.
+    /// Number of set-ups received so far.
     pub fn set_ups(&self) -> u64 {
-        self.inside.set_ups.load(Ordering::Relaxed)
+        self.shared.set_ups.load(Ordering::Relaxed)
     }
 
-    /// Calls that stand.
-    pub fn standing(&self) -> usize {
-        lock(&self.inside.standing).len()
+    /// Number of established calls.
+    pub fn established_calls(&self) -> usize {
+        lock(&self.shared.established).len()
     }
 }
 
-impl Inside {
-    fn put(&self, moment: RecordEvent) {
-        self.recorder.put(moment);
+impl Shared {
+    fn put(&self, event: RecordEvent) {
+        self.recorder.put(event);
     }
 
-    fn attempt(&self, line: u64, call: Id) -> String {
-        format!("{}.{line}.{call}", self.number)
+    /// The name of an attempt in the record.
+    fn attempt(&self, connection: u64, call: Id) -> String {
+        format!("{}.{connection}.{call}", self.number)
     }
 
+    /// Runs one connection until it ends.
     async fn serve(self: Arc<Self>, id: u64, stream: TcpStream) {
-        let (to_line, mut lines) = mpsc::unbounded_channel();
+        let (to_connection, mut commands) = mpsc::unbounded_channel();
         let state =
             Message::new(Kind::State, Id::default()).with(Code::REPORT, "idle:1000;circuits:1000;lat_ms:-1");
-        let _ = to_line.send(Line::Say(state));
-        for owed in lock(&self.owed).drain(..) {
-            let _ = to_line.send(Line::Say(owed));
+        let _ = to_connection.send(ConnectionCommand::Send(state));
+        for release in lock(&self.pending_releases).drain(..) {
+            let _ = to_connection.send(ConnectionCommand::Send(release));
         }
-        lock(&self.lines).insert(id, to_line.clone());
+        lock(&self.connections).insert(id, to_connection.clone());
         let (mut reader, mut writer) = stream.into_split();
         let (mut frames, mut buffer) = (Frames::default(), vec![0; 4096]);
         let mut open = BTreeSet::new();
@@ -139,24 +150,26 @@
                     Ok(n) if n > 0 => frames.put(&buffer[..n]),
                     _ => break,
                 },
-                line = lines.recv() => {
-                    let bytes = match line {
-                        Some(Line::Say(message)) => {
+                command = commands.recv() => {
+                    let bytes = match command {
+                        Some(ConnectionCommand::Send(message)) => {
                             let Ok(bytes) = message.to_bytes() else { break };
                             if message.kind == Kind::Answer {
-                                // One that was released meanwhile is not answered any more.
+                                // A call that was released meanwhile is no longer answered.
                                 if !open.remove(&message.call) {
                                     continue;
                                 }
                                 let attempt = self.attempt(id, message.call);
-                                self.put(RecordEvent::Reply { server: self.number, attempt, code: STANDS, lost: false });
-                                lock(&self.standing).insert(message.call);
-                                tokio::spawn(self.clone().end(id, message.call));
+                                let server = self.number;
+                                let reply = RecordEvent::Reply { server, attempt, code: ESTABLISHED, lost: false };
+                                self.put(reply);
+                                lock(&self.established).insert(message.call);
+                                tokio::spawn(self.clone().release_after_call(id, message.call));
                             }
                             bytes
                         }
-                        Some(Line::Noise) => vec![0xff; 40],
-                        Some(Line::Break) | None => break,
+                        Some(ConnectionCommand::SendGarbage) => vec![0xff; 40],
+                        Some(ConnectionCommand::Close) | None => break,
                     };
                     if writer.write_all(&bytes).await.is_err() {
                         break;
@@ -164,21 +177,28 @@
                 }
             }
             while let Ok(Some(message)) = frames.take() {
-                self.heard(id, &message, &mut open, &to_line);
+                self.handle(id, &message, &mut open, &to_connection);
             }
         }
-        lock(&self.lines).remove(&id);
+        lock(&self.connections).remove(&id);
         for call in open {
             self.put(RecordEvent::Abort { server: self.number, attempt: self.attempt(id, call) });
         }
     }
 
-    fn heard(&self, id: u64, message: &Message, open: &mut BTreeSet<Id>, line: &mpsc::UnboundedSender<Line>) {
+    /// Handles one received message. `open` are the set-ups of this connection that are not answered yet.
+    fn handle(
+        &self,
+        id: u64,
+        message: &Message,
+        open: &mut BTreeSet<Id>,
+        connection: &mpsc::UnboundedSender<ConnectionCommand>,
+    ) {
         let (server, call) = (self.number, message.call);
-        let manner = *lock(&self.manner);
-        let say = |message| {
-            if manner != ServerBehaviour::Silent {
-                let _ = line.send(Line::Say(message));
+        let behaviour = *lock(&self.behaviour);
+        let send = |message| {
+            if behaviour != ServerBehaviour::Silent {
+                let _ = connection.send(ConnectionCommand::Send(message));
             }
         };
         match message.kind {
@@ -187,58 +207,60 @@
                 let (attempt, name) = (self.attempt(id, call), format!("caller|{call}"));
                 self.put(RecordEvent::SetUp { server, front: 0, call: name, attempt, redirected: false });
                 open.insert(call);
-                if manner == ServerBehaviour::Malformed {
-                    let _ = line.send(Line::Noise);
+                if behaviour == ServerBehaviour::Malformed {
+                    let _ = connection.send(ConnectionCommand::SendGarbage);
                     return;
                 }
                 let mut description = b"from ".to_vec();
                 description.extend(message.must(Code::DESCRIPTION).map(|d| d.to_vec()).unwrap_or_default());
-                say(Message::new(Kind::Answer, call).with(Code::DESCRIPTION, description));
+                send(Message::new(Kind::Answer, call).with(Code::DESCRIPTION, description));
             }
             Kind::Release => {
                 open.remove(&call);
-                lock(&self.standing).remove(&call);
+                lock(&self.established).remove(&call);
                 self.put(RecordEvent::Release { server, attempt: self.attempt(id, call) });
             }
-            Kind::Test => say(Message::tested(call)),
+            Kind::Test => send(Message::tested(call)),
             _ => {}
         }
     }
 
-    /// The call's own end, on its connection, or on another, or on the next.
-    async fn end(self: Arc<Self>, id: u64, call: Id) {
-        tokio::time::sleep(self.hold).await;
-        if *lock(&self.manner) == ServerBehaviour::Silent || !lock(&self.standing).remove(&call) {
+    /// Releases an established call at the end of its duration: on its connection, else on another one, else
+    /// on the next one that is opened.
+    async fn release_after_call(self: Arc<Self>, id: u64, call: Id) {
+        tokio::time::sleep(self.call_duration).await;
+        if *lock(&self.behaviour) == ServerBehaviour::Silent || !lock(&self.established).remove(&call) {
             return;
         }
         let message =
             Message::release(call, Cause::NORMAL).with(Code::REPORT, "idle:1000;circuits:1000;lat_ms:12");
-        let lines = lock(&self.lines);
-        match lines.get(&id).or_else(|| lines.values().next()) {
-            Some(line) => drop(line.send(Line::Say(message))),
-            None => lock(&self.owed).push(message),
+        let connections = lock(&self.connections);
+        match connections.get(&id).or_else(|| connections.values().next()) {
+            Some(connection) => drop(connection.send(ConnectionCommand::Send(message))),
+            None => lock(&self.pending_releases).push(message),
         }
     }
 }
 
-/// What a caller's set-up came to.
+/// The outcome of a caller's set-up.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SetUpOutcome {
-    /// It stands, with this description.
+    /// Established, with this session description.
     Established(Vec<u8>),
-    /// Refused or failed, with this cause.
+    /// Refused or failed, with this cause code.
     Rejected(u8),
-    /// Its connection ended first.
+    /// The connection ended before an answer.
     Disconnected,
 }
 
+/// The receivers of the answers and releases that are still awaited.
 #[derive(Default)]
 struct Waiting {
     answers: BTreeMap<Id, oneshot::Sender<SetUpOutcome>>,
     ends: BTreeMap<Id, oneshot::Sender<u8>>,
 }
 
-/// A caller's connection.
+/// A caller's connection to a front node.
 pub struct PlatformCaller {
     recorder: Arc<Recorder>,
     to_wire: mpsc::UnboundedSender<Vec<u8>>,
@@ -249,12 +271,12 @@
     /// Connects to a front node.
     ///
     /// # Errors
-    /// Where it is not there.
+    /// If the connection is refused or fails.
     pub async fn connect(to: SocketAddr, recorder: Arc<Recorder>) -> std::io::Result<Self> {
         let (mut reader, mut writer) = TcpStream::connect(to).await?.into_split();
         let (to_wire, mut from_caller) = mpsc::unbounded_channel::<Vec<u8>>();
         let waiting = Arc::new(Mutex::new(Waiting::default()));
-        let (heard, record) = (waiting.clone(), recorder.clone());
+        let (awaited, record) = (waiting.clone(), recorder.clone());
         tokio::spawn(async move {
             let (mut frames, mut buffer) = (Frames::default(), vec![0; 4096]);
             loop {
@@ -271,22 +293,23 @@
                     }
                 }
                 while let Ok(Some(message)) = frames.take() {
-                    hear(&record, &heard, &message);
+                    handle(&record, &awaited, &message);
                 }
             }
-            for (_, waits) in std::mem::take(&mut lock(&heard).answers) {
-                let _ = waits.send(SetUpOutcome::Disconnected);
+            for (_, receiver) in std::mem::take(&mut lock(&awaited).answers) {
+                let _ = receiver.send(SetUpOutcome::Disconnected);
             }
         });
         Ok(Self { recorder, to_wire, waiting })
     }
 
-    /// Sends bytes as they are.
+    /// Sends raw bytes.
     pub fn send(&self, bytes: Vec<u8>) {
         let _ = self.to_wire.send(bytes);
     }
 
-    /// Offers a call; its answer, and, where it stands, the cause of its end.
+    /// Offers a call. The first receiver yields the outcome, the second one the cause of an established
+    /// call's release.
     pub fn offer(
         &self,
         set_up: &Message,
@@ -314,11 +337,12 @@
     }
 }
 
-fn hear(recorder: &Recorder, waiting: &Mutex<Waiting>, message: &Message) {
+/// Handles a message from the front: passes it to its receiver and puts it on record.
+fn handle(recorder: &Recorder, waiting: &Mutex<Waiting>, message: &Message) {
     let name = format!("caller|{}", message.call);
     let mut waiting = lock(waiting);
     let cause = message.cause().unwrap_or_default();
-    let told = match message.kind {
+    let outcome = match message.kind {
         Kind::Answer => {
             SetUpOutcome::Established(message.must(Code::DESCRIPTION).map(|d| d.to_vec()).unwrap_or_default())
         }
@@ -326,19 +350,19 @@
         _ => return,
     };
     match waiting.answers.remove(&message.call) {
-        Some(waits) => {
-            let code = if message.kind == Kind::Answer { STANDS } else { TURNED_AWAY };
+        Some(receiver) => {
+            let code = if message.kind == Kind::Answer { ESTABLISHED } else { REJECTED };
             recorder.put(RecordEvent::Answer { front: 0, call: name, code });
-            let _ = waits.send(told);
+            let _ = receiver.send(outcome);
         }
-        // A second answer that is another one shows as a breach.
+        // A second answer is put on record, where a different result shows as a breach of rule 1.
         None if message.kind == Kind::Answer => {
-            recorder.put(RecordEvent::Answer { front: 0, call: name, code: STANDS })
+            recorder.put(RecordEvent::Answer { front: 0, call: name, code: ESTABLISHED })
         }
         None => {
             recorder.put(RecordEvent::Dropped { front: 0, call: name });
-            if let Some(waits) = waiting.ends.remove(&message.call) {
-                let _ = waits.send(cause);
+            if let Some(receiver) = waiting.ends.remove(&message.call) {
+                let _ = receiver.send(cause);
             }
         }
     }
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -1,4 +1,4 @@
-//! A session server on a socket.
+//! A Diameter session server on a TCP socket.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,18 +13,18 @@
 use tokio::sync::mpsc;
 use tokio_util::codec::Framed;
 
-/// Where a server's process starts: at an address that it had before, and then cold.
+/// The restart of a server: its new process listens at the previous address and starts cold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Restart {
-    /// Where it listens again.
+    /// The address of the previous process.
     pub addr: SocketAddr,
-    /// Its origin state: another than that of any process before it.
+    /// Its Origin-State-Id, which differs from that of every earlier process.
     pub state_id: u32,
 }
 
 /// A running server; it ends when this is dropped.
 pub struct Server {
-    /// Where it listens.
+    /// Its listening address.
     pub addr: SocketAddr,
     commands: mpsc::UnboundedSender<Command>,
 }
@@ -33,44 +33,45 @@
     /// Listens on loopback and runs on the current runtime.
     ///
     /// # Errors
-    /// Where the socket cannot be bound.
+    /// If the socket cannot be bound.
     pub async fn start(spec: ServerSpec, recorder: Arc<Recorder>, seed: u64) -> std::io::Result<Self> {
         Self::start_at(spec, recorder, seed, None).await
     }
 
-    /// As [`Server::start`], or as a later process of the server.
+    /// Starts a server as [`Server::start`] does, or as the next process of a server that exited.
     ///
     /// # Errors
-    /// As there; also where the address stays taken.
+    /// If the socket cannot be bound, or the previous address remains in use.
     pub async fn start_at(
         spec: ServerSpec,
         recorder: Arc<Recorder>,
         seed: u64,
-        again: Option<Restart>,
+        restart: Option<Restart>,
     ) -> std::io::Result<Self> {
-        let listener = match again {
+        let listener = match restart {
             None => TcpListener::bind("127.0.0.1:0").await?,
-            Some(again) => listen_again(again.addr).await.ok_or(std::io::ErrorKind::AddrInUse)?,
+            Some(restart) => listen_again(restart.addr).await.ok_or(std::io::ErrorKind::AddrInUse)?,
         };
         let addr = listener.local_addr()?;
         let (commands, received) = mpsc::unbounded_channel();
-        recorder.put(RecordEvent::ServerStarted { server: spec.number, cold: again.is_some() });
+        recorder.put(RecordEvent::ServerStarted { server: spec.number, cold: restart.is_some() });
         let model = SessionServer::new(spec, vec![addr.ip()], seed);
-        let model = match again {
+        let model = match restart {
             None => model,
-            Some(again) => model.cold(recorder.now(), again.state_id),
+            Some(restart) => model.cold(recorder.now(), restart.state_id),
         };
         tokio::spawn(run(model, listener, addr, received, recorder));
         Ok(Self { addr, commands })
     }
 
-    /// Causes a trouble.
+    /// Injects a fault.
     pub fn command(&self, command: Command) {
         let _ = self.commands.send(command);
     }
 }
 
-/// The port of a process that died is taken again, though old connections linger.
+/// Listens again on the port of a process that exited. Retries for up to 4 s, since old connections may
+/// linger.
 pub(crate) async fn listen_again(addr: SocketAddr) -> Option<TcpListener> {
     for _ in 0..200 {
         let socket = TcpSocket::new_v4().ok()?;
@@ -98,24 +99,24 @@
     recorder: Arc<Recorder>,
 ) {
     let mut listener = Some(listener);
-    let mut conns: BTreeMap<ConnId, mpsc::UnboundedSender<Message>> = BTreeMap::new();
-    let (to_model, mut from_conns) = mpsc::unbounded_channel::<ServerInput>();
-    let (mut next, mut out) = (0, Vec::new());
+    let mut connections: BTreeMap<ConnId, mpsc::UnboundedSender<Message>> = BTreeMap::new();
+    let (to_model, mut from_connections) = mpsc::unbounded_channel::<ServerInput>();
+    let (mut next, mut outputs) = (0, Vec::new());
     loop {
         let now = recorder.now();
         let wait = Duration::from_micros(model.due().saturating_sub(now).min(10_000_000));
         let input = tokio::select! {
             stream = accept(&listener) => match stream {
                 Ok(stream) => {
-                    let (to_conn, from_model) = mpsc::unbounded_channel();
+                    let (to_connection, from_model) = mpsc::unbounded_channel();
                     next += 1;
-                    conns.insert(next, to_conn);
-                    tokio::spawn(carry(next, stream, from_model, to_model.clone()));
+                    connections.insert(next, to_connection);
+                    tokio::spawn(run_connection(next, stream, from_model, to_model.clone()));
                     ServerInput::Accepted(next)
                 }
                 Err(_) => continue,
             },
-            Some(input) = from_conns.recv() => input,
+            Some(input) = from_connections.recv() => input,
             command = commands.recv() => match command {
                 Some(command) => ServerInput::Command(command),
                 None => return,
@@ -123,21 +124,21 @@
             () = tokio::time::sleep(wait) => ServerInput::Tick,
         };
         if let ServerInput::Closed(id) = &input {
-            conns.remove(id);
+            connections.remove(id);
         }
-        model.handle(recorder.now(), input, &mut out);
-        for output in out.drain(..) {
+        model.handle(recorder.now(), input, &mut outputs);
+        for output in outputs.drain(..) {
             match output {
                 ServerOutput::Send(id, message) => {
-                    if let Some(conn) = conns.get(&id) {
-                        let _ = conn.send(message);
+                    if let Some(connection) = connections.get(&id) {
+                        let _ = connection.send(message);
                     }
                 }
-                ServerOutput::Close(id) => drop(conns.remove(&id)),
+                ServerOutput::Close(id) => drop(connections.remove(&id)),
                 ServerOutput::Record(moment) => recorder.put(moment),
                 ServerOutput::Stopped => {
                     listener = None;
-                    conns.clear();
+                    connections.clear();
                 }
                 ServerOutput::Started => listener = listen_again(addr).await,
             }
@@ -145,18 +146,18 @@
     }
 }
 
-/// One connection; it closes when its queue from the model does.
-async fn carry(
+/// Runs one connection until its peer closes it or the model closes its queue.
+async fn run_connection(
     id: ConnId,
     stream: TcpStream,
     mut from_model: mpsc::UnboundedReceiver<Message>,
     to_model: mpsc::UnboundedSender<ServerInput>,
 ) {
     let _ = stream.set_nodelay(true);
-    let mut wire = Framed::new(stream, Codec::default());
+    let mut connection = Framed::new(stream, Codec::default());
     loop {
         tokio::select! {
-            frame = wire.next() => match frame {
+            frame = connection.next() => match frame {
                 Some(Ok(frame @ (Frame::Valid(_) | Frame::Invalid(..)))) => {
                     let _ = to_model.send(ServerInput::Received(id, frame));
                 }
@@ -167,14 +168,14 @@
             },
             message = from_model.recv() => {
                 let Some(message) = message else {
-                    let _ = wire.flush().await;
+                    let _ = connection.flush().await;
                     return;
                 };
-                let _ = wire.feed(message).await;
+                let _ = connection.feed(message).await;
                 while let Ok(message) = from_model.try_recv() {
-                    let _ = wire.feed(message).await;
+                    let _ = connection.feed(message).await;
                 }
-                let _ = wire.flush().await;
+                let _ = connection.flush().await;
             }
         }
     }
--- a/crates/standin/src/text.rs
+++ b/crates/standin/src/text.rs
@@ -1,4 +1,4 @@
-//! Text callers on a socket.
+//! Callers of the text protocol, on a UDP socket.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,13 +9,13 @@
 use tokio::net::UdpSocket;
 use tokio::sync::watch;
 
-/// Running callers.
+/// A running task with the text callers of one client.
 pub struct TextCaller {
     _task: tokio::task::JoinHandle<()>,
 }
 
 impl TextCaller {
-    /// Registers and calls until it is dropped; `offers` may change meanwhile.
+    /// Registers and offers calls. `offers` may change meanwhile; the task ends with the runtime.
     ///
     /// # Errors
     /// Where the socket cannot be bound.
@@ -39,7 +39,7 @@
     mut offers: watch::Receiver<Offers>,
     recorder: Arc<Recorder>,
 ) {
-    let mut out = Vec::new();
+    let mut outputs = Vec::new();
     let mut buffer = vec![0u8; 65_536];
     loop {
         if offers.has_changed().unwrap_or(false) {
@@ -51,13 +51,13 @@
             received = socket.recv(&mut buffer) => match received {
                 Ok(size) => {
                     let text = String::from_utf8_lossy(&buffer[..size]);
-                    callers.received(recorder.now(), &text, &mut out);
+                    callers.received(recorder.now(), &text, &mut outputs);
                 }
                 Err(_) => tokio::time::sleep(Duration::from_millis(5)).await,
             },
-            () = tokio::time::sleep(wait) => callers.tick(recorder.now(), &mut out),
+            () = tokio::time::sleep(wait) => callers.tick(recorder.now(), &mut outputs),
         }
-        for output in out.drain(..) {
+        for output in outputs.drain(..) {
             match output {
                 TextOutput::Send(text) => drop(socket.send(text.as_bytes()).await),
                 TextOutput::Record(moment) => recorder.put(moment),
