--- a/crates/audit/src/record.rs
+++ b/crates/audit/src/record.rs
@@ -150,7 +150,7 @@
 
 impl Recorder {
     /// A recorder that stores nothing and passes each entry to `sink`, before the recorded message is
-    /// processed further. The entries of a process that is killed are then storage by another process.
+    /// processed further. The entries of a process that is killed are then kept by another process.
     pub fn forwarding(origin: u64, sink: impl FnMut(&RecordEntry) + Send + 'static) -> Self {
         Self { origin, storage: Mutex::new(Storage::Forwarded(Box::new(sink))) }
     }
--- a/crates/audit/src/rules.rs
+++ b/crates/audit/src/rules.rs
@@ -143,7 +143,8 @@
             }
             RecordEvent::Reply { attempt, code, lost, .. } => {
                 // A lost answer ends no attempt, since its front does not receive it. A refusal leaves
-                // nothing at the server, so that the call may be set up again at once.
+                // nothing at the server, so that the call may be set up again at once; an established call is
+                // not set up again.
                 if !lost {
                     self.end(at, attempt, *code == 2001);
                     let call = self.attempts.get(attempt).map(|a| a.call.clone());
