--- a/crates/day/src/processes/role.rs
+++ b/crates/day/src/processes/role.rs
@@ -8,9 +8,9 @@
 use std::sync::Arc;
 
 use baydrift::interface::Micros;
-use baydrift_audit::{Line, Recorder};
+use baydrift_audit::{RecordEntry, Recorder};
 use baydrift_emulator::Command;
-use baydrift_standin::{Again, Server};
+use baydrift_standin::{Restart, Server};
 use serde::{Deserialize, Serialize};
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::sync::mpsc;
@@ -53,7 +53,7 @@
     /// It serves: where, if anywhere.
     Ready(Option<SocketAddr>),
     /// A line of the record.
-    Line(Line),
+    Line(RecordEntry),
 }
 
 /// Why a stand-in's process ends.
@@ -97,13 +97,13 @@
     let mut lines = BufReader::new(tokio::io::stdin()).lines();
     let first = lines.next_line().await?.ok_or(RoleError::Nothing)?;
     let hello: Hello = serde_json::from_str(&first).map_err(|error| RoleError::Told { line: 1, error })?;
-    let recorder = Arc::new(Recorder::told(hello.origin, |line| say(&Word::Line(line.clone()))));
+    let recorder = Arc::new(Recorder::forwarding(hello.origin, |line| say(&Word::Line(line.clone()))));
     let part = match hello.role {
         Role::Server { number, again } => {
             let spec = server_spec(&hello.day, number);
             let state_id = again.map_or(1, |(_, state_id)| state_id);
             let seed = hello.day.seed * 100 + number as u64 + 1_000_003 * u64::from(state_id - 1);
-            let again = again.map(|(addr, state_id)| Again { addr, state_id });
+            let again = again.map(|(addr, state_id)| Restart { addr, state_id });
             let server = Server::start_at(spec, recorder, seed, again).await?;
             say(&Word::Ready(Some(server.addr)));
             Part::Server(server)
