--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use baydrift_front::ask;
+use baydrift_front::query_admin;
 use miette::IntoDiagnostic;
 use serde_json::Value;
 
@@ -47,7 +47,7 @@
 }
 
 pub async fn run(args: &Args) -> miette::Result<ExitCode> {
-    let said = ask(&args.socket, "fleet").await.into_diagnostic()?;
+    let said = query_admin(&args.socket, "fleet").await.into_diagnostic()?;
     if args.json {
         println!("{said}");
         return Ok(ExitCode::SUCCESS);
--- a/crates/cli/src/front.rs
+++ b/crates/cli/src/front.rs
@@ -67,7 +67,7 @@
     let config = load(path)?;
     let mut bound = Bound::bind(config.clone()).await.into_diagnostic()?;
     announce(&config, &bound.addrs());
-    bound.set_clock_off(clock_off);
+    bound.set_clock_offset(clock_off);
     let front = bound.start().into_diagnostic()?;
     told_to_stop().await;
     front.stop().await;
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -19,55 +19,55 @@
     unique(document, problems, &["server"], |node| node.entries().iter().find(|e| is(e, "addr")));
     unique(document, problems, &["far-end"], |node| node.entries().iter().find(|e| is(e, "point")));
     if config.point.is_none() && !config.far_ends.is_empty() {
-        front.wrong("far ends need this exchange's own point code", Some("exchange point=11"));
+        front.report("far ends need this exchange's own point code", Some("exchange point=11"));
     }
     if config.classes.is_empty() {
-        front.wrong("no class is configured", Some("class \"name\" { context \"name@realm\" }"));
+        front.report("no class is configured", Some("class \"name\" { context \"name@realm\" }"));
     }
     if config.clients.is_empty() && config.text_clients.is_empty() {
-        front.wrong("no client may connect", Some("client \"gateway.example\" realm=\"example\""));
+        front.report("no client may connect", Some("client \"gateway.example\" realm=\"example\""));
     }
     if config.text.is_none() && !config.text_clients.is_empty() {
-        front.wrong("text-clients have nowhere to speak", Some("text udp=\"127.0.0.1:2944\""));
+        front.report("text-clients have nowhere to speak", Some("text udp=\"127.0.0.1:2944\""));
     }
     if config.members().next().is_none() {
-        front.wrong("no server is configured", Some("server \"s1.example\" realm=... number=0 addr=..."));
+        front.report("no server is configured", Some("server \"s1.example\" realm=... number=0 addr=..."));
     }
     if config.serves.is_empty() {
-        front.wrong("no realm is served", Some("serves \"core.example\": the Destination-Realm of calls"));
+        front.report("no realm is served", Some("serves \"core.example\": the Destination-Realm of calls"));
     }
     // Units are whole set-ups: with less than one nothing would ever go to a cold server.
-    let lends = config.fleet.as_ref().is_some_and(|fleet| fleet.lends);
+    let lends = config.fleet.as_ref().is_some_and(|fleet| fleet.budget_leases);
     if lends && config.limits.cold_rate.is_none_or(|rate| rate < 1.0) {
-        front.wrong("the fleet lends of a cold-rate of 1 or more", Some("policy { cold-rate 28 }"));
+        front.report("the fleet lends of a cold-rate of 1 or more", Some("policy { cold-rate 28 }"));
     }
     if config.settings.ordinal >= config.settings.fronts {
-        front.wrong_at("ordinal", "ordinal must be less than fronts", Some("ordinals count from 0"));
+        front.report_at("ordinal", "ordinal must be less than fronts", Some("ordinals count from 0"));
     }
     let mut owners: BTreeMap<&str, &str> = BTreeMap::new();
     for class in &config.classes {
         for context in &class.contexts {
             if let Some(other) = owners.insert(context, &class.name) {
-                front.wrong(format!("context {context:?} belongs to {other} and to {}", class.name), None);
+                front.report(format!("context {context:?} belongs to {other} and to {}", class.name), None);
             }
         }
-        if class.class.aim > class.class.deadline || class.gives_up > class.class.deadline {
+        if class.class.aim > class.class.deadline || class.caller_timeout > class.class.deadline {
             let text = format!("class {}: aim and gives-up must not be after deadline", class.name);
-            front.wrong(text, None);
+            front.report(text, None);
         }
         for number in class.class.servers.iter().flatten() {
             if config.members().all(|(_, other, _)| other != *number) {
-                front.wrong(format!("class {}: no server has number {number}", class.name), None);
+                front.report(format!("class {}: no server has number {number}", class.name), None);
             }
         }
     }
     if config.members().count() > config.limits.servers {
-        front.wrong(format!("more servers than limits allow ({})", config.limits.servers), None);
+        front.report(format!("more servers than limits allow ({})", config.limits.servers), None);
     }
     if let Some(fleet) = &config.fleet {
         for (ordinal, _) in &fleet.fronts {
             if *ordinal >= config.settings.fronts || *ordinal == config.settings.ordinal {
-                front.wrong(format!("fleet: {ordinal} is no other front's ordinal"), None);
+                front.report(format!("fleet: {ordinal} is no other front's ordinal"), None);
             }
         }
     }
--- a/crates/config/src/front.rs
+++ b/crates/config/src/front.rs
@@ -67,7 +67,7 @@
 fn one<'a>(document: &'a KdlDocument, problems: &Problems, name: &str) -> Option<Node<'a>> {
     let mut nodes = all(document, problems, name);
     for second in nodes.drain(1.min(nodes.len())..) {
-        second.wrong(format!("{name} is there already"), Some("keep one of them"));
+        second.report(format!("{name} is there already"), Some("keep one of them"));
     }
     nodes.pop()
 }
@@ -84,12 +84,12 @@
     let (settings, grace, cold_rate) = settings(&front, policy, &classes, &publishers);
     let config = Config {
         host: front.name("its Origin-Host"),
-        realm: front.need_text("realm"),
-        listen: front.need_addr("listen"),
+        realm: front.required_text("realm"),
+        listen: front.required_addr("listen"),
         serves: front.texts("serves"),
         watchdog: front.time("watchdog", 50 * MS..=HOUR).unwrap_or(6 * S),
-        stop_within: front.time("stop-within", 0..=HOUR).unwrap_or(5 * S),
-        seed: front.whole("seed", 0..=u64::MAX),
+        shutdown_timeout: front.time("stop-within", 0..=HOUR).unwrap_or(5 * S),
+        seed: front.integer("seed", 0..=u64::MAX),
         limits: Limits { drain_grace: grace, cold_rate, ..limits },
         links,
         clients: all(document, problems, "client").into_iter().map(client).collect(),
@@ -106,7 +106,7 @@
         settings,
     };
     check(document, problems, &front, &config);
-    front.done();
+    front.reject_unknown_keys();
     Some(config)
 }
 
@@ -116,7 +116,7 @@
         Some("never") => Repeat::Never,
         Some("within") => Repeat::Within(node.time("repeat-window", MS..=HOUR).unwrap_or(5 * S)),
         Some(_) => {
-            node.wrong_at("repeat", "repeat is none of safe, within, never", None);
+            node.report_at("repeat", "repeat is none of safe, within, never", None);
             Repeat::Never
         }
     };
@@ -127,7 +127,7 @@
         .filter_map(|(n, e)| {
             let number = e.value().as_integer().and_then(|v| u16::try_from(v).ok());
             if number.is_none() {
-                n.wrong("servers wants server numbers", None);
+                n.report("servers wants server numbers", None);
             }
             number
         })
@@ -136,7 +136,7 @@
     let entry = ClassEntry {
         name: node.name("the class's name"),
         contexts: node.texts("context"),
-        gives_up: node.time("gives-up", 100 * MS..=HOUR).unwrap_or(deadline),
+        caller_timeout: node.time("gives-up", 100 * MS..=HOUR).unwrap_or(deadline),
         class: Class {
             worth: node.number("worth", 0.0..=1e6).unwrap_or(1.0),
             late_worth: node.number("late-worth", 0.0..=1.0).unwrap_or(0.0),
@@ -147,12 +147,12 @@
         },
     };
     if entry.contexts.is_empty() {
-        node.wrong(
+        node.report(
             "class lacks context",
             Some("context \"name@realm\": the Service-Context-Id of its calls"),
         );
     }
-    node.done();
+    node.reject_unknown_keys();
     entry
 }
 
@@ -164,42 +164,42 @@
         subscriptions: node.texts("subscription"),
     };
     if publisher.realms.is_empty() && publisher.subscriptions.is_empty() {
-        node.wrong("publisher has neither realm nor subscription", Some("no call would ever be its own"));
+        node.report("publisher has neither realm nor subscription", Some("no call would ever be its own"));
     }
-    node.done();
+    node.reject_unknown_keys();
     publisher
 }
 
 fn client(node: Node<'_>) -> Client {
     let client = Client {
         host: node.name("its Origin-Host"),
-        realm: node.need_text("realm"),
-        connections: node.whole("connections", 1..=10_000).unwrap_or(2) as usize,
+        realm: node.required_text("realm"),
+        connections: node.integer("connections", 1..=10_000).unwrap_or(2) as usize,
         relay: node.flag("relay").unwrap_or(false),
     };
-    node.done();
+    node.reject_unknown_keys();
     client
 }
 
 fn text(node: Node<'_>) -> Text {
-    let text = Text { udp: node.need_addr("udp"), tcp: node.addr("tcp") };
-    node.done();
+    let text = Text { udp: node.required_addr("udp"), tcp: node.addr("tcp") };
+    node.reject_unknown_keys();
     text
 }
 
 fn text_client(node: Node<'_>) -> TextClient {
-    let client = TextClient { mid: node.name("its MId"), realm: node.need_text("realm") };
-    node.done();
+    let client = TextClient { mid: node.name("its MId"), realm: node.required_text("realm") };
+    node.reject_unknown_keys();
     client
 }
 
 fn admin(node: Node<'_>) -> std::path::PathBuf {
-    let path = node.need_text("socket");
+    let path = node.required_text("socket");
     // A path of a Unix socket has a bound of its own (108 octets with its end on Linux).
     if path.len() > 100 {
-        node.wrong_at("socket", "a socket's path has at most 100 octets", None);
+        node.report_at("socket", "a socket's path has at most 100 octets", None);
     }
-    node.done();
+    node.reject_unknown_keys();
     path.into()
 }
 
@@ -209,7 +209,7 @@
         Some("draining") => ServerState::Draining,
         Some("gone") => ServerState::Gone,
         Some(_) => {
-            node.wrong_at("state", "state is none of ready, draining, gone", None);
+            node.report_at("state", "state is none of ready, draining, gone", None);
             ServerState::Gone
         }
     }
@@ -218,31 +218,32 @@
 fn server(node: Node<'_>) -> Server {
     let server = Server {
         host: node.name("its Origin-Host"),
-        realm: node.need_text("realm"),
-        number: node.need_whole("number", 0..=65_535) as u16,
-        addr: node.need_addr("addr"),
+        realm: node.required_text("realm"),
+        number: node.required_integer("number", 0..=65_535) as u16,
+        addr: node.required_addr("addr"),
         state: state(&node),
     };
-    node.done();
+    node.reject_unknown_keys();
     server
 }
 
 fn pool(node: Node<'_>) -> Pool {
-    let pool = Pool { listen: node.need_addr("listen"), token: node.need_text("token") };
-    node.done();
+    let pool = Pool { listen: node.required_addr("listen"), token: node.required_text("token") };
+    node.reject_unknown_keys();
     pool
 }
 
 fn fleet(node: Node<'_>) -> Fleet {
     let fronts = node.children("front").into_iter().map(|child| {
-        let entry = (child.need_whole("ordinal", 0..=99_999) as u32, child.need_addr("addr"));
-        child.done();
+        let entry = (child.required_integer("ordinal", 0..=99_999) as u32, child.required_addr("addr"));
+        child.reject_unknown_keys();
         entry
     });
-    let lends = node.flag("lends").unwrap_or(false);
-    let lives = node.flag("lives").unwrap_or(false);
-    let fleet = Fleet { fronts: fronts.collect(), bind: node.need_addr("bind"), lends, lives };
-    node.done();
+    let budget_leases = node.flag("lends").unwrap_or(false);
+    let membership = node.flag("lives").unwrap_or(false);
+    let fleet =
+        Fleet { fronts: fronts.collect(), bind: node.required_addr("bind"), budget_leases, membership };
+    node.reject_unknown_keys();
     fleet
 }
 
@@ -258,7 +259,7 @@
     };
     let Some(node) = node else { return (limits, links) };
     let set = |to: &mut usize, key, range| {
-        if let Some(value) = node.whole(key, range) {
+        if let Some(value) = node.integer(key, range) {
             *to = value as usize;
         }
     };
@@ -281,7 +282,7 @@
     time(&mut limits.client_absence, "away", 0..=24 * HOUR);
     time(&mut links.handshake, "handshake", MS..=HOUR);
     time(&mut links.write, "write", MS..=HOUR);
-    node.done();
+    node.reject_unknown_keys();
     (limits, links)
 }
 
@@ -294,9 +295,9 @@
 ) -> (Settings, u64, Option<f64>) {
     let mut settings = Settings {
         // One that was reported already shall not make every ordinal wrong as well.
-        fronts: front.whole("fronts", 1..=100_000).unwrap_or(if front.has("fronts") { 100_000 } else { 1 })
+        fronts: front.integer("fronts", 1..=100_000).unwrap_or(if front.has("fronts") { 100_000 } else { 1 })
             as u32,
-        ordinal: front.whole("ordinal", 0..=99_999).unwrap_or(0) as u32,
+        ordinal: front.integer("ordinal", 0..=99_999).unwrap_or(0) as u32,
         own_number: None,
         classes: classes.iter().map(|c| c.class.clone()).collect(),
         tenants: publishers.iter().map(|p| baydrift::interface::Tenant { quota_per_s: p.quota }).collect(),
@@ -318,7 +319,7 @@
     };
     let mut grace = S;
     let Some(node) = policy else { return (settings, grace, None) };
-    if let Some(value) = node.whole("max-attempts", 1..=5) {
+    if let Some(value) = node.integer("max-attempts", 1..=5) {
         settings.max_attempts = value as u32;
     }
     let times = [
@@ -344,6 +345,6 @@
         }
     }
     let cold_rate = node.number("cold-rate", 0.1..=1e6);
-    node.done();
+    node.reject_unknown_keys();
     (settings, grace, cold_rate)
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -31,7 +31,7 @@
     /// Tw of the watchdog.
     pub watchdog: Micros,
     /// An orderly stop takes no longer.
-    pub stop_within: Micros,
+    pub shutdown_timeout: Micros,
     /// Seed of the module's chance; `None` for one drawn at start.
     pub seed: Option<u64>,
     /// Bounds of the call engine.
@@ -89,7 +89,7 @@
     /// Service-Context-Ids.
     pub contexts: Vec<String>,
     /// Callers give a try up after so long.
-    pub gives_up: Micros,
+    pub caller_timeout: Micros,
     /// What the module is told.
     pub class: Class,
 }
@@ -170,9 +170,9 @@
     /// The others', by ordinal.
     pub fronts: Vec<(u32, SocketAddr)>,
     /// What cold servers may be sent is shared by lending, by the policy's `cold-rate`.
-    pub lends: bool,
+    pub budget_leases: bool,
     /// Fronts tell each other who of them lives.
-    pub lives: bool,
+    pub membership: bool,
 }
 
 impl Config {
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -123,12 +123,12 @@
     }
 
     /// Adds a problem with this node.
-    pub fn wrong(&self, text: impl Into<String>, hint: Option<&str>) {
+    pub fn report(&self, text: impl Into<String>, hint: Option<&str>) {
         self.problems.add(self.span(), text, hint);
     }
 
     /// Adds a problem with one of its settings, at that setting's place.
-    pub fn wrong_at(&self, key: &'static str, text: impl Into<String>, hint: Option<&str>) {
+    pub fn report_at(&self, key: &'static str, text: impl Into<String>, hint: Option<&str>) {
         let span = self.value(key).map_or(self.span(), |(_, span)| span);
         self.problems.add(span, text, hint);
     }
@@ -160,7 +160,7 @@
         match first.map(|e| e.value()) {
             Some(KdlValue::String(text)) if !text.is_empty() => text.clone(),
             _ => {
-                self.wrong(format!("{} needs {what} in quotes", self.node.name().value()), None);
+                self.report(format!("{} needs {what} in quotes", self.node.name().value()), None);
                 String::new()
             }
         }
@@ -202,20 +202,20 @@
     }
 
     /// A text that must be there.
-    pub fn need_text(&self, key: &'static str) -> String {
-        self.need(key, self.text(key)).unwrap_or_default()
+    pub fn required_text(&self, key: &'static str) -> String {
+        self.required(key, self.text(key)).unwrap_or_default()
     }
 
     /// What must be there; a value of the wrong form was reported already.
-    fn need<T>(&self, key: &'static str, value: Option<T>) -> Option<T> {
+    fn required<T>(&self, key: &'static str, value: Option<T>) -> Option<T> {
         if value.is_none() && self.value(key).is_none() {
-            self.wrong(format!("{} lacks {key}", self.node.name().value()), None);
+            self.report(format!("{} lacks {key}", self.node.name().value()), None);
         }
         value
     }
 
     /// A whole number in a range.
-    pub fn whole(&self, key: &'static str, range: std::ops::RangeInclusive<u64>) -> Option<u64> {
+    pub fn integer(&self, key: &'static str, range: std::ops::RangeInclusive<u64>) -> Option<u64> {
         let (value, span) = self.value(key)?;
         let number = value.as_integer().and_then(|n| u64::try_from(n).ok()).filter(|n| range.contains(n));
         if number.is_none() {
@@ -226,9 +226,9 @@
     }
 
     /// A whole number that must be there.
-    pub fn need_whole(&self, key: &'static str, range: std::ops::RangeInclusive<u64>) -> u64 {
+    pub fn required_integer(&self, key: &'static str, range: std::ops::RangeInclusive<u64>) -> u64 {
         let least = *range.start();
-        self.need(key, self.whole(key, range)).unwrap_or(least)
+        self.required(key, self.integer(key, range)).unwrap_or(least)
     }
 
     /// A number in a range.
@@ -273,7 +273,7 @@
         let text = self.text(key)?;
         let addr = text.parse().ok();
         if addr.is_none() {
-            self.wrong_at(
+            self.report_at(
                 key,
                 format!("{key} wants an address and a port, not {text:?}"),
                 Some("\"127.0.0.1:3868\""),
@@ -283,13 +283,13 @@
     }
 
     /// An address that must be there.
-    pub fn need_addr(&self, key: &'static str) -> std::net::SocketAddr {
+    pub fn required_addr(&self, key: &'static str) -> std::net::SocketAddr {
         let none = std::net::SocketAddr::from(([127, 0, 0, 1], 0));
-        self.need(key, self.addr(key)).unwrap_or(none)
+        self.required(key, self.addr(key)).unwrap_or(none)
     }
 
     /// Reports every child and property that was never asked for.
-    pub fn done(self) {
+    pub fn reject_unknown_keys(self) {
         let asked = self.asked.borrow();
         let mut known: Vec<_> = asked.to_vec();
         known.sort_unstable();
--- a/crates/config/src/trunk.rs
+++ b/crates/config/src/trunk.rs
@@ -62,8 +62,8 @@
 
 /// This exchange's own point code.
 pub(crate) fn exchange(node: Node<'_>) -> u32 {
-    let point = node.need_whole("point", 0..=POINT_MAX) as u32;
-    node.done();
+    let point = node.required_integer("point", 0..=POINT_MAX) as u32;
+    node.reject_unknown_keys();
     point
 }
 
@@ -73,23 +73,23 @@
     classes: &[ClassEntry],
     publishers: &[Publisher],
 ) -> FarEnd {
-    let point = node.need_whole("point", 0..=POINT_MAX) as u32;
+    let point = node.required_integer("point", 0..=POINT_MAX) as u32;
     let dial = match (node.addr("connect"), node.addr("listen")) {
         (Some(addr), None) => Dial::Connect(addr),
         (None, Some(addr)) => Dial::Listen(addr),
         _ => {
             let hint = "connect=\"192.0.2.1:2905\", or listen= where the far end connects";
-            node.wrong("a far end has one of connect and listen", Some(hint));
+            node.report("a far end has one of connect and listen", Some(hint));
             Dial::Connect(([127, 0, 0, 1], 0).into())
         }
     };
     if point == own_point {
         let text = format!("point {point} is this exchange's own: the rule for dual seizure needs two");
-        node.wrong_at("point", text, None);
+        node.report_at("point", text, None);
     }
     let children = node.children("group");
     if children.is_empty() {
-        node.wrong("a far end has a group at least", Some("group \"north\" first=1 circuits=30"));
+        node.report("a far end has a group at least", Some("group \"north\" first=1 circuits=30"));
     }
     let groups: Vec<_> = children.into_iter().map(|child| group(child, own_point, point)).collect();
     for (place, group) in groups.iter().enumerate() {
@@ -99,21 +99,21 @@
         };
         if let Some(other) = groups[..place].iter().find(overlaps) {
             let text = format!("groups {} and {} have circuits of one code", other.name, group.name);
-            node.wrong(text, Some("a circuit's code is its own among all groups to one far end"));
+            node.report(text, Some("a circuit's code is its own among all groups to one far end"));
         }
     }
     let incoming =
         node.children("incoming").into_iter().map(|child| incoming(child, classes, publishers)).next();
     let far_end = FarEnd {
         host: node.name("its name"),
-        number: node.need_whole("number", 0..=65_535) as u16,
+        number: node.required_integer("number", 0..=65_535) as u16,
         state: crate::front::state(&node),
         point,
         dial,
         groups,
         incoming,
     };
-    node.done();
+    node.reject_unknown_keys();
     far_end
 }
 
@@ -122,39 +122,39 @@
         None | Some("opposite") => Selection::Opposite,
         Some("sequential") => Selection::Sequential,
         Some(_) => {
-            node.wrong_at("selection", "selection is none of opposite, sequential", None);
+            node.report_at("selection", "selection is none of opposite, sequential", None);
             Selection::Opposite
         }
     };
-    let first = node.whole("first", 0..=CIC_MAX).unwrap_or(1) as u16;
-    let circuits = node.need_whole("circuits", 1..=CIC_MAX + 1) as u16;
+    let first = node.integer("first", 0..=CIC_MAX).unwrap_or(1) as u16;
+    let circuits = node.required_integer("circuits", 1..=CIC_MAX + 1) as u16;
     if u64::from(first) + u64::from(circuits) > CIC_MAX + 1 {
-        node.wrong_at("circuits", format!("circuits beyond code {CIC_MAX}"), None);
+        node.report_at("circuits", format!("circuits beyond code {CIC_MAX}"), None);
     }
-    let reserve = node.whole("reserve", 0..=CIC_MAX).unwrap_or(0) as usize;
+    let reserve = node.integer("reserve", 0..=CIC_MAX).unwrap_or(0) as usize;
     if reserve >= usize::from(circuits) && circuits > 0 {
-        node.wrong_at("reserve", "all circuits are kept back for first choices", Some("less than circuits"));
+        node.report_at("reserve", "all circuits are kept back for first choices", Some("less than circuits"));
     }
     let group = TrunkGroup {
         name: node.name("the group's name"),
         spec: GroupSpec { own_point, far_point, first, circuits, selection, reserve },
     };
-    node.done();
+    node.reject_unknown_keys();
     group
 }
 
 fn incoming(node: Node<'_>, classes: &[ClassEntry], publishers: &[Publisher]) -> Incoming {
-    let class = node.need_text("class");
+    let class = node.required_text("class");
     let class = classes.iter().position(|c| c.name == class).unwrap_or_else(|| {
-        node.wrong_at("class", format!("no class is called {class}"), None);
+        node.report_at("class", format!("no class is called {class}"), None);
         0
     });
     let publisher = node.text("publisher").map_or(publishers.len(), |name| {
         publishers.iter().position(|p| p.name == name).unwrap_or_else(|| {
-            node.wrong_at("publisher", format!("no publisher is called {name}"), None);
+            node.report_at("publisher", format!("no publisher is called {name}"), None);
             0
         })
     });
-    node.done();
+    node.reject_unknown_keys();
     Incoming { class, publisher }
 }
--- a/crates/config/tests/config.rs
+++ b/crates/config/tests/config.rs
@@ -82,7 +82,8 @@
 fn a_fleet_that_lends_needs_something_to_lend() {
     let lends = GOOD.replace("fleet bind=", "fleet lends=#true bind=");
     assert!(
-        wrong(&lends).is_empty() && parse("test.kdl", &lends).is_ok_and(|c| c.fleet.is_some_and(|f| f.lends))
+        wrong(&lends).is_empty()
+            && parse("test.kdl", &lends).is_ok_and(|c| c.fleet.is_some_and(|f| f.budget_leases))
     );
     for nothing in ["", " cold-rate 0.5;"] {
         let found = wrong(&lends.replace(" cold-rate 12.5;", nothing));
--- a/crates/day/src/rounds.rs
+++ b/crates/day/src/rounds.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use baydrift_front::{Exchange, ExchangeState, Role, ToExchange};
+use baydrift_front::{Exchange, ExchangeCommand, ExchangeState, Role};
 use baydrift_signalling::SignallingPoint;
 use baydrift_standin::Packets;
 use baydrift_trunk::rules::{RouteChoice, Selection};
@@ -178,7 +178,7 @@
                 tokio::time::sleep(Duration::from_millis(20)).await;
                 continue;
             }
-            player.exchange.tell(ToExchange::Release(call, CAUSE)).await;
+            player.exchange.send(ExchangeCommand::Release(call, CAUSE)).await;
             break;
         }
     }
@@ -191,25 +191,25 @@
         *next += 1;
         self.own = Some((call, false));
         let setup = Setup { number: Arc::from([5u8, 5, 5]), reference: Arc::from(call.0.to_be_bytes()) };
-        self.tell(ToExchange::Seize(call, GroupId(0), setup, RouteChoice::First)).await
+        self.tell(ExchangeCommand::Seize(call, GroupId(0), setup, RouteChoice::First)).await
     }
 
-    async fn tell(&self, what: ToExchange) -> Result<(), RoundsError> {
-        self.exchange.tell(what).await.then_some(()).ok_or(RoundsError::Ended)
+    async fn tell(&self, what: ExchangeCommand) -> Result<(), RoundsError> {
+        self.exchange.send(what).await.then_some(()).ok_or(RoundsError::Ended)
     }
 
     async fn take(&mut self, end: usize, event: Output, tally: &mut RoundsTally) -> Result<(), RoundsError> {
         match event {
             Output::Incoming { call, .. } => {
                 self.incoming.insert(call);
-                self.tell(ToExchange::Accept(call)).await?;
-                self.tell(ToExchange::Answer(call)).await?;
+                self.tell(ExchangeCommand::Accept(call)).await?;
+                self.tell(ExchangeCommand::Answer(call)).await?;
             }
             Output::Answered(call) => match self.own {
                 Some((own, false)) if own == call => {
                     tally.answered[end] += 1;
                     self.own = None;
-                    self.tell(ToExchange::Release(call, CAUSE)).await?;
+                    self.tell(ExchangeCommand::Release(call, CAUSE)).await?;
                 }
                 // It stood just when its caller gave up: the release is on its way.
                 _ => {}
@@ -232,7 +232,7 @@
     async fn give_up(&mut self, tally: &mut RoundsTally) -> Result<(), RoundsError> {
         if let Some((call, _)) = self.own.take() {
             tally.gave_up += 1;
-            self.tell(ToExchange::Release(call, CAUSE)).await?;
+            self.tell(ExchangeCommand::Release(call, CAUSE)).await?;
         }
         Ok(())
     }
--- a/crates/day/src/run.rs
+++ b/crates/day/src/run.rs
@@ -87,8 +87,8 @@
             };
             let _ = tell.send(Ok((bound.addrs(), tokio::runtime::Handle::current())));
             let Ok((fleet, policy)) = started.await else { return };
-            bound.set_fleet(fleet);
-            let Ok(front) = bound.start_with(policy) else { return };
+            bound.set_fleet_addrs(fleet);
+            let Ok(front) = bound.start_with_policy(policy) else { return };
             let _ = stopped.await;
             let snapshot = front.snapshot().await;
             front.stop().await;
--- a/crates/day/src/script.rs
+++ b/crates/day/src/script.rs
@@ -394,7 +394,7 @@
             }),
             _ => day.troubles.extend(read_troubles(&node)),
         }
-        node.done();
+        node.reject_unknown_keys();
     }
     if day.classes.is_empty() || day.publishers.is_empty() {
         problems.add((0, 0).into(), "a day needs a class and a publisher", None);
@@ -415,7 +415,7 @@
     for node in document.nodes() {
         let node = Node::new(node, &problems);
         troubles.extend(read_troubles(&node));
-        node.done();
+        node.reject_unknown_keys();
     }
     known(day, &troubles, &problems);
     problems.finish(name)?;
@@ -521,27 +521,27 @@
 
 fn read_day(node: &Node<'_>, day: &mut Day) {
     day.seconds = node.number("seconds", 0.1..=86_400.0).unwrap_or(day.seconds);
-    day.seed = node.whole("seed", 0..=u64::MAX).unwrap_or(day.seed);
-    day.fronts = node.whole("fronts", 1..=FRONTS_MOST as u64).unwrap_or(1) as u32;
+    day.seed = node.integer("seed", 0..=u64::MAX).unwrap_or(day.seed);
+    day.fronts = node.integer("fronts", 1..=FRONTS_MOST as u64).unwrap_or(1) as u32;
     day.watchdog = node.time("watchdog", 50 * MS..=HOUR).unwrap_or(day.watchdog);
     day.list_lag = node.time("list-lag", 0..=HOUR).unwrap_or(day.list_lag);
     match node.text("policy").as_deref() {
         None | Some("baydrift") => {}
         Some("round-robin") => day.policy = Policy::RoundRobin,
-        Some(_) => node.wrong_at("policy", "policy is none of baydrift, round-robin", None),
+        Some(_) => node.report_at("policy", "policy is none of baydrift, round-robin", None),
     }
 }
 
 fn read_servers(node: &Node<'_>, servers: &mut Servers) {
     let rate = node.number("rate", 0.1..=1e6).unwrap_or(50.0);
-    servers.rates = vec![rate; node.whole("count", 1..=256).unwrap_or(3) as usize];
+    servers.rates = vec![rate; node.integer("count", 1..=256).unwrap_or(3) as usize];
     servers.release = node.number("release", 0.0..=10.0).unwrap_or(servers.release);
     servers.refusal = node.number("refusal", 0.0..=10.0).unwrap_or(servers.refusal);
     servers.cold_rate = node.number("cold-rate", 0.1..=1e6);
     servers.lends = node.flag("lends").unwrap_or(false);
     servers.lives = node.flag("lives").unwrap_or(false);
     if servers.lends && servers.cold_rate.is_none() {
-        node.wrong_at("lends", "fronts lend of a cold-rate, which is missing", Some("cold-rate=28"));
+        node.report_at("lends", "fronts lend of a cold-rate, which is missing", Some("cold-rate=28"));
     }
     servers.cold_from = node.number("cold-from", 0.01..=1.0).unwrap_or(servers.cold_from);
     servers.fall_multiple = node.number("fall-multiple", 0.1..=100.0).unwrap_or(servers.fall_multiple);
@@ -557,10 +557,10 @@
     for (key, to) in times {
         *to = node.time(key, 0..=HOUR).unwrap_or(*to);
     }
-    servers.trunked = node.whole("trunked", 0..=servers.rates.len() as u64).unwrap_or(0) as usize;
-    servers.circuits = node.whole("circuits", 1..=4_000).unwrap_or(u64::from(servers.circuits)) as u16;
+    servers.trunked = node.integer("trunked", 0..=servers.rates.len() as u64).unwrap_or(0) as usize;
+    servers.circuits = node.integer("circuits", 1..=4_000).unwrap_or(u64::from(servers.circuits)) as u16;
     let most = u64::from(servers.circuits) - 1;
-    servers.reserve = node.whole("reserve", 0..=most).unwrap_or(0) as u16;
+    servers.reserve = node.integer("reserve", 0..=most).unwrap_or(0) as u16;
     servers.sequential = node.flag("sequential").unwrap_or(false);
     servers.incoming = node.number("incoming", 0.0..=1e6).unwrap_or(0.0);
     if let Some(tells) = node.text("tells") {
@@ -568,14 +568,14 @@
         if let Some(other) =
             servers.tells.iter().find(|t| !["wait", "busy", "rate", "queue"].contains(&t.as_str()))
         {
-            node.wrong_at("tells", format!("{other} is none of wait, busy, rate, queue"), None);
+            node.report_at("tells", format!("{other} is none of wait, busy, rate, queue"), None);
         }
     }
 }
 
 fn read_calls(node: &Node<'_>, day: &mut Day) {
     day.calls_per_s = node.number("per-second", 0.1..=1e6).unwrap_or(day.calls_per_s);
-    day.redials = node.whole("redials", 0..=100).unwrap_or(u64::from(day.redials)) as u32;
+    day.redials = node.integer("redials", 0..=100).unwrap_or(u64::from(day.redials)) as u32;
     day.redial_wait = node.time("redial-wait", MS..=HOUR).unwrap_or(day.redial_wait);
     day.again = node.number("again", 0.0..=1.0).unwrap_or(day.again);
     day.text = node.number("text", 0.0..=1.0).unwrap_or(day.text);
@@ -591,12 +591,12 @@
         lost: share("lost"),
         doubled: share("doubled"),
         reordered: share("reordered"),
-        rate: node.whole("bytes-per-second", 0..=u64::MAX / 2).unwrap_or(0),
+        rate: node.integer("bytes-per-second", 0..=u64::MAX / 2).unwrap_or(0),
     }
 }
 
 fn read_bounds(node: &Node<'_>) -> Bounds {
-    let whole = |key| node.whole(key, 0..=1_000_000).map(|n| n as usize);
+    let whole = |key| node.integer(key, 0..=1_000_000).map(|n| n as usize);
     let number = |key| node.number(key, 0.0..=1e6);
     Bounds {
         open: whole("open-connections"),
@@ -625,13 +625,13 @@
 
 /// Processes by name, apart by blanks.
 fn parties(node: &Node<'_>, key: &'static str) -> Vec<Party> {
-    let text = node.need_text(key);
+    let text = node.required_text(key);
     let mut all = Vec::new();
     for word in text.split_whitespace() {
         match word.parse() {
             Ok(party) => all.push(party),
             Err(()) => {
-                node.wrong(
+                node.report(
                     format!("{key}: {word} is no process"),
                     Some("front0, server2 or list, apart by blanks"),
                 );
@@ -647,7 +647,7 @@
     let Some(range) = node.text("fronts") else { return vec![trouble] };
     let ends = range.split_once('-').and_then(|(a, b)| Some(a.parse::<usize>().ok()?..=b.parse().ok()?));
     let Some(fronts) = ends.filter(|fronts| !fronts.is_empty() && *fronts.end() < FRONTS_MOST) else {
-        node.wrong_at("fronts", "fronts is no range", Some("fronts=\"0-6\""));
+        node.report_at("fronts", "fronts is no range", Some("fronts=\"0-6\""));
         return Vec::new();
     };
     let of = |front: usize| {
@@ -659,7 +659,7 @@
             What::Reconnect { .. } => What::Reconnect { front },
             What::Crashing { times, .. } => What::Crashing { front, times },
             other => {
-                node.wrong_at("fronts", "this trouble is not of fronts", None);
+                node.report_at("fronts", "this trouble is not of fronts", None);
                 other
             }
         };
@@ -680,8 +680,8 @@
 }
 
 fn read_trouble(node: &Node<'_>) -> Option<Trouble> {
-    let server = || node.whole("server", 0..=255).unwrap_or(0) as usize;
-    let front = || node.whole("front", 0..=FRONTS_MOST as u64 - 1).unwrap_or(0) as usize;
+    let server = || node.integer("server", 0..=255).unwrap_or(0) as usize;
+    let front = || node.integer("front", 0..=FRONTS_MOST as u64 - 1).unwrap_or(0) as usize;
     let back_after = || node.time("back-after", 0..=HOUR);
     let share = || node.number("share", 0.0..=1.0).unwrap_or(1.0);
     let factor = || node.number("factor", 0.0..=100.0).unwrap_or(2.0);
@@ -689,7 +689,7 @@
         "drain" => {
             let by = node.text("by").unwrap_or_else(|| "both".into());
             if !["list", "dpr", "both"].contains(&by.as_str()) {
-                node.wrong_at("by", "by is none of list, dpr, both", None);
+                node.report_at("by", "by is none of list, dpr, both", None);
             }
             What::Drain {
                 server: server(),
@@ -709,29 +709,29 @@
         "burst" => What::Burst { factor: factor() },
         "hot" => What::Hot { share: share() },
         "redials" => What::Redials {
-            times: node.whole("times", 0..=100).unwrap_or(10) as u32,
+            times: node.integer("times", 0..=100).unwrap_or(10) as u32,
             wait: node.time("wait", MS..=HOUR).unwrap_or(100 * MS),
         },
         "reconnect" => What::Reconnect { front: front() },
         "stall" => What::Stall { front: front() },
         "list-lag" => What::ListLag { lag: node.time("lag", 0..=HOUR).unwrap_or(10 * S) },
         "flood" => {
-            let publisher = node.whole("publisher", 0..=255).unwrap_or(0) as usize;
+            let publisher = node.integer("publisher", 0..=255).unwrap_or(0) as usize;
             What::Flood { publisher, factor: factor() }
         }
         "messages-lost" => What::MessagesLost { share: share() },
         "kill" => What::Kill { front: front(), back_after: back_after(), start: read_start(node) },
         "restart" => What::Restart { front: front(), back_after: back_after(), start: read_start(node) },
         "descriptors" => {
-            let most = node.whole("most", 8..=1_000_000).unwrap_or(DESCRIPTORS);
+            let most = node.integer("most", 8..=1_000_000).unwrap_or(DESCRIPTORS);
             What::Starve { front: front(), of: Starved::Descriptors(most) }
         }
         "memory" => {
-            let more = node.whole("more-kb", 0..=1 << 30).unwrap_or(0) << 10;
+            let more = node.integer("more-kb", 0..=1 << 30).unwrap_or(0) << 10;
             What::Starve { front: front(), of: Starved::Memory(more) }
         }
         "crashing" => {
-            What::Crashing { front: front(), times: node.whole("times", 1..=20).unwrap_or(3) as u32 }
+            What::Crashing { front: front(), times: node.integer("times", 1..=20).unwrap_or(3) as u32 }
         }
         "freeze" => What::Freeze { server: server() },
         "reset" => What::Reset { server: server() },
@@ -741,13 +741,13 @@
             one_way: node.flag("one-way").unwrap_or(false),
         },
         other => {
-            node.wrong(format!("no trouble or setting is called {other}"), None);
+            node.report(format!("no trouble or setting is called {other}"), None);
             return None;
         }
     };
     let at = node.time("at", 0..=24 * HOUR);
     if at.is_none() && !node.has("at") {
-        node.wrong("when? at is missing", Some("at=\"10s\""));
+        node.report("when? at is missing", Some("at=\"10s\""));
     }
     Some(Trouble { at: at.unwrap_or(0), span: node.time("for", 0..=HOUR).unwrap_or(3 * S), what })
 }
--- a/crates/desk/src/desk.rs
+++ b/crates/desk/src/desk.rs
@@ -313,7 +313,9 @@
         }
         let (fronts, ordinal) = (config.settings.fronts, config.settings.ordinal);
         let fleet = config.fleet.as_ref();
-        if let Some(units) = config.limits.cold_rate.filter(|_| fleet.is_some_and(|fleet| fleet.lends)) {
+        if let Some(units) =
+            config.limits.cold_rate.filter(|_| fleet.is_some_and(|fleet| fleet.budget_leases))
+        {
             engine.enable_budget_sharing(BudgetSharing {
                 units: units as u32,
                 fronts,
@@ -321,7 +323,7 @@
                 incarnation: boot.incarnation,
             });
         }
-        if fleet.is_some_and(|fleet| fleet.lives) {
+        if fleet.is_some_and(|fleet| fleet.membership) {
             let (incarnation, seed) = (boot.state_id, boot.incarnation);
             engine.enable_membership(baydrift_fleet::LocalFront { ordinal, fronts, incarnation, seed });
         }
--- a/crates/desk/src/facts.rs
+++ b/crates/desk/src/facts.rs
@@ -58,7 +58,7 @@
                 .iter()
                 .map(|class| class.contexts.first().cloned().unwrap_or_default())
                 .collect(),
-            gives_up: config.classes.iter().map(|class| class.gives_up).collect(),
+            gives_up: config.classes.iter().map(|class| class.caller_timeout).collect(),
             realms,
             subscriptions,
             servers: config.members().map(|(host, number, _)| (host.to_owned(), number)).collect(),
--- a/crates/front/src/admin.rs
+++ b/crates/front/src/admin.rs
@@ -201,7 +201,7 @@
 
 /// Why a front could not be asked.
 #[derive(Debug, thiserror::Error)]
-pub enum AskError {
+pub enum AdminError {
     /// Its socket.
     #[error("{}: {error}; is the front running, with admin socket=... in its configuration?", path.display())]
     Io {
@@ -219,7 +219,7 @@
 ///
 /// # Errors
 /// Where it does not answer, or says that it does not know the question.
-pub async fn ask(path: &Path, question: &str) -> Result<Value, AskError> {
+pub async fn query_admin(path: &Path, question: &str) -> Result<Value, AdminError> {
     let asked = async {
         let mut stream = UnixStream::connect(path).await?;
         stream.write_all(format!("{question}\n").as_bytes()).await?;
@@ -231,10 +231,10 @@
         Ok(asked) => asked,
         Err(_) => Err(std::io::ErrorKind::TimedOut.into()),
     };
-    let said = asked.map_err(|error| AskError::Io { path: path.to_owned(), error })?;
-    let said: Value = serde_json::from_str(&said).map_err(|error| AskError::Answer(error.to_string()))?;
+    let said = asked.map_err(|error| AdminError::Io { path: path.to_owned(), error })?;
+    let said: Value = serde_json::from_str(&said).map_err(|error| AdminError::Answer(error.to_string()))?;
     match said.get("error") {
-        Some(error) => Err(AskError::Answer(error.to_string())),
+        Some(error) => Err(AdminError::Answer(error.to_string())),
         None => Ok(said),
     }
 }
--- a/crates/front/src/core.rs
+++ b/crates/front/src/core.rs
@@ -227,7 +227,7 @@
         let held = self.desk.held();
         // The last of the time is kept for cutting what still stands, and for good-byes.
         let left = until.saturating_duration_since(Instant::now());
-        let share = Duration::from_micros(self.shared.config.stop_within) / 4;
+        let share = Duration::from_micros(self.shared.config.shutdown_timeout) / 4;
         if held.calls > 0 && left > share {
             return false;
         }
--- a/crates/front/src/exchange.rs
+++ b/crates/front/src/exchange.rs
@@ -17,7 +17,7 @@
 
 /// What an exchange is told.
 #[derive(Debug)]
-pub enum ToExchange {
+pub enum ExchangeCommand {
     /// Seize a circuit for a call.
     Seize(CallKey, GroupId, Setup, RouteChoice),
     /// Take an incoming call.
@@ -44,7 +44,7 @@
 /// A running exchange; it ends when this is dropped.
 #[derive(Debug)]
 pub struct Exchange {
-    commands: mpsc::Sender<ToExchange>,
+    commands: mpsc::Sender<ExchangeCommand>,
     task: tokio::task::JoinHandle<()>,
 }
 
@@ -73,14 +73,14 @@
     }
 
     /// Tells it something; `false` once it has ended.
-    pub async fn tell(&self, what: ToExchange) -> bool {
+    pub async fn send(&self, what: ExchangeCommand) -> bool {
         self.commands.send(what).await.is_ok()
     }
 
     /// What it is like.
     pub async fn state(&self) -> Option<ExchangeState> {
         let (tell, told) = oneshot::channel();
-        self.commands.send(ToExchange::State(tell)).await.ok()?;
+        self.commands.send(ExchangeCommand::State(tell)).await.ok()?;
         told.await.ok()
     }
 }
@@ -91,7 +91,7 @@
     link: mpsc::Sender<Data>,
     linked: mpsc::Receiver<Linked>,
     events: mpsc::Sender<Output>,
-    received: mpsc::Receiver<ToExchange>,
+    received: mpsc::Receiver<ExchangeCommand>,
     began: Instant,
     done: (Vec<Data>, Vec<Output>),
 }
@@ -139,16 +139,16 @@
         }
     }
 
-    fn command(&mut self, command: ToExchange) {
+    fn command(&mut self, command: ExchangeCommand) {
         let now = self.now();
         match command {
-            ToExchange::Seize(call, group, setup, claim) => {
+            ExchangeCommand::Seize(call, group, setup, claim) => {
                 self.office.seize(now, call, group, setup, claim, &mut self.done);
             }
-            ToExchange::Accept(call) => self.office.accept(call, &mut self.done),
-            ToExchange::Answer(call) => self.office.answer(call, &mut self.done),
-            ToExchange::Release(call, cause) => self.office.release(now, call, cause, &mut self.done),
-            ToExchange::State(reply) => {
+            ExchangeCommand::Accept(call) => self.office.accept(call, &mut self.done),
+            ExchangeCommand::Answer(call) => self.office.answer(call, &mut self.done),
+            ExchangeCommand::Release(call, cause) => self.office.release(now, call, cause, &mut self.done),
+            ExchangeCommand::State(reply) => {
                 let trunks = self.office.trunks();
                 let usage = (0..).map_while(|group| trunks.usage(GroupId(group))).collect();
                 let (counts, office) = (trunks.counts(), self.office.counts());
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -34,8 +34,8 @@
 use crate::core::ToCore;
 use crate::signalling::Linked;
 
-pub use admin::{ask, AskError};
-pub use exchange::{Exchange, ExchangeState, ToExchange};
+pub use admin::{query_admin, AdminError};
+pub use exchange::{Exchange, ExchangeCommand, ExchangeState};
 pub use signalling::Role;
 
 /// Why a front cannot start.
@@ -226,14 +226,14 @@
     }
 
     /// Names the other fronts' addresses anew, where their ports were not known before.
-    pub fn set_fleet(&mut self, fronts: Vec<(u32, SocketAddr)>) {
+    pub fn set_fleet_addrs(&mut self, fronts: Vec<(u32, SocketAddr)>) {
         if let Some(fleet) = &mut self.config.fleet {
             fleet.fronts = fronts;
         }
     }
 
     /// Takes the wall clock for so many microseconds off: a fault, for days that want one.
-    pub fn set_clock_off(&mut self, micros: i64) {
+    pub fn set_clock_offset(&mut self, micros: i64) {
         self.clock_off = micros;
     }
 
@@ -242,14 +242,14 @@
     /// # Errors
     /// Where the engine refuses its settings.
     pub fn start(self) -> Result<Front, FrontError> {
-        self.start_with(None)
+        self.start_with_policy(None)
     }
 
     /// The same with another policy than the module, for comparisons.
     ///
     /// # Errors
     /// As [`Bound::start`].
-    pub fn start_with(self, policy: Option<Box<dyn Policy>>) -> Result<Front, FrontError> {
+    pub fn start_with_policy(self, policy: Option<Box<dyn Policy>>) -> Result<Front, FrontError> {
         let Self { config, listener, pool, fleet, text_udp, text_tcp, signalling, admin, addrs, clock_off } =
             self;
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as Micros);
@@ -374,7 +374,7 @@
     /// An orderly stop: no new connections or calls; what is undecided is answered; calls that stand may end
     /// for a while and are cut then; DPR to all peers. Takes no longer than `stop-within` and a second.
     pub async fn stop(self) {
-        let within = Duration::from_micros(self.shared.config.stop_within);
+        let within = Duration::from_micros(self.shared.config.shutdown_timeout);
         let _ = self.closing.send(true);
         let (done, stopped) = oneshot::channel();
         if self.to_core.send(ToCore::Stop { within, done }).await.is_ok() {
--- a/crates/front/tests/admin.rs
+++ b/crates/front/tests/admin.rs
@@ -7,7 +7,7 @@
 
 use baydrift_audit::Recorder;
 use baydrift_emulator::FarEndSpec;
-use baydrift_front::{ask, AskError, Bound, FrontError};
+use baydrift_front::{query_admin, AdminError, Bound, FrontError};
 use baydrift_standin::{FarEnd, ProcessorSpec};
 
 fn config(socket: &std::path::Path, far: &str) -> baydrift_config::Config {
@@ -60,7 +60,7 @@
     // Its circuits are reset first; once the far end has acknowledged that, they are free.
     let said = tokio::time::timeout(Duration::from_secs(30), async {
         loop {
-            let said = ask(&path, "circuits").await.expect("an answer");
+            let said = query_admin(&path, "circuits").await.expect("an answer");
             if said["groups"][0]["free"] == 40 {
                 return said;
             }
@@ -75,14 +75,14 @@
         (&true.into(), &40.into(), &0.into())
     );
     assert_eq!(group["not_idle"].as_array().map(Vec::len), Some(0));
-    let unknown = ask(&path, "everything").await.expect_err("no such question");
-    assert!(matches!(&unknown, AskError::Answer(text) if text.contains("everything")), "{unknown}");
+    let unknown = query_admin(&path, "everything").await.expect_err("no such question");
+    assert!(matches!(&unknown, AdminError::Answer(text) if text.contains("everything")), "{unknown}");
     // Nobody else's: neither to be read by others, nor to be taken by a second front.
     use std::os::unix::fs::PermissionsExt;
     assert_eq!(std::fs::metadata(&path).expect("a file").permissions().mode() & 0o777, 0o600);
     assert!(matches!(Bound::bind(config).await, Err(FrontError::Admin { .. })));
     front.stop().await;
-    assert!(matches!(ask(&path, "circuits").await, Err(AskError::Io { .. })));
+    assert!(matches!(query_admin(&path, "circuits").await, Err(AdminError::Io { .. })));
 }
 
 #[tokio::test]
@@ -91,7 +91,7 @@
     drop(std::os::unix::net::UnixListener::bind(&path).expect("bound"));
     assert!(path.exists());
     let front = Bound::bind(config(&path, "127.0.0.1:1")).await.expect("bound").start().expect("started");
-    let said = ask(&path, "circuits").await.expect("an answer");
+    let said = query_admin(&path, "circuits").await.expect("an answer");
     // The far end is away: nothing is free, and what is to be reset waits.
     let group = &said["groups"][0];
     assert_eq!(
