--- a/crates/front/src/admin.rs
+++ b/crates/front/src/admin.rs
@@ -1,7 +1,9 @@
-//! What operators ask a running front, on a Unix socket: one line in, one JSON document out.
+//! The admin socket of a running front: a Unix socket that takes one command line and returns one JSON
+//! document.
 //!
-//! Who may ask is who may open the file: it is made for its owner alone. Bounds: [`CONNECTIONS`] at once, a line of
-//! [`LINE`] octets, [`PATIENCE`] for all of it.
+//! Access is controlled by the permissions of the socket file, which only its owner may open. Limits:
+//! [`MAX_CONNECTIONS`] at once, a command line of [`MAX_COMMAND_BYTES`], [`REQUEST_TIMEOUT`] for the whole
+//! request.
 
 use std::os::unix::fs::{FileTypeExt, PermissionsExt};
 use std::path::{Path, PathBuf};
@@ -20,13 +22,16 @@
 use crate::core::ToCore;
 use crate::Shared;
 
-const CONNECTIONS: usize = 8;
-const LINE: u64 = 256;
-const PATIENCE: Duration = Duration::from_secs(10);
-/// Longest answer that is read: all circuits of 250 groups, each busy.
-const ANSWER: u64 = 64 * 1024 * 1024;
+/// Concurrent connections; further ones wait to be accepted.
+const MAX_CONNECTIONS: usize = 8;
+/// Longest command line, in bytes.
+const MAX_COMMAND_BYTES: u64 = 256;
+/// Time limit of a request, on both sides.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
+/// Longest answer that a client reads, in bytes: enough for all circuits of 250 groups, each busy.
+const MAX_ANSWER_BYTES: u64 = 64 * 1024 * 1024;
 
-/// A bound socket; its file goes with it.
+/// A bound admin socket; dropping it removes its file.
 #[derive(Debug)]
 pub(crate) struct Socket {
     listener: UnixListener,
@@ -40,13 +45,14 @@
 }
 
 impl Socket {
-    /// Binds the path. A file that a killed front left is replaced; one that a running front listens on is not, nor
-    /// is a file that is no socket.
+    /// Binds the path. The stale socket of a killed front is replaced. The socket of a running front and a
+    /// file that is not a socket are left alone, and binding fails.
     pub(crate) fn bind(path: &Path) -> std::io::Result<Self> {
-        let left = std::os::unix::net::UnixStream::connect(path);
-        let dead = matches!(&left, Err(error) if error.kind() == std::io::ErrorKind::ConnectionRefused);
-        // A file that is no socket refuses connections too.
-        if dead && std::fs::symlink_metadata(path)?.file_type().is_socket() {
+        let connected = std::os::unix::net::UnixStream::connect(path);
+        let refused =
+            matches!(&connected, Err(error) if error.kind() == std::io::ErrorKind::ConnectionRefused);
+        // Connecting to a file that is not a socket is refused too.
+        if refused && std::fs::symlink_metadata(path)?.file_type().is_socket() {
             std::fs::remove_file(path)?;
         }
         let listener = UnixListener::bind(path)?;
@@ -56,10 +62,10 @@
 }
 
 pub(crate) async fn serve(shared: Arc<Shared>, socket: Socket) {
-    let room = Arc::new(Semaphore::new(CONNECTIONS));
+    let slots = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     let mut closing = shared.closing.clone();
     loop {
-        let Ok(permit) = room.clone().acquire_owned().await else { return };
+        let Ok(permit) = slots.clone().acquire_owned().await else { return };
         let accepted = tokio::select! {
             accepted = socket.listener.accept() => accepted,
             _ = closing.wait_for(|closing| *closing) => return,
@@ -68,14 +74,17 @@
             Ok((stream, _)) => {
                 let shared = shared.clone();
                 tokio::spawn(async move {
-                    if !matches!(tokio::time::timeout(PATIENCE, answer(&shared, stream)).await, Ok(Ok(()))) {
-                        debug!("an operator's connection ended early");
+                    if !matches!(
+                        tokio::time::timeout(REQUEST_TIMEOUT, answer(&shared, stream)).await,
+                        Ok(Ok(()))
+                    ) {
+                        debug!("admin connection ended early");
                     }
                     drop(permit);
                 });
             }
             Err(error) => {
-                warn!(%error, "operators' socket");
+                warn!(%error, "cannot accept an admin connection");
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
         }
@@ -85,28 +94,30 @@
 async fn answer(shared: &Shared, stream: UnixStream) -> std::io::Result<()> {
     let (from, mut to) = stream.into_split();
     let mut line = String::new();
-    BufReader::new(from).take(LINE).read_line(&mut line).await?;
-    let said = match line.trim() {
+    BufReader::new(from).take(MAX_COMMAND_BYTES).read_line(&mut line).await?;
+    let answer = match line.trim() {
         "circuits" => from_core(shared, ToCore::Circuits).await,
         "fleet" => from_core(shared, ToCore::Fleet).await,
         other => json!({"error": format!("{other:?} is not known here; known: circuits, fleet")}),
     };
-    to.write_all(format!("{said}\n").as_bytes()).await?;
+    to.write_all(format!("{answer}\n").as_bytes()).await?;
     to.shutdown().await
 }
 
-async fn from_core(shared: &Shared, question: impl FnOnce(oneshot::Sender<Value>) -> ToCore) -> Value {
-    let (tell, told) = oneshot::channel();
-    let asked = shared.core.send(question(tell)).await;
-    let told = if asked.is_ok() { told.await.ok() } else { None };
-    told.unwrap_or_else(|| json!({"error": "the front stops"}))
+/// Requests a document from the core.
+async fn from_core(shared: &Shared, request: impl FnOnce(oneshot::Sender<Value>) -> ToCore) -> Value {
+    let (reply, response) = oneshot::channel();
+    let sent = shared.core.send(request(reply)).await;
+    let document = if sent.is_ok() { response.await.ok() } else { None };
+    document.unwrap_or_else(|| json!({"error": "the front stops"}))
 }
 
-/// Who of the fleet is believed alive, how far that may be relied on, and what this front has of each shared budget.
+/// Membership of the fleet as this front sees it, how current that view is, and this front's part of each
+/// shared budget.
 pub(crate) fn fleet(desk: &Desk, now: Micros) -> Value {
-    let lives = desk.lives().map(|lives| {
-        let (view, own) = (lives.view(now), lives.local_member());
-        let members = lives.members().map(|(member, alive, since)| {
+    let membership = desk.lives().map(|membership| {
+        let (view, own) = (membership.view(now), membership.local_member());
+        let members = membership.members().map(|(member, alive, since)| {
             json!({
                 "ordinal": member.ordinal,
                 "incarnation": member.incarnation,
@@ -136,12 +147,12 @@
             "borrowed": has.borrowed_free + has.borrowed_spent,
         })
     });
-    json!({"lives": lives, "budgets": budgets.collect::<Vec<_>>()})
+    json!({"lives": membership, "budgets": budgets.collect::<Vec<_>>()})
 }
 
-/// All groups, and their circuits that are not plainly idle.
+/// All trunk groups with their usage, and their circuits that are not idle and unblocked.
 pub(crate) fn circuits(desk: &Desk, now: Micros) -> Value {
-    let groups: Vec<_> = desk.trunk_groups().iter().map(|group| of_group(desk, now, group)).collect();
+    let groups: Vec<_> = desk.trunk_groups().iter().map(|group| group_document(desk, now, group)).collect();
     let counts = desk.office().trunks().counts();
     json!({
         "groups": groups,
@@ -156,27 +167,28 @@
     })
 }
 
-fn of_group(desk: &Desk, now: Micros, group: &TrunkGroupView) -> Value {
+/// One trunk group.
+fn group_document(desk: &Desk, now: Micros, group: &TrunkGroupView) -> Value {
     let TrunkGroupView { far_end, point, name, id, view } = group;
     let trunks = desk.office().trunks();
     let circuits = (view.first..view.first.saturating_add(view.circuits)).filter_map(|cic| {
         let circuit = trunks.view(*id, cic)?;
-        let told = circuit.state;
-        let plain = told.processing == Processing::Idle && !told.locally_blocked && !told.remotely_blocked;
-        let state = match told.processing {
+        let state = circuit.state;
+        let idle = state.processing == Processing::Idle && !state.locally_blocked && !state.remotely_blocked;
+        let processing = match state.processing {
             Processing::Transient => "clearing",
             Processing::Unequipped => "unequipped",
             Processing::IncomingBusy => "incoming",
             Processing::OutgoingBusy => "outgoing",
             Processing::Idle => "idle",
         };
-        (!plain).then(|| {
+        (!idle).then(|| {
             json!({
                 "cic": cic,
-                "state": state,
+                "state": processing,
                 "age_ms": now.saturating_sub(circuit.since) / 1_000,
-                "blocked_here": told.locally_blocked,
-                "blocked_there": told.remotely_blocked,
+                "blocked_here": state.locally_blocked,
+                "blocked_there": state.remotely_blocked,
                 "call": circuit.call.map(|call| call.0),
             })
         })
@@ -199,42 +211,43 @@
     })
 }
 
-/// Why a front could not be asked.
+/// Why a query on the admin socket failed.
 #[derive(Debug, thiserror::Error)]
 pub enum AdminError {
-    /// Its socket.
+    /// The socket could not be used.
     #[error("{}: {error}; is the front running, with admin socket=... in its configuration?", path.display())]
     Io {
-        /// Where.
+        /// Path of the socket.
         path: PathBuf,
-        /// Why.
+        /// Error of the operating system.
         error: std::io::Error,
     },
-    /// What it answered is no answer.
+    /// The answer is not valid JSON, or reports an error.
     #[error("the front's answer: {0}")]
     Answer(String),
 }
 
-/// Asks a running front.
+/// Sends a command to a running front's admin socket and returns the answer.
 ///
 /// # Errors
-/// Where it does not answer, or says that it does not know the question.
-pub async fn query_admin(path: &Path, question: &str) -> Result<Value, AdminError> {
-    let asked = async {
+/// If the front does not answer in time, or answers with an error, such as for an unknown command.
+pub async fn query_admin(path: &Path, command: &str) -> Result<Value, AdminError> {
+    let request = async {
         let mut stream = UnixStream::connect(path).await?;
-        stream.write_all(format!("{question}\n").as_bytes()).await?;
-        let mut said = String::new();
-        stream.take(ANSWER).read_to_string(&mut said).await?;
-        Ok(said)
+        stream.write_all(format!("{command}\n").as_bytes()).await?;
+        let mut answer = String::new();
+        stream.take(MAX_ANSWER_BYTES).read_to_string(&mut answer).await?;
+        Ok(answer)
     };
-    let asked = match tokio::time::timeout(PATIENCE, asked).await {
-        Ok(asked) => asked,
+    let answer = match tokio::time::timeout(REQUEST_TIMEOUT, request).await {
+        Ok(answer) => answer,
         Err(_) => Err(std::io::ErrorKind::TimedOut.into()),
     };
-    let said = asked.map_err(|error| AdminError::Io { path: path.to_owned(), error })?;
-    let said: Value = serde_json::from_str(&said).map_err(|error| AdminError::Answer(error.to_string()))?;
-    match said.get("error") {
+    let answer = answer.map_err(|error| AdminError::Io { path: path.to_owned(), error })?;
+    let answer: Value =
+        serde_json::from_str(&answer).map_err(|error| AdminError::Answer(error.to_string()))?;
+    match answer.get("error") {
         Some(error) => Err(AdminError::Answer(error.to_string())),
-        None => Ok(said),
+        None => Ok(answer),
     }
 }
--- a/crates/front/src/client.rs
+++ b/crates/front/src/client.rs
@@ -1,4 +1,4 @@
-//! One client connection.
+//! The task of one client connection.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,90 +12,94 @@
 use tracing::{debug, info, warn};
 
 use crate::core::{ToCore, ToLink};
-use crate::link::{feed, flush, read_now, wire, Wire, BURST};
+use crate::link::{feed, flush, read_now, transport, Transport, MAX_BURST};
 use crate::Shared;
 
-/// Time to read the last answer after it was refused: closing at once would throw it away.
-const LINGER: Duration = Duration::from_millis(200);
+/// Time for a rejected client to read the final answer: closing at once could discard it.
+const FINAL_ANSWER_TIMEOUT: Duration = Duration::from_millis(200);
 
 pub(crate) async fn run(shared: Arc<Shared>, stream: TcpStream, link: LinkId) {
-    let mut wire = wire(stream, shared.config.links.message_bytes);
-    let patience = Duration::from_micros(shared.config.links.handshake);
-    let first = tokio::time::timeout(patience, wire.next()).await;
+    let mut transport = transport(stream, shared.config.links.message_bytes);
+    let timeout = Duration::from_micros(shared.config.links.handshake);
+    let first = tokio::time::timeout(timeout, transport.next()).await;
     match first {
         Ok(Some(Ok(Frame::Valid(cer))))
             if cer.header.code == code::CAPABILITIES && cer.header.flags.request =>
         {
-            greeted(&shared, wire, link, cer).await;
+            open_client(&shared, transport, link, cer).await;
         }
         Ok(Some(Ok(Frame::Invalid(message, fault)))) => {
             let answer = Message::error_answer(&message, &fault, &shared.local.host, &shared.local.realm);
-            part(wire, answer).await;
+            send_final_answer(transport, answer).await;
         }
-        Ok(Some(Ok(_))) => info!(link = link.0, "a message before the capabilities were exchanged: closed"),
-        Ok(Some(Err(error))) => info!(link = link.0, %error, "closed"),
-        Ok(None) => debug!(link = link.0, "closed before it said anything"),
-        Err(_) => info!(link = link.0, "no capabilities in time: closed"),
+        Ok(Some(Ok(_))) => info!(link = link.0, "connection closed: first message is not a CER"),
+        Ok(Some(Err(error))) => info!(link = link.0, %error, "connection closed"),
+        Ok(None) => debug!(link = link.0, "connection closed before the capabilities exchange"),
+        Err(_) => info!(link = link.0, "connection closed: no CER within the handshake timeout"),
     }
-    shared.doors().close(link);
+    shared.admission().close(link);
 }
 
-/// Gives a last answer and closes.
-async fn part(mut wire: Wire, answer: Message) {
-    if feed(&mut wire, answer, LINGER).await.is_ok() && flush(&mut wire, LINGER).await.is_ok() {
-        let _ = tokio::time::timeout(LINGER, wire.next()).await;
+/// Sends a final answer, waits for the client to read it, and closes the connection.
+async fn send_final_answer(mut transport: Transport, answer: Message) {
+    if feed(&mut transport, answer, FINAL_ANSWER_TIMEOUT).await.is_ok()
+        && flush(&mut transport, FINAL_ANSWER_TIMEOUT).await.is_ok()
+    {
+        let _ = tokio::time::timeout(FINAL_ANSWER_TIMEOUT, transport.next()).await;
     }
 }
 
-async fn greeted(shared: &Arc<Shared>, wire: Wire, link: LinkId, cer: Message) {
-    // A server that connects by itself: the transport belongs to its own task.
+/// Handles the CER of a new connection: opens a client link, or passes a server's transport to its task.
+async fn open_client(shared: &Arc<Shared>, transport: Transport, link: LinkId, cer: Message) {
+    // A configured server opened this connection: its transport is handed to that server's task.
     let host = cer.text(baydrift_diameter::dict::ORIGIN_HOST).unwrap_or("");
     if let Some(server) = shared.inbound.get(host) {
-        let _ = server.try_send((wire, cer));
+        let _ = server.try_send((transport, cer));
         return;
     }
-    let opened = shared.doors().greet(link, &cer, &shared.local);
+    let opened = shared.admission().greet(link, &cer, &shared.local);
     match opened {
         Ok(opened) => {
             info!(link = link.0, peer = opened.remote.host, "client connected");
             let (to_link, from_core) = mpsc::channel(shared.config.links.queue);
             let (local, watchdog) = (shared.local.clone(), shared.config.watchdog);
-            let peer = ClientLink::new(link, local, watchdog, shared.end_to_end(), rand::random());
+            let peer = ClientLink::new(link, local, watchdog, shared.initial_end_to_end_id(), rand::random());
             let up = ToCore::ClientUp(link, opened.clone(), to_link);
             if shared.core.send(up).await.is_ok() {
-                let mut client = Client { shared, wire, link, peer, out: Vec::new(), from_core };
-                let why = client.serve(cer).await;
-                ended(link, &opened, why);
+                let mut client = ClientTask { shared, transport, link, peer, out: Vec::new(), from_core };
+                let result = client.serve(cer).await;
+                log_end(link, &opened, result);
                 let _ = shared.core.send(ToCore::Desk(DeskInput::ClientDown(link))).await;
             }
         }
         Err(fault) => {
-            warn!(link = link.0, peer = host, code = fault.code, "turned away: {}", fault.text);
+            warn!(link = link.0, peer = host, code = fault.code, "client rejected: {}", fault.text);
             let answer = Message::error_answer(&cer, &fault, &shared.local.host, &shared.local.realm);
-            part(wire, answer).await;
+            send_final_answer(transport, answer).await;
         }
     }
 }
 
-fn ended(link: LinkId, opened: &Opened, why: Result<(), StreamError>) {
-    match why {
-        Ok(()) => info!(link = link.0, peer = opened.remote.host, "client gone"),
+fn log_end(link: LinkId, opened: &Opened, result: Result<(), StreamError>) {
+    match result {
+        Ok(()) => info!(link = link.0, peer = opened.remote.host, "client disconnected"),
         Err(error) => warn!(link = link.0, peer = opened.remote.host, %error, "client's link closed"),
     }
 }
 
-struct Client<'a> {
+/// State of a client connection's task.
+struct ClientTask<'a> {
     shared: &'a Arc<Shared>,
-    wire: Wire,
+    transport: Transport,
     link: LinkId,
     peer: ClientLink,
     out: Vec<LinkOutput>,
     from_core: mpsc::Receiver<ToLink>,
 }
 
-impl Client<'_> {
+impl ClientTask<'_> {
     async fn serve(&mut self, cer: Message) -> Result<(), StreamError> {
-        self.give(PeerInput::Accepted(cer)).await?;
+        self.handle(PeerInput::Accepted(cer)).await?;
         loop {
             self.flush().await?;
             if !self.peer.is_open() {
@@ -103,44 +107,45 @@
             }
             let due = self.shared.clock.at(self.peer.due());
             tokio::select! {
-                frame = self.wire.next() => self.frames(frame).await?,
+                frame = self.transport.next() => self.handle_frames(frame).await?,
                 message = self.from_core.recv() => match message {
-                    Some(message) => self.outgoing(message).await?,
+                    Some(message) => self.handle_outgoing(message).await?,
                     None => return Ok(()),
                 },
-                () = tokio::time::sleep_until(due) => self.give(PeerInput::Tick).await?,
+                () = tokio::time::sleep_until(due) => self.handle(PeerInput::Tick).await?,
             }
         }
     }
 
-    /// A message, and those that have come with it.
-    async fn frames(&mut self, first: Option<Result<Frame, StreamError>>) -> Result<(), StreamError> {
+    /// Handles a received frame and those already buffered behind it, up to [`MAX_BURST`].
+    async fn handle_frames(&mut self, first: Option<Result<Frame, StreamError>>) -> Result<(), StreamError> {
         let mut next = Some(first);
-        for _ in 0..BURST {
+        for _ in 0..MAX_BURST {
             match next {
-                Some(Some(frame)) => self.give(PeerInput::Received(Side::Responder, frame?)).await?,
-                Some(None) => return self.give(PeerInput::Disconnected(Side::Responder)).await,
+                Some(Some(frame)) => self.handle(PeerInput::Received(Side::Responder, frame?)).await?,
+                Some(None) => return self.handle(PeerInput::Disconnected(Side::Responder)).await,
                 None => return Ok(()),
             }
-            next = if self.peer.is_open() { read_now(&mut self.wire) } else { None };
+            next = if self.peer.is_open() { read_now(&mut self.transport) } else { None };
         }
         match next {
-            Some(Some(frame)) => self.give(PeerInput::Received(Side::Responder, frame?)).await,
-            Some(None) => self.give(PeerInput::Disconnected(Side::Responder)).await,
+            Some(Some(frame)) => self.handle(PeerInput::Received(Side::Responder, frame?)).await,
+            Some(None) => self.handle(PeerInput::Disconnected(Side::Responder)).await,
             None => Ok(()),
         }
     }
 
-    async fn outgoing(&mut self, first: ToLink) -> Result<(), StreamError> {
+    /// Sends a message from the core and those queued behind it, up to [`MAX_BURST`].
+    async fn handle_outgoing(&mut self, first: ToLink) -> Result<(), StreamError> {
         let mut next = Some(first);
-        for _ in 0..BURST {
+        for _ in 0..MAX_BURST {
             match next {
                 Some(ToLink::Send(message)) => {
                     let message = self.peer.outgoing(message);
                     self.feed(message).await?;
                 }
                 Some(ToLink::Stop) => {
-                    self.give(PeerInput::Stop(cause::REBOOTING)).await?;
+                    self.handle(PeerInput::Stop(cause::REBOOTING)).await?;
                 }
                 Some(ToLink::Request(..)) | None => return Ok(()),
             }
@@ -151,12 +156,13 @@
                 let message = self.peer.outgoing(message);
                 self.feed(message).await
             }
-            Some(ToLink::Stop) => self.give(PeerInput::Stop(cause::REBOOTING)).await,
+            Some(ToLink::Stop) => self.handle(PeerInput::Stop(cause::REBOOTING)).await,
             _ => Ok(()),
         }
     }
 
-    async fn give(&mut self, input: PeerInput) -> Result<(), StreamError> {
+    /// Passes an input to the peer state machine and carries out its outputs.
+    async fn handle(&mut self, input: PeerInput) -> Result<(), StreamError> {
         let now = self.shared.clock.now();
         let mut out = std::mem::take(&mut self.out);
         self.peer.handle(now, input, &mut out);
@@ -164,8 +170,8 @@
             match output {
                 LinkOutput::Send(_, message) => self.feed(message).await?,
                 LinkOutput::Desk(input) => drop(self.shared.core.send(ToCore::Desk(input)).await),
-                LinkOutput::Refused(code) => debug!(link = self.link.0, code, "message turned down"),
-                // Its state tells when the link is over.
+                LinkOutput::Refused(code) => debug!(link = self.link.0, code, "message rejected"),
+                // A closed link shows in the peer's state, which `serve` checks.
                 _ => {}
             }
         }
@@ -174,12 +180,12 @@
     }
 
     async fn feed(&mut self, message: Message) -> Result<(), StreamError> {
-        let patience = Duration::from_micros(self.shared.config.links.write);
-        feed(&mut self.wire, message, patience).await
+        let timeout = Duration::from_micros(self.shared.config.links.write);
+        feed(&mut self.transport, message, timeout).await
     }
 
     async fn flush(&mut self) -> Result<(), StreamError> {
-        let patience = Duration::from_micros(self.shared.config.links.write);
-        flush(&mut self.wire, patience).await
+        let timeout = Duration::from_micros(self.shared.config.links.write);
+        flush(&mut self.transport, timeout).await
     }
 }
--- a/crates/front/src/core.rs
+++ b/crates/front/src/core.rs
@@ -1,4 +1,4 @@
-//! The one task that owns the desk.
+//! The core task, which owns the desk: passes inputs and timers to it and dispatches its outputs.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,51 +16,52 @@
 use crate::text::Datagram;
 use crate::{fleet, Shared, Snapshot, Spent};
 
-/// What tasks tell the core.
+/// Messages from the other tasks to the core.
 pub(crate) enum ToCore {
-    /// A client's link is open; messages for it go here.
+    /// A client connection is open; the sender takes messages for it.
     ClientUp(LinkId, Opened, mpsc::Sender<ToLink>),
-    /// A text client's connection is open; texts for it go here.
+    /// A text client's TCP connection is open; the sender takes texts for it.
     TextUp(LinkId, mpsc::Sender<Arc<str>>),
-    /// Anything else for the desk.
+    /// An input that is passed to the desk.
     Desk(DeskInput),
-    /// A pushed list; the answer goes back to who pushed it.
+    /// A pushed pool list; the result is returned to the list service.
     Pool(PoolList, oneshot::Sender<Result<(), PoolError>>),
-    /// What are the trunk groups like?
+    /// Requests the state of the trunk groups.
     Circuits(oneshot::Sender<serde_json::Value>),
-    /// Who of the fleet lives, and what is shared?
+    /// Requests the membership of the fleet and the shared budgets.
     Fleet(oneshot::Sender<serde_json::Value>),
-    /// What is held?
+    /// Requests the counters and current state.
     Snapshot(oneshot::Sender<Snapshot>),
-    /// Stop in order.
+    /// Requests a graceful shutdown.
     Stop {
-        /// At most so long.
-        within: Duration,
-        /// Told when all is said.
+        /// Time limit of the shutdown.
+        timeout: Duration,
+        /// Notified when the links are closed or the time limit is reached.
         done: oneshot::Sender<()>,
     },
 }
 
-/// What the core tells a link's task.
+/// Messages from the core to the task of a client or server link.
 pub(crate) enum ToLink {
-    /// Send as it is, or a request with a new id.
+    /// Sends a message; a request gets a new Hop-by-Hop Identifier.
     Send(Message),
-    /// Send a request for an attempt, said at this time.
+    /// Sends an attempt's request that the desk issued at this time.
     Request(Micros, (AttemptId, Kind), Message),
-    /// Say good-bye.
+    /// Sends DPR and closes the link.
     Stop,
 }
 
-/// Inputs handled before timers and outputs get their turn.
+/// Inputs handled at most before timers and outputs are processed.
 const BATCH: usize = 256;
+
 struct Core {
     shared: Arc<Shared>,
     desk: Desk,
     clients: BTreeMap<LinkId, mpsc::Sender<ToLink>>,
     servers: BTreeMap<ServerId, mpsc::Sender<ToLink>>,
     texts: BTreeMap<LinkId, mpsc::Sender<Arc<str>>>,
-    /// Signalling links, by the far end's point code.
-    fars: BTreeMap<u32, mpsc::Sender<Data>>,
+    /// Signalling links, by the point code of the far end.
+    far_end_links: BTreeMap<u32, mpsc::Sender<Data>>,
     datagrams: Option<mpsc::Sender<Datagram>>,
     fleet: Option<Arc<UdpSocket>>,
     out: Vec<DeskOutput>,
@@ -73,7 +74,7 @@
     desk: Desk,
     mut inputs: mpsc::Receiver<ToCore>,
     servers: BTreeMap<ServerId, mpsc::Sender<ToLink>>,
-    fars: BTreeMap<u32, mpsc::Sender<Data>>,
+    far_end_links: BTreeMap<u32, mpsc::Sender<Data>>,
     datagrams: Option<mpsc::Sender<Datagram>>,
     fleet: Option<Arc<UdpSocket>>,
 ) {
@@ -85,7 +86,7 @@
         clients: BTreeMap::new(),
         servers,
         texts: BTreeMap::new(),
-        fars,
+        far_end_links,
         datagrams,
         fleet,
         out: Vec::new(),
@@ -117,19 +118,19 @@
         let (now, started) = (clock.now(), Instant::now());
         core.spent.inputs += batch.len() as u64;
         for input in batch.drain(..) {
-            core.take(now, input);
+            core.handle_input(now, input);
         }
         core.desk.hear(now, DeskInput::Tick, &mut core.out);
         core.spent.desk_ns += started.elapsed().as_nanos() as u64;
         core.dispatch();
-        if core.stopped(now) {
+        if core.advance_shutdown(now) {
             return;
         }
     }
 }
 
 impl Core {
-    fn take(&mut self, now: Micros, input: ToCore) {
+    fn handle_input(&mut self, now: Micros, input: ToCore) {
         match input {
             ToCore::ClientUp(link, opened, sender) => {
                 self.clients.insert(link, sender);
@@ -148,12 +149,12 @@
                 self.desk.hear(now, input, &mut self.out);
             }
             ToCore::Pool(list, reply) => {
-                let taken = self.desk.pool(now, &list, &mut self.out);
-                match &taken {
+                let result = self.desk.pool(now, &list, &mut self.out);
+                match &result {
                     Ok(()) => info!(version = list.version, servers = list.servers.len(), "pool list"),
-                    Err(error) => warn!(%error, "pool list turned down"),
+                    Err(error) => warn!(%error, "pool list rejected"),
                 }
-                let _ = reply.send(taken);
+                let _ = reply.send(result);
             }
             ToCore::Circuits(reply) => {
                 let _ = reply.send(crate::admin::circuits(&self.desk, now));
@@ -164,9 +165,9 @@
             ToCore::Snapshot(reply) => {
                 let _ = reply.send(self.snapshot());
             }
-            ToCore::Stop { within, done } => {
+            ToCore::Stop { timeout, done } => {
                 self.desk.hear(now, DeskInput::Stop, &mut self.out);
-                self.stopping = Some((Instant::now() + within, Some(done)));
+                self.stopping = Some((Instant::now() + timeout, Some(done)));
             }
         }
     }
@@ -177,7 +178,7 @@
             held: self.desk.held(),
             held_back: self.desk.held_back(),
             faults: self.desk.faults(),
-            connections: self.shared.doors().count(),
+            connections: self.shared.admission().count(),
             spent: self.spent,
         }
     }
@@ -186,10 +187,11 @@
         for output in self.out.drain(..) {
             match output {
                 DeskOutput::ToClient { link, message } => {
-                    let full =
+                    let queue_full =
                         self.clients.get(&link).is_some_and(|to| to.try_send(ToLink::Send(message)).is_err());
-                    if full {
-                        // Dropping its queue closes the link; the task tells of it as of any other loss.
+                    if queue_full {
+                        // Dropping its queue closes the link; the task then reports it like any other lost
+                        // link.
                         warn!(link = link.0, "client does not read what it is sent: link closed");
                         self.clients.remove(&link);
                     }
@@ -198,7 +200,8 @@
                     send(&self.servers, server, ToLink::Request(at, (attempt, kind), message));
                 }
                 DeskOutput::Text { link, text } => match (self.texts.get(&link), &self.datagrams) {
-                    // A full queue closes a connection; a datagram is lost, as a network loses some.
+                    // A full queue closes a TCP connection; a datagram is dropped, and the client
+                    // retransmits.
                     (Some(to), _) if to.try_send(text.clone()).is_err() => {
                         warn!(link = link.0, "text client does not read what it is sent: link closed");
                         self.texts.remove(&link);
@@ -207,9 +210,10 @@
                     (None, Some(datagrams)) => drop(datagrams.try_send((link, text))),
                     (None, None) => {}
                 },
-                // Without room it is lost, as a network loses some: the far end does not read, and timers say it again.
+                // A packet is dropped when the queue is full because the far end does not read; protocol
+                // timers retransmit it.
                 DeskOutput::ToFarEnd(data) => {
-                    drop(self.fars.get(&data.dpc).map(|to| to.try_send(data)));
+                    drop(self.far_end_links.get(&data.dpc).map(|to| to.try_send(data)));
                 }
                 DeskOutput::Reply { server, message } => send(&self.servers, server, ToLink::Send(message)),
                 DeskOutput::ToFront { to, payload } => {
@@ -221,14 +225,14 @@
         }
     }
 
-    /// Goes on with a stop; whether it is done.
-    fn stopped(&mut self, now: Micros) -> bool {
-        let Some((until, done)) = &mut self.stopping else { return false };
+    /// Advances a graceful shutdown; returns true when the core task may end.
+    fn advance_shutdown(&mut self, now: Micros) -> bool {
+        let Some((deadline, done)) = &mut self.stopping else { return false };
         let held = self.desk.held();
-        // The last of the time is kept for cutting what still stands, and for good-byes.
-        let left = until.saturating_duration_since(Instant::now());
-        let share = Duration::from_micros(self.shared.config.shutdown_timeout) / 4;
-        if held.calls > 0 && left > share {
+        // The last quarter of the time is reserved for dropping the remaining calls and for DPR.
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        let reserved = Duration::from_micros(self.shared.config.shutdown_timeout) / 4;
+        if held.calls > 0 && remaining > reserved {
             return false;
         }
         let done = done.take();
@@ -238,7 +242,7 @@
         for to in self.clients.values().chain(self.servers.values()) {
             let _ = to.try_send(ToLink::Stop);
         }
-        // Links close when their queues are empty and their good-bye is answered.
+        // Links close when their queues are empty and their DPR is answered.
         let all: Vec<_> = self.clients.values().chain(self.servers.values()).cloned().collect();
         tokio::spawn(async move {
             let closed = async {
@@ -246,7 +250,7 @@
                     to.closed().await;
                 }
             };
-            let _ = tokio::time::timeout(left, closed).await;
+            let _ = tokio::time::timeout(remaining, closed).await;
             if let Some(done) = done {
                 let _ = done.send(());
             }
@@ -256,7 +260,7 @@
 }
 
 fn send(servers: &BTreeMap<ServerId, mpsc::Sender<ToLink>>, server: ServerId, what: ToLink) {
-    // A full queue: the task gives its link up when it sees no room left, and the attempt ends with it.
+    // The queue is full: the message is dropped, and the attempt ends when the server's link is closed.
     if servers.get(&server).is_some_and(|to| to.try_send(what).is_err()) {
         warn!(server, "server does not read what it is sent");
     }
--- a/crates/front/src/exchange.rs
+++ b/crates/front/src/exchange.rs
@@ -1,7 +1,8 @@
-//! An exchange's signalling link on a socket: a thin coat around [`baydrift_signalling::SignallingPoint`].
+//! Runs a [`baydrift_signalling::SignallingPoint`] on tokio, with one signalling link to a far point.
 //!
-//! One task owns the office, another one the connection to one far point. Nothing is decided here. Queues are bounded:
-//! who commands waits, and events are waited for.
+//! One task owns the signalling point, another one the connection to the far point. They only move messages
+//! and run timers. The queues are bounded: a sender of commands waits while the command queue is full, and
+//! the task waits while the receiver of events is behind.
 
 use std::time::{Duration, Instant};
 
@@ -13,35 +14,35 @@
 use tokio::sync::{mpsc, oneshot};
 use tracing::debug;
 
-use crate::signalling::{self, Linked, Role};
+use crate::signalling::{self, LinkEvent, Role};
 
-/// What an exchange is told.
+/// A command to an exchange.
 #[derive(Debug)]
 pub enum ExchangeCommand {
-    /// Seize a circuit for a call.
+    /// Seizes a circuit for a call.
     Seize(CallKey, GroupId, Setup, RouteChoice),
-    /// Take an incoming call.
+    /// Accepts an incoming call.
     Accept(CallKey),
-    /// An incoming call stands.
+    /// Answers an incoming call.
     Answer(CallKey),
-    /// Done with a call, for this cause.
+    /// Releases a call with this cause value.
     Release(CallKey, u8),
-    /// What is it like?
+    /// Requests the exchange's state.
     State(oneshot::Sender<ExchangeState>),
 }
 
-/// What an exchange is like.
+/// Circuit usage and counters of an exchange.
 #[derive(Debug, Clone, Default)]
 pub struct ExchangeState {
-    /// What its circuits are used for, by group.
+    /// Circuit usage, by trunk group.
     pub usage: Vec<Usage>,
-    /// What its trunks have counted.
+    /// Counters of the trunk groups.
     pub counts: Counts,
-    /// What its office has counted.
+    /// Counters of the signalling point.
     pub office: SignallingCounts,
 }
 
-/// A running exchange; it ends when this is dropped.
+/// A running exchange; dropping it stops its task.
 #[derive(Debug)]
 pub struct Exchange {
     commands: mpsc::Sender<ExchangeCommand>,
@@ -54,112 +55,124 @@
     }
 }
 
-/// Commands that wait; whoever has more waits.
-const COMMANDS: usize = 1_024;
-/// Packets that wait to be sent; one that finds no room is dropped, as a network loses some, and timers say it again.
-const PACKETS: usize = 4_096;
+/// Capacity of the command queue; when it is full, senders wait.
+const COMMAND_QUEUE: usize = 1_024;
+/// Capacity of the packet queues. An outgoing packet is dropped when its queue is full; protocol timers
+/// retransmit it.
+const PACKET_QUEUE: usize = 4_096;
 
 impl Exchange {
-    /// Starts on the current runtime. `far` is the point code at the other end; what becomes of calls goes to
-    /// `events`.
-    pub fn start(office: SignallingPoint, far: u32, role: Role, events: mpsc::Sender<Output>) -> Self {
-        let (commands, received) = mpsc::channel(COMMANDS);
-        let began = Instant::now();
-        let (link, outgoing) = mpsc::channel(PACKETS);
-        let (tell, linked) = mpsc::channel(PACKETS);
-        tokio::spawn(signalling::serve(far, role, outgoing, tell, |_, linked| linked));
-        let run = Run { office, far, link, linked, events, received, began, done: Default::default() };
-        Self { commands, task: tokio::spawn(run.run()) }
+    /// Starts the exchange on the current runtime. `far` is the point code of the far end; the outcomes of
+    /// calls are sent to `events`.
+    pub fn start(point: SignallingPoint, far: u32, role: Role, events: mpsc::Sender<Output>) -> Self {
+        let (commands, command_queue) = mpsc::channel(COMMAND_QUEUE);
+        let started = Instant::now();
+        let (link, outgoing) = mpsc::channel(PACKET_QUEUE);
+        let (link_events, received) = mpsc::channel(PACKET_QUEUE);
+        tokio::spawn(signalling::serve(far, role, outgoing, link_events, |_, event| event));
+        let task = ExchangeTask {
+            point,
+            far,
+            link,
+            link_events: received,
+            events,
+            commands: command_queue,
+            started,
+            output: Default::default(),
+        };
+        Self { commands, task: tokio::spawn(task.run()) }
     }
 
-    /// Tells it something; `false` once it has ended.
-    pub async fn send(&self, what: ExchangeCommand) -> bool {
-        self.commands.send(what).await.is_ok()
+    /// Sends a command; returns `false` once the exchange has ended.
+    pub async fn send(&self, command: ExchangeCommand) -> bool {
+        self.commands.send(command).await.is_ok()
     }
 
-    /// What it is like.
+    /// Circuit usage and counters; `None` once the exchange has ended.
     pub async fn state(&self) -> Option<ExchangeState> {
-        let (tell, told) = oneshot::channel();
-        self.commands.send(ExchangeCommand::State(tell)).await.ok()?;
-        told.await.ok()
+        let (reply, state) = oneshot::channel();
+        self.commands.send(ExchangeCommand::State(reply)).await.ok()?;
+        state.await.ok()
     }
 }
 
-struct Run {
-    office: SignallingPoint,
+/// State of the task that owns the signalling point.
+struct ExchangeTask {
+    point: SignallingPoint,
     far: u32,
     link: mpsc::Sender<Data>,
-    linked: mpsc::Receiver<Linked>,
+    link_events: mpsc::Receiver<LinkEvent>,
     events: mpsc::Sender<Output>,
-    received: mpsc::Receiver<ExchangeCommand>,
-    began: Instant,
-    done: (Vec<Data>, Vec<Output>),
+    commands: mpsc::Receiver<ExchangeCommand>,
+    started: Instant,
+    /// Packets to send, and outcomes of calls to report.
+    output: (Vec<Data>, Vec<Output>),
 }
 
-impl Run {
+impl ExchangeTask {
     fn now(&self) -> Micros {
-        self.began.elapsed().as_micros() as Micros
+        self.started.elapsed().as_micros() as Micros
     }
 
     async fn run(mut self) {
-        self.office.set_reachable(0, self.far, false, &mut self.done);
+        self.point.set_reachable(0, self.far, false, &mut self.output);
         loop {
-            let due = self.office.next_wake().unwrap_or(Micros::MAX);
+            let due = self.point.next_wake().unwrap_or(Micros::MAX);
             let wait = Duration::from_micros(due.saturating_sub(self.now()).min(60_000_000));
             tokio::select! {
-                linked = self.linked.recv() => match linked {
-                    Some(linked) => self.link(linked),
+                event = self.link_events.recv() => match event {
+                    Some(event) => self.handle_link_event(event),
                     None => return,
                 },
-                command = self.received.recv() => match command {
-                    Some(command) => self.command(command),
+                command = self.commands.recv() => match command {
+                    Some(command) => self.handle_command(command),
                     None => return,
                 },
                 () = tokio::time::sleep(wait) => {
                     let now = self.now();
-                    self.office.tick(now, &mut self.done);
+                    self.point.tick(now, &mut self.output);
                 }
             }
-            if !self.carry_out().await {
+            if !self.dispatch().await {
                 return;
             }
         }
     }
 
-    fn link(&mut self, linked: Linked) {
+    fn handle_link_event(&mut self, event: LinkEvent) {
         let now = self.now();
-        match linked {
-            Linked::Packet(data) => {
-                if let Err(error) = self.office.handle_packet(now, &data, &mut self.done) {
-                    debug!(far = self.far, %error, "packet turned down");
+        match event {
+            LinkEvent::Packet(data) => {
+                if let Err(error) = self.point.handle_packet(now, &data, &mut self.output) {
+                    debug!(far = self.far, %error, "packet rejected");
                 }
             }
-            Linked::Up => self.office.set_reachable(now, self.far, true, &mut self.done),
-            Linked::Down => self.office.set_reachable(now, self.far, false, &mut self.done),
+            LinkEvent::Up => self.point.set_reachable(now, self.far, true, &mut self.output),
+            LinkEvent::Down => self.point.set_reachable(now, self.far, false, &mut self.output),
         }
     }
 
-    fn command(&mut self, command: ExchangeCommand) {
+    fn handle_command(&mut self, command: ExchangeCommand) {
         let now = self.now();
         match command {
-            ExchangeCommand::Seize(call, group, setup, claim) => {
-                self.office.seize(now, call, group, setup, claim, &mut self.done);
+            ExchangeCommand::Seize(call, group, setup, route) => {
+                self.point.seize(now, call, group, setup, route, &mut self.output);
             }
-            ExchangeCommand::Accept(call) => self.office.accept(call, &mut self.done),
-            ExchangeCommand::Answer(call) => self.office.answer(call, &mut self.done),
-            ExchangeCommand::Release(call, cause) => self.office.release(now, call, cause, &mut self.done),
+            ExchangeCommand::Accept(call) => self.point.accept(call, &mut self.output),
+            ExchangeCommand::Answer(call) => self.point.answer(call, &mut self.output),
+            ExchangeCommand::Release(call, cause) => self.point.release(now, call, cause, &mut self.output),
             ExchangeCommand::State(reply) => {
-                let trunks = self.office.trunks();
+                let trunks = self.point.trunks();
                 let usage = (0..).map_while(|group| trunks.usage(GroupId(group))).collect();
-                let (counts, office) = (trunks.counts(), self.office.counts());
+                let (counts, office) = (trunks.counts(), self.point.counts());
                 let _ = reply.send(ExchangeState { usage, counts, office });
             }
         }
     }
 
-    /// Sends what is to be sent and tells what became of calls; `false` where nobody listens any more.
-    async fn carry_out(&mut self) -> bool {
-        let (packets, events) = std::mem::take(&mut self.done);
+    /// Sends the pending packets and reports the outcomes of calls; `false` once the event receiver is gone.
+    async fn dispatch(&mut self) -> bool {
+        let (packets, events) = std::mem::take(&mut self.output);
         for data in packets {
             let _ = self.link.try_send(data);
         }
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -1,9 +1,10 @@
-//! A front on sockets: a thin coat of tokio around [`baydrift_desk::Desk`].
+//! The front service: runs [`baydrift_desk::Desk`] on tokio sockets and timers.
 //!
-//! One task owns the desk ([`core`]); each client connection and each server is a task of its own
-//! ([`client`], [`server`]) with a bounded queue towards it. A task that reads waits while the core is
-//! behind, so that a client which sends too fast is held by TCP; a peer that does not read loses its link
-//! when its queue is full. No task decides anything.
+//! One task, [`core`], owns the desk. Each client connection ([`client`]) and each server ([`server`]) has
+//! its own task and a bounded queue from the core to that task. Tasks that read from sockets wait while the
+//! core's input queue is full, so TCP flow control slows down a client that sends too fast. A peer that does
+//! not read is disconnected when its queue is full. The tasks only move messages; all call decisions are made
+//! by the desk.
 
 mod admin;
 mod client;
@@ -32,7 +33,7 @@
 use tracing::{info, warn};
 
 use crate::core::ToCore;
-use crate::signalling::Linked;
+use crate::signalling::LinkEvent;
 
 pub use admin::{query_admin, AdminError};
 pub use exchange::{Exchange, ExchangeCommand, ExchangeState};
@@ -44,68 +45,68 @@
     /// A socket cannot be bound.
     #[error("cannot listen for {what} on {addr}: {error}")]
     Bind {
-        /// For what.
+        /// Purpose of the socket.
         what: &'static str,
-        /// Where.
+        /// Address that was requested.
         addr: SocketAddr,
-        /// Why.
+        /// Error of the operating system.
         error: std::io::Error,
     },
-    /// The operators' socket cannot be made.
+    /// The admin socket cannot be created.
     #[error("cannot listen for operators on {}: {error}", path.display())]
     Admin {
-        /// Where.
+        /// Path of the socket.
         path: std::path::PathBuf,
-        /// Why.
+        /// Error of the operating system.
         error: std::io::Error,
     },
-    /// The engine refuses its settings.
+    /// The call engine rejects its settings.
     #[error(transparent)]
     Engine(#[from] EngineError),
 }
 
-/// Addresses that are bound.
+/// Addresses of the bound listeners and sockets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Addrs {
-    /// Clients.
+    /// Diameter clients.
     pub diameter: SocketAddr,
-    /// The pool list.
+    /// HTTP listener for the pool list.
     pub pool: Option<SocketAddr>,
-    /// Messages between fronts.
+    /// UDP socket for messages between fronts.
     pub fleet: Option<SocketAddr>,
-    /// H.248 text in datagrams.
+    /// H.248 text over UDP.
     pub text_udp: Option<SocketAddr>,
-    /// H.248 text in TPKT over TCP.
+    /// H.248 text over TCP, framed as TPKT packets.
     pub text_tcp: Option<SocketAddr>,
 }
 
-/// What a front has done and holds.
+/// Counters and current state of a front.
 #[derive(Debug, Clone, Default)]
 pub struct Snapshot {
-    /// The engine's counts.
+    /// Counters of the call engine.
     pub counts: Counts,
-    /// What is held.
+    /// Calls, attempts and other objects currently held.
     pub held: Held,
-    /// Actions held back, by the rule that they would have broken.
+    /// Number of suppressed policy actions, by the rule that each would have violated.
     pub held_back: Vec<(&'static str, u64)>,
-    /// Requests turned down with a fault.
+    /// Number of requests rejected with a fault.
     pub faults: u64,
-    /// Client connections, and half-open ones among them.
+    /// Client connections: total, and those that have not yet exchanged capabilities.
     pub connections: (usize, usize),
-    /// Time spent in codec, desk (engine and module), by the core and links; microseconds.
+    /// Processing time of the core task.
     pub spent: Spent,
 }
 
-/// CPU-side time by part, in nanoseconds of wall time inside the part.
+/// Processing time of the core task.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Spent {
-    /// In the desk: translation, engine and module.
+    /// Wall time spent in the desk (message translation, call engine and policy module), in nanoseconds.
     pub desk_ns: u64,
-    /// Messages into the desk.
+    /// Number of inputs passed to the desk.
     pub inputs: u64,
 }
 
-/// One clock for all tasks of a front: microseconds since its start.
+/// Monotonic clock shared by all tasks of a front, in microseconds since its start.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Clock(Instant);
 
@@ -114,42 +115,44 @@
         self.0.elapsed().as_micros() as Micros
     }
 
-    /// When a time is, for a timer; far away for never.
+    /// Converts a time of this clock to a tokio instant, at most one day ahead so that "never" does not
+    /// overflow.
     pub(crate) fn at(&self, micros: Micros) -> tokio::time::Instant {
-        const FAR: Micros = 86_400_000_000;
-        let ahead = micros.saturating_sub(self.now()).min(FAR);
+        const MAX_AHEAD: Micros = 86_400_000_000;
+        let ahead = micros.saturating_sub(self.now()).min(MAX_AHEAD);
         tokio::time::Instant::now() + Duration::from_micros(ahead)
     }
 }
 
-/// A transport that another peer opened, with the CER that came first.
+/// A transport opened by the peer, with the CER received on it.
 pub(crate) type Inbound = (Framed<TcpStream, Codec>, Message);
 
-/// What all tasks share.
+/// State shared by all tasks.
 pub(crate) struct Shared {
     pub(crate) config: Config,
     pub(crate) local: Arc<Local>,
     pub(crate) clock: Clock,
-    pub(crate) doors: Mutex<Doors>,
+    pub(crate) admission: Mutex<Doors>,
     pub(crate) core: mpsc::Sender<ToCore>,
-    /// Servers' tasks by host, for transports that servers open themselves.
+    /// Queues to the servers' tasks, by Origin-Host, for transports that servers open themselves.
     pub(crate) inbound: BTreeMap<String, mpsc::Sender<Inbound>>,
-    /// Turns true when the front stops taking connections.
+    /// Becomes true when the front stops accepting connections.
     pub(crate) closing: watch::Receiver<bool>,
 }
 
 impl Shared {
-    pub(crate) fn doors(&self) -> std::sync::MutexGuard<'_, Doors> {
-        self.doors.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+    pub(crate) fn admission(&self) -> std::sync::MutexGuard<'_, Doors> {
+        self.admission.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// The first End-to-End Identifier of a peer: time in the high bits (RFC 6733, section 3).
-    pub(crate) fn end_to_end(&self) -> u32 {
+    /// Initial End-to-End Identifier of a peer: start time in the high 12 bits, random below (RFC 6733,
+    /// section 3).
+    pub(crate) fn initial_end_to_end_id(&self) -> u32 {
         self.local.state_id << 20 | rand::random::<u32>() >> 12
     }
 }
 
-/// A front whose sockets are bound and that does nothing yet.
+/// A front whose sockets are bound but whose tasks are not started yet.
 pub struct Bound {
     config: Config,
     listener: TcpListener,
@@ -157,40 +160,43 @@
     fleet: Option<UdpSocket>,
     text_udp: Option<UdpSocket>,
     text_tcp: Option<TcpListener>,
-    /// Signalling links, by the far end's point code.
+    /// Signalling links, by the point code of the far end.
     signalling: BTreeMap<u32, Role>,
     admin: Option<admin::Socket>,
     addrs: Addrs,
-    /// The wall clock is so many microseconds off.
-    clock_off: i64,
+    /// Offset added to the wall clock, in microseconds.
+    clock_offset: i64,
 }
 
-/// Messages that wait for the core; beyond it readers wait.
+/// Capacity of the core's input queue; when it is full, the tasks that read from sockets wait.
 const CORE_QUEUE: usize = 4_096;
 
 impl Bound {
     /// Binds all sockets of a configuration.
     ///
     /// # Errors
-    /// The first that cannot be bound.
+    /// The first socket that cannot be bound.
     pub async fn bind(config: Config) -> Result<Self, FrontError> {
-        let fail = |what, addr| move |error| FrontError::Bind { what, addr, error };
-        let listener = TcpListener::bind(config.listen).await.map_err(fail("clients", config.listen))?;
+        let bind_error = |what, addr| move |error| FrontError::Bind { what, addr, error };
+        let listener =
+            TcpListener::bind(config.listen).await.map_err(bind_error("clients", config.listen))?;
         let pool = match &config.pool {
             Some(pool) => {
-                Some(TcpListener::bind(pool.listen).await.map_err(fail("the pool list", pool.listen))?)
+                Some(TcpListener::bind(pool.listen).await.map_err(bind_error("the pool list", pool.listen))?)
             }
             None => None,
         };
         let fleet = match &config.fleet {
-            Some(fleet) => Some(UdpSocket::bind(fleet.bind).await.map_err(fail("other fronts", fleet.bind))?),
+            Some(fleet) => {
+                Some(UdpSocket::bind(fleet.bind).await.map_err(bind_error("other fronts", fleet.bind))?)
+            }
             None => None,
         };
         let (mut text_udp, mut text_tcp) = (None, None);
         if let Some(text) = &config.text {
-            text_udp = Some(UdpSocket::bind(text.udp).await.map_err(fail("text commands", text.udp))?);
+            text_udp = Some(UdpSocket::bind(text.udp).await.map_err(bind_error("text commands", text.udp))?);
             if let Some(tcp) = text.tcp {
-                text_tcp = Some(TcpListener::bind(tcp).await.map_err(fail("text commands", tcp))?);
+                text_tcp = Some(TcpListener::bind(tcp).await.map_err(bind_error("text commands", tcp))?);
             }
         }
         let mut signalling = BTreeMap::new();
@@ -199,7 +205,7 @@
                 Dial::Connect(addr) => Role::Connect(addr),
                 Dial::Listen(addr) => {
                     let what = "a far end's signalling";
-                    Role::Listen(TcpListener::bind(addr).await.map_err(fail(what, addr))?)
+                    Role::Listen(TcpListener::bind(addr).await.map_err(bind_error(what, addr))?)
                 }
             };
             signalling.insert(far.point, role);
@@ -213,47 +219,69 @@
         let addrs = Addrs {
             text_udp: text_udp.as_ref().and_then(|socket| socket.local_addr().ok()),
             text_tcp: text_tcp.as_ref().and_then(|socket| socket.local_addr().ok()),
-            diameter: listener.local_addr().map_err(fail("clients", config.listen))?,
+            diameter: listener.local_addr().map_err(bind_error("clients", config.listen))?,
             pool: pool.as_ref().and_then(|socket| socket.local_addr().ok()),
             fleet: fleet.as_ref().and_then(|socket| socket.local_addr().ok()),
         };
-        Ok(Self { config, listener, pool, fleet, text_udp, text_tcp, signalling, admin, addrs, clock_off: 0 })
+        Ok(Self {
+            config,
+            listener,
+            pool,
+            fleet,
+            text_udp,
+            text_tcp,
+            signalling,
+            admin,
+            addrs,
+            clock_offset: 0,
+        })
     }
 
-    /// What is bound.
+    /// Addresses of the bound sockets.
     pub fn addrs(&self) -> Addrs {
         self.addrs
     }
 
-    /// Names the other fronts' addresses anew, where their ports were not known before.
+    /// Replaces the addresses of the other fronts, for ports that are known only after binding.
     pub fn set_fleet_addrs(&mut self, fronts: Vec<(u32, SocketAddr)>) {
         if let Some(fleet) = &mut self.config.fleet {
             fleet.fronts = fronts;
         }
     }
 
-    /// Takes the wall clock for so many microseconds off: a fault, for days that want one.
+    /// Adds an offset in microseconds to the wall clock, to inject a clock fault in test scenarios.
     pub fn set_clock_offset(&mut self, micros: i64) {
-        self.clock_off = micros;
+        self.clock_offset = micros;
     }
 
     /// Starts all tasks on the current runtime.
     ///
     /// # Errors
-    /// Where the engine refuses its settings.
+    /// If the call engine rejects its settings.
     pub fn start(self) -> Result<Front, FrontError> {
         self.start_with_policy(None)
     }
 
-    /// The same with another policy than the module, for comparisons.
+    /// Starts all tasks with `policy` in place of the decision module, for comparisons; `None` uses the
+    /// module.
     ///
     /// # Errors
     /// As [`Bound::start`].
     pub fn start_with_policy(self, policy: Option<Box<dyn Policy>>) -> Result<Front, FrontError> {
-        let Self { config, listener, pool, fleet, text_udp, text_tcp, signalling, admin, addrs, clock_off } =
-            self;
+        let Self {
+            config,
+            listener,
+            pool,
+            fleet,
+            text_udp,
+            text_tcp,
+            signalling,
+            admin,
+            addrs,
+            clock_offset,
+        } = self;
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as Micros);
-        let boot = Boot::at(unix.saturating_add_signed(clock_off), rand::random());
+        let boot = Boot::at(unix.saturating_add_signed(clock_offset), rand::random());
         let seed = config.seed.unwrap_or_else(rand::random);
         let desk = match policy {
             Some(policy) => Desk::with_policy(&config, boot, policy)?,
@@ -269,7 +297,7 @@
             servers.push((server.clone(), opened));
         }
         let shared = Arc::new(Shared {
-            doors: Mutex::new(Doors::new(&config)),
+            admission: Mutex::new(Doors::new(&config)),
             clock: Clock(Instant::now()),
             core: to_core.clone(),
             closing: closed,
@@ -283,16 +311,16 @@
             links.insert(u64::from(server.number), to_link);
             tokio::spawn(server::run(shared.clone(), server, from_core, opened));
         }
-        let mut fars = BTreeMap::new();
+        let mut far_end_links = BTreeMap::new();
         for (point, role) in signalling {
             let (to_link, from_core) = mpsc::channel(shared.config.links.queue);
-            fars.insert(point, to_link);
-            let tell = shared.core.clone();
-            tokio::spawn(signalling::serve(point, role, from_core, tell, |far, linked| {
-                ToCore::Desk(match linked {
-                    Linked::Up => DeskInput::TrunkUp(far),
-                    Linked::Down => DeskInput::TrunkDown(far),
-                    Linked::Packet(data) => DeskInput::Trunk(data),
+            far_end_links.insert(point, to_link);
+            let events = shared.core.clone();
+            tokio::spawn(signalling::serve(point, role, from_core, events, |far, event| {
+                ToCore::Desk(match event {
+                    LinkEvent::Up => DeskInput::TrunkUp(far),
+                    LinkEvent::Down => DeskInput::TrunkDown(far),
+                    LinkEvent::Packet(data) => DeskInput::Trunk(data),
                 })
             }));
         }
@@ -316,7 +344,8 @@
             tokio::spawn(text::packets(shared.clone(), listener));
         }
         tokio::spawn(accept(shared.clone(), listener));
-        let core = tokio::spawn(core::run(shared.clone(), desk, from_links, links, fars, datagrams, fleet));
+        let core =
+            tokio::spawn(core::run(shared.clone(), desk, from_links, links, far_end_links, datagrams, fleet));
         info!(host = shared.config.host, addr = %addrs.diameter, "front runs");
         Ok(Front { addrs, shared, to_core, closing, core })
     }
@@ -334,15 +363,15 @@
             Ok((stream, addr)) => {
                 let link = LinkId(next);
                 next += 1;
-                if shared.doors().accept(link) {
+                if shared.admission().accept(link) {
                     tokio::spawn(client::run(shared.clone(), stream, link));
                 } else {
-                    warn!(%addr, "no room for another connection: closed");
+                    warn!(%addr, "connection limit reached: connection closed");
                 }
             }
-            // Out of descriptors or the like: it may pass, and must not spin.
+            // Errors such as running out of file descriptors may be temporary; the pause avoids a busy loop.
             Err(error) => {
-                warn!(%error, "accept");
+                warn!(%error, "cannot accept a client connection");
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
         }
@@ -359,26 +388,27 @@
 }
 
 impl Front {
-    /// What is bound.
+    /// Addresses of the bound sockets.
     pub fn addrs(&self) -> Addrs {
         self.addrs
     }
 
-    /// What it has done and holds; nothing once it has stopped.
+    /// Counters and current state; `None` once the front has stopped.
     pub async fn snapshot(&self) -> Option<Snapshot> {
-        let (tell, told) = oneshot::channel();
-        self.to_core.send(ToCore::Snapshot(tell)).await.ok()?;
-        told.await.ok()
+        let (reply, snapshot) = oneshot::channel();
+        self.to_core.send(ToCore::Snapshot(reply)).await.ok()?;
+        snapshot.await.ok()
     }
 
-    /// An orderly stop: no new connections or calls; what is undecided is answered; calls that stand may end
-    /// for a while and are cut then; DPR to all peers. Takes no longer than `stop-within` and a second.
+    /// Shuts the front down gracefully: accepts no new connections or calls, answers pending requests, lets
+    /// established calls end until the time is nearly up and then drops them, and sends DPR to all peers.
+    /// Takes at most the `stop-within` time plus one second.
     pub async fn stop(self) {
-        let within = Duration::from_micros(self.shared.config.shutdown_timeout);
+        let timeout = Duration::from_micros(self.shared.config.shutdown_timeout);
         let _ = self.closing.send(true);
         let (done, stopped) = oneshot::channel();
-        if self.to_core.send(ToCore::Stop { within, done }).await.is_ok() {
-            let _ = tokio::time::timeout(within + Duration::from_secs(1), stopped).await;
+        if self.to_core.send(ToCore::Stop { timeout, done }).await.is_ok() {
+            let _ = tokio::time::timeout(timeout + Duration::from_secs(1), stopped).await;
         }
         self.core.abort();
         info!(host = self.shared.config.host, "front stopped");
--- a/crates/front/src/link.rs
+++ b/crates/front/src/link.rs
@@ -1,4 +1,4 @@
-//! Writing to a peer with a bound on its patience, and reading from one that may not be there.
+//! Diameter transports: reads, writes with a time limit, and the accept loop with a connection limit.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,26 +11,26 @@
 use tokio::sync::{watch, OwnedSemaphorePermit, Semaphore};
 use tokio_util::codec::Framed;
 
-/// A connection as messages.
-pub(crate) type Wire = Framed<TcpStream, Codec>;
+/// A TCP connection framed as Diameter messages.
+pub(crate) type Transport = Framed<TcpStream, Codec>;
 
-/// Messages read or written before others get a turn and what was written is flushed.
-pub(crate) const BURST: usize = 64;
+/// Messages read or written in a row before the task flushes and polls its other sources.
+pub(crate) const MAX_BURST: usize = 64;
 
-/// A connection of a peer.
-pub(crate) fn wire(stream: TcpStream, max_message: usize) -> Wire {
-    // Answers are small and waited for.
+/// Frames a connection of a peer.
+pub(crate) fn transport(stream: TcpStream, max_message: usize) -> Transport {
+    // Messages are small and the peer waits for them, so Nagle's algorithm would only add delay.
     let _ = stream.set_nodelay(true);
     Framed::new(stream, Codec { max_message })
 }
 
-/// The next connection once there is room for it; `None` when the front stops. Its permit is its room.
+/// Accepts the next connection once a slot is free; `None` when the front stops. The permit holds the slot.
 pub(crate) async fn accept(
     listener: &TcpListener,
-    room: &Arc<Semaphore>,
+    slots: &Arc<Semaphore>,
     closing: &mut watch::Receiver<bool>,
 ) -> Option<(TcpStream, SocketAddr, OwnedSemaphorePermit)> {
-    let permit = room.clone().acquire_owned().await.ok()?;
+    let permit = slots.clone().acquire_owned().await.ok()?;
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
@@ -38,42 +38,46 @@
         };
         match accepted {
             Ok((stream, addr)) => return Some((stream, addr, permit)),
-            // Out of descriptors or the like: it may pass, and must not spin.
+            // Errors such as running out of file descriptors may be temporary; the pause avoids a busy loop.
             Err(_) => tokio::time::sleep(Duration::from_millis(50)).await,
         }
     }
 }
 
-/// Queues a message; it is out after [`flush`].
-pub(crate) async fn feed(wire: &mut Wire, message: Message, patience: Duration) -> Result<(), StreamError> {
-    in_time(patience, wire.feed(message)).await
+/// Queues a message; [`flush`] writes it.
+pub(crate) async fn feed(
+    transport: &mut Transport,
+    message: Message,
+    timeout: Duration,
+) -> Result<(), StreamError> {
+    with_timeout(timeout, transport.feed(message)).await
 }
 
-/// Writes what is queued.
-pub(crate) async fn flush(wire: &mut Wire, patience: Duration) -> Result<(), StreamError> {
-    in_time(patience, wire.flush()).await
+/// Writes the queued messages.
+pub(crate) async fn flush(transport: &mut Transport, timeout: Duration) -> Result<(), StreamError> {
+    with_timeout(timeout, transport.flush()).await
 }
 
-/// Guards against a peer that never reads: its link is closed instead of kept.
-async fn in_time(
-    patience: Duration,
+/// Fails a write that takes too long, so that the link of a peer that never reads is closed.
+async fn with_timeout(
+    limit: Duration,
     work: impl std::future::Future<Output = Result<(), StreamError>>,
 ) -> Result<(), StreamError> {
-    match tokio::time::timeout(patience, work).await {
+    match tokio::time::timeout(limit, work).await {
         Ok(done) => done,
         Err(_) => Err(io::Error::new(io::ErrorKind::TimedOut, "the peer does not read").into()),
     }
 }
 
-/// The next message; `None` at the end. Waits for ever where there is no connection.
-pub(crate) async fn read(wire: &mut Option<Wire>) -> Option<Result<Frame, StreamError>> {
-    match wire {
-        Some(wire) => wire.next().await,
+/// Reads the next message; `None` at end of stream. Never completes if there is no connection.
+pub(crate) async fn read(transport: &mut Option<Transport>) -> Option<Result<Frame, StreamError>> {
+    match transport {
+        Some(transport) => transport.next().await,
         None => std::future::pending().await,
     }
 }
 
-/// A message that has come already.
-pub(crate) fn read_now(wire: &mut Wire) -> Option<Option<Result<Frame, StreamError>>> {
-    wire.next().now_or_never()
+/// Reads a message that is already buffered; `None` if there is none.
+pub(crate) fn read_now(transport: &mut Transport) -> Option<Option<Result<Frame, StreamError>>> {
+    transport.next().now_or_never()
 }
--- a/crates/front/src/server.rs
+++ b/crates/front/src/server.rs
@@ -1,4 +1,4 @@
-//! One server: its peer, up to two transports while an election is open, and what it was sent.
+//! The task of one server: its peer state machine and up to two transports while an election is open.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use tracing::{debug, info, warn};
 
 use crate::core::{ToCore, ToLink};
-use crate::link::{feed, flush, read, read_now, wire, Wire, BURST};
+use crate::link::{feed, flush, read, read_now, transport, Transport, MAX_BURST};
 use crate::{Inbound, Shared};
 
 pub(crate) async fn run(
@@ -21,8 +21,8 @@
     inbound: mpsc::Receiver<Inbound>,
 ) {
     let (local, watchdog) = (shared.local.clone(), shared.config.watchdog);
-    let peer = ServerLink::new(&server, local, watchdog, shared.end_to_end(), rand::random());
-    let mut link = Link {
+    let peer = ServerLink::new(&server, local, watchdog, shared.initial_end_to_end_id(), rand::random());
+    let mut task = ServerTask {
         shared,
         server,
         peer,
@@ -34,17 +34,18 @@
         inbound,
         stopping: false,
     };
-    link.serve().await;
+    task.serve().await;
 }
 
 type Connecting = tokio::task::JoinHandle<std::io::Result<TcpStream>>;
 
-struct Link {
+/// State of a server's task.
+struct ServerTask {
     shared: Arc<Shared>,
     server: Server,
     peer: ServerLink,
-    initiated: Option<Wire>,
-    accepted: Option<Wire>,
+    initiated: Option<Transport>,
+    accepted: Option<Transport>,
     connecting: Option<Connecting>,
     out: Vec<LinkOutput>,
     from_core: mpsc::Receiver<ToLink>,
@@ -52,16 +53,16 @@
     stopping: bool,
 }
 
-async fn connected(connecting: &mut Option<Connecting>) -> std::io::Result<TcpStream> {
+async fn connect_result(connecting: &mut Option<Connecting>) -> std::io::Result<TcpStream> {
     match connecting {
         Some(task) => task.await.unwrap_or_else(|error| Err(std::io::Error::other(error))),
         None => std::future::pending().await,
     }
 }
 
-impl Link {
+impl ServerTask {
     async fn serve(&mut self) {
-        self.give(PeerInput::Start).await;
+        self.handle(PeerInput::Start).await;
         loop {
             self.flush().await;
             if self.stopping && self.peer.side().is_none() {
@@ -69,76 +70,78 @@
             }
             let due = self.shared.clock.at(self.peer.due());
             tokio::select! {
-                frame = read(&mut self.initiated) => self.frames(Side::Initiator, frame).await,
-                frame = read(&mut self.accepted) => self.frames(Side::Responder, frame).await,
+                frame = read(&mut self.initiated) => self.handle_frames(Side::Initiator, frame).await,
+                frame = read(&mut self.accepted) => self.handle_frames(Side::Responder, frame).await,
                 message = self.from_core.recv() => match message {
-                    Some(message) => self.outgoing(message).await,
+                    Some(message) => self.handle_outgoing(message).await,
                     None => return,
                 },
-                stream = connected(&mut self.connecting) => self.connected(stream).await,
-                Some((wire, cer)) = self.inbound.recv() => {
-                    // One transport a side: a second one of the server's waits until it tries again.
+                stream = connect_result(&mut self.connecting) => self.handle_connected(stream).await,
+                Some((transport, cer)) = self.inbound.recv() => {
+                    // At most one accepted transport: a second one is dropped, and the server connects again.
                     if self.accepted.is_none() {
-                        self.accepted = Some(wire);
-                        self.give(PeerInput::Accepted(cer)).await;
+                        self.accepted = Some(transport);
+                        self.handle(PeerInput::Accepted(cer)).await;
                     }
                 }
-                () = tokio::time::sleep_until(due) => self.give(PeerInput::Tick).await,
+                () = tokio::time::sleep_until(due) => self.handle(PeerInput::Tick).await,
             }
         }
     }
 
-    fn wire(&mut self, side: Side) -> &mut Option<Wire> {
+    fn transport(&mut self, side: Side) -> &mut Option<Transport> {
         match side {
             Side::Initiator => &mut self.initiated,
             Side::Responder => &mut self.accepted,
         }
     }
 
-    async fn connected(&mut self, stream: std::io::Result<TcpStream>) {
+    async fn handle_connected(&mut self, stream: std::io::Result<TcpStream>) {
         self.connecting = None;
         match stream {
             Ok(stream) => {
-                self.initiated = Some(wire(stream, self.shared.config.links.message_bytes));
-                self.give(PeerInput::Connected).await;
+                self.initiated = Some(transport(stream, self.shared.config.links.message_bytes));
+                self.handle(PeerInput::Connected).await;
             }
             Err(error) => {
-                debug!(server = self.peer.id(), %error, "no connection");
-                self.give(PeerInput::ConnectFailed).await;
+                debug!(server = self.peer.id(), %error, "connection failed");
+                self.handle(PeerInput::ConnectFailed).await;
             }
         }
     }
 
-    async fn frames(&mut self, side: Side, first: Option<Result<Frame, StreamError>>) {
+    /// Handles a received frame and those already buffered behind it, up to [`MAX_BURST`].
+    async fn handle_frames(&mut self, side: Side, first: Option<Result<Frame, StreamError>>) {
         let mut next = Some(first);
-        for _ in 0..BURST {
+        for _ in 0..MAX_BURST {
             match next {
-                Some(Some(Ok(frame))) => self.give(PeerInput::Received(side, frame)).await,
-                Some(Some(Err(error))) => return self.lost(side, Some(error)).await,
-                Some(None) => return self.lost(side, None).await,
+                Some(Some(Ok(frame))) => self.handle(PeerInput::Received(side, frame)).await,
+                Some(Some(Err(error))) => return self.handle_disconnect(side, Some(error)).await,
+                Some(None) => return self.handle_disconnect(side, None).await,
                 None => return,
             }
-            next = self.wire(side).as_mut().and_then(read_now);
+            next = self.transport(side).as_mut().and_then(read_now);
         }
         match next {
-            Some(Some(Ok(frame))) => self.give(PeerInput::Received(side, frame)).await,
-            Some(Some(Err(error))) => self.lost(side, Some(error)).await,
-            Some(None) => self.lost(side, None).await,
+            Some(Some(Ok(frame))) => self.handle(PeerInput::Received(side, frame)).await,
+            Some(Some(Err(error))) => self.handle_disconnect(side, Some(error)).await,
+            Some(None) => self.handle_disconnect(side, None).await,
             None => {}
         }
     }
 
-    async fn lost(&mut self, side: Side, error: Option<StreamError>) {
+    async fn handle_disconnect(&mut self, side: Side, error: Option<StreamError>) {
         if let Some(error) = error {
             warn!(server = self.peer.id(), %error, "server's link closed");
         }
-        *self.wire(side) = None;
-        self.give(PeerInput::Disconnected(side)).await;
+        *self.transport(side) = None;
+        self.handle(PeerInput::Disconnected(side)).await;
     }
 
-    async fn outgoing(&mut self, first: ToLink) {
+    /// Sends a message from the core and those queued behind it, up to [`MAX_BURST`].
+    async fn handle_outgoing(&mut self, first: ToLink) {
         let mut next = Some(first);
-        for _ in 0..BURST {
+        for _ in 0..MAX_BURST {
             match next {
                 Some(ToLink::Request(at, what, message)) => {
                     match self.peer.request(self.shared.clock.now(), at, what, message) {
@@ -156,7 +159,7 @@
                 }
                 Some(ToLink::Stop) => {
                     self.stopping = true;
-                    self.give(PeerInput::Stop(cause::REBOOTING)).await;
+                    self.handle(PeerInput::Stop(cause::REBOOTING)).await;
                 }
                 None => return,
             }
@@ -166,35 +169,36 @@
             next = self.from_core.try_recv().ok();
         }
         if let Some(last) = next {
-            Box::pin(self.outgoing(last)).await;
+            Box::pin(self.handle_outgoing(last)).await;
         }
     }
 
     async fn send(&mut self, side: Side, message: Message) {
-        let patience = Duration::from_micros(self.shared.config.links.write);
-        let failed = match self.wire(side) {
-            Some(wire) => feed(wire, message, patience).await.err(),
+        let timeout = Duration::from_micros(self.shared.config.links.write);
+        let failed = match self.transport(side) {
+            Some(transport) => feed(transport, message, timeout).await.err(),
             None => None,
         };
         if let Some(error) = failed {
-            Box::pin(self.lost(side, Some(error))).await;
+            Box::pin(self.handle_disconnect(side, Some(error))).await;
         }
     }
 
     async fn flush(&mut self) {
-        let patience = Duration::from_micros(self.shared.config.links.write);
+        let timeout = Duration::from_micros(self.shared.config.links.write);
         for side in [Side::Initiator, Side::Responder] {
-            let failed = match self.wire(side) {
-                Some(wire) => flush(wire, patience).await.err(),
+            let failed = match self.transport(side) {
+                Some(transport) => flush(transport, timeout).await.err(),
                 None => None,
             };
             if let Some(error) = failed {
-                self.lost(side, Some(error)).await;
+                self.handle_disconnect(side, Some(error)).await;
             }
         }
     }
 
-    async fn give(&mut self, input: PeerInput) {
+    /// Passes an input to the peer state machine and carries out its outputs.
+    async fn handle(&mut self, input: PeerInput) {
         let now = self.shared.clock.now();
         let mut out = std::mem::take(&mut self.out);
         out.clear();
@@ -215,25 +219,25 @@
                     self.connecting = None;
                     self.initiated = None;
                 }
-                LinkOutput::Desk(input) => self.tell(input).await,
-                LinkOutput::Refused(code) => debug!(server = self.peer.id(), code, "message turned down"),
+                LinkOutput::Desk(input) => self.notify_core(input).await,
+                LinkOutput::Refused(code) => debug!(server = self.peer.id(), code, "message rejected"),
             }
         }
         self.out = out;
     }
 
     async fn close(&mut self, side: Side) {
-        let patience = Duration::from_millis(100);
-        if let Some(mut wire) = self.wire(side).take() {
-            let _ = flush(&mut wire, patience).await;
+        let timeout = Duration::from_millis(100);
+        if let Some(mut transport) = self.transport(side).take() {
+            let _ = flush(&mut transport, timeout).await;
         }
     }
 
-    async fn tell(&self, input: DeskInput) {
+    async fn notify_core(&self, input: DeskInput) {
         let (server, host) = (self.peer.id(), &self.server.host);
         match &input {
             DeskInput::ServerUp { .. } => info!(server, host, "server in use"),
-            DeskInput::ServerSuspect(_) => warn!(server, host, "server's watchdog is unanswered"),
+            DeskInput::ServerSuspect(_) => warn!(server, host, "server does not answer the watchdog"),
             DeskInput::ServerDrains(_) => info!(server, host, "server drains"),
             _ => {}
         }
--- a/crates/front/src/signalling.rs
+++ b/crates/front/src/signalling.rs
@@ -1,10 +1,10 @@
-//! One signalling link on a socket: M3UA packets over TCP, in place of SCTP. Nothing is decided here.
+//! One signalling link on a socket: M3UA packets over TCP, in place of SCTP.
 //!
-//! A link is up once the far end has acknowledged that this one is (ASPUP and its ACK, RFC 4666, 4.3.4.1): a
-//! connection alone, which a relay on the way may have taken, says nothing of the far end.
+//! The link is up once the far end has acknowledged this end's ASPUP (RFC 4666, 4.3.4.1). A TCP connection
+//! alone does not show that the far end is there, because a relay in between may have accepted it.
 //!
-//! While there is no connection, what is to be sent is dropped: who sends it has timers for that. A far end that does
-//! not read in time loses its connection.
+//! While the link is not up, outgoing packets are discarded, and the sender's protocol timers retransmit
+//! them. A far end that does not read within the time limit is disconnected.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,39 +16,40 @@
 use tokio_util::codec::Framed;
 use tracing::{debug, info, warn};
 
-/// Who opens the connection.
+/// Which end opens the connection.
 #[derive(Debug)]
 pub enum Role {
-    /// This end, to there; again and again.
+    /// This end connects to the address, and reconnects when the connection is lost.
     Connect(SocketAddr),
-    /// The far end; a later connection takes an earlier one's place.
+    /// The far end connects; a later connection replaces an earlier one.
     Listen(TcpListener),
 }
 
-/// What a link tells.
+/// An event of a signalling link.
 #[derive(Debug)]
-pub(crate) enum Linked {
+pub(crate) enum LinkEvent {
     Up,
     Down,
     Packet(Data),
 }
 
-/// A connection that does not come about is tried again after this.
-const RETRY: Duration = Duration::from_millis(100);
-/// A far end that does not read for so long loses its connection.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// Packets written at once.
+/// Delay before a failed connection or handshake is retried.
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
+/// Time limit of the handshake and of each write; a far end that exceeds it is disconnected.
+const IO_TIMEOUT: Duration = Duration::from_secs(2);
+/// Packets written at most per flush.
 const BATCH: usize = 64;
 
-type Wire = Framed<TcpStream, Codec>;
+type Transport = Framed<TcpStream, Codec>;
 
-/// Serves a link until nobody sends or listens any more. `far` is the point code there; `wrap` says what is told.
+/// Serves a link until the sender of packets or the receiver of events is gone. `far` is the point code of
+/// the far end; `wrap` converts events for the receiver.
 pub(crate) async fn serve<T: Send>(
     far: u32,
     role: Role,
     mut outgoing: mpsc::Receiver<Data>,
-    tell: mpsc::Sender<T>,
-    wrap: fn(u32, Linked) -> T,
+    events: mpsc::Sender<T>,
+    wrap: fn(u32, LinkEvent) -> T,
 ) {
     let mut next = None;
     loop {
@@ -56,108 +57,114 @@
             Some(stream) => stream,
             None => tokio::select! {
                 stream = open(&role) => stream,
-                () = drain(&mut outgoing) => return,
+                () = discard(&mut outgoing) => return,
             },
         };
         let _ = stream.set_nodelay(true);
-        let mut wire = Framed::new(stream, Codec);
-        let greeted = tokio::select! {
-            greeted = greet(&mut wire) => greeted,
-            () = drain(&mut outgoing) => return,
+        let mut transport = Framed::new(stream, Codec);
+        let acknowledged = tokio::select! {
+            acknowledged = handshake(&mut transport) => acknowledged,
+            () = discard(&mut outgoing) => return,
         };
-        if !greeted {
-            debug!(far, "no acknowledgement of the link");
-            tokio::time::sleep(RETRY).await;
+        if !acknowledged {
+            debug!(far, "far end did not acknowledge ASPUP");
+            tokio::time::sleep(RECONNECT_DELAY).await;
             continue;
         }
         info!(far, "signalling link up");
-        if tell.send(wrap(far, Linked::Up)).await.is_err() {
+        if events.send(wrap(far, LinkEvent::Up)).await.is_err() {
             return;
         }
         let why = loop {
-            let heard = tokio::select! {
-                heard = hear(&mut wire, &mut outgoing) => heard,
-                stream = replaced(&role) => {
+            let outcome = tokio::select! {
+                outcome = transfer(&mut transport, &mut outgoing) => outcome,
+                stream = replacement(&role) => {
                     next = Some(stream);
-                    Heard::Lost("the far end connected anew".into())
+                    Outcome::Lost("replaced by a new connection of the far end".into())
                 }
             };
-            match heard {
-                Heard::Packet(data) => {
-                    if tell.send(wrap(far, Linked::Packet(data))).await.is_err() {
+            match outcome {
+                Outcome::Packet(data) => {
+                    if events.send(wrap(far, LinkEvent::Packet(data))).await.is_err() {
                         return;
                     }
                 }
-                Heard::Nothing => {}
-                Heard::Lost(why) => break why,
-                Heard::End => return,
+                Outcome::Continue => {}
+                Outcome::Lost(why) => break why,
+                Outcome::End => return,
             }
         };
         warn!(far, why, "signalling link lost");
-        if tell.send(wrap(far, Linked::Down)).await.is_err() {
+        if events.send(wrap(far, LinkEvent::Down)).await.is_err() {
             return;
         }
     }
 }
 
-/// Says that this end is up and waits for the far end's word that it knows; its own such word is acknowledged.
-async fn greet(wire: &mut Wire) -> bool {
-    let greeting = async {
-        wire.send(Packet::AspUp).await.ok()?;
+/// Sends ASPUP and waits for the acknowledgement; acknowledges an ASPUP of the far end meanwhile.
+async fn handshake(transport: &mut Transport) -> bool {
+    let exchange = async {
+        transport.send(Packet::AspUp).await.ok()?;
         loop {
-            match wire.next().await?.ok()? {
+            match transport.next().await?.ok()? {
                 Packet::AspUpAck => return Some(()),
-                Packet::AspUp => wire.send(Packet::AspUpAck).await.ok()?,
-                // Traffic before the acknowledgement is none (RFC 4666, 4.3.4.1).
+                Packet::AspUp => transport.send(Packet::AspUpAck).await.ok()?,
+                // Traffic before the acknowledgement is ignored (RFC 4666, 4.3.4.1).
                 Packet::Data(_) | Packet::Other(..) => {}
             }
         }
     };
-    matches!(tokio::time::timeout(PATIENCE, greeting).await, Ok(Some(())))
+    matches!(tokio::time::timeout(IO_TIMEOUT, exchange).await, Ok(Some(())))
 }
 
-enum Heard {
+/// Result of one step of [`transfer`].
+enum Outcome {
     Packet(Data),
-    Nothing,
+    /// Nothing to report.
+    Continue,
+    /// The connection is lost, for this reason.
     Lost(String),
+    /// The sender of packets is gone.
     End,
 }
 
-async fn hear(wire: &mut Wire, outgoing: &mut mpsc::Receiver<Data>) -> Heard {
+/// Receives one packet, or writes a batch of outgoing ones.
+async fn transfer(transport: &mut Transport, outgoing: &mut mpsc::Receiver<Data>) -> Outcome {
     let mut batch = Vec::new();
     tokio::select! {
-        packet = wire.next() => match packet {
-            Some(Ok(Packet::Data(data))) => return Heard::Packet(data),
-            // The far end began anew, or says it late.
-            Some(Ok(Packet::AspUp)) => return match wire.send(Packet::AspUpAck).await {
-                Ok(()) => Heard::Nothing,
-                Err(error) => Heard::Lost(error.to_string()),
+        packet = transport.next() => match packet {
+            Some(Ok(Packet::Data(data))) => return Outcome::Packet(data),
+            // The far end restarted its state, or its ASPUP came late.
+            Some(Ok(Packet::AspUp)) => return match transport.send(Packet::AspUpAck).await {
+                Ok(()) => Outcome::Continue,
+                Err(error) => Outcome::Lost(error.to_string()),
             },
-            Some(Ok(Packet::AspUpAck)) => return Heard::Nothing,
+            Some(Ok(Packet::AspUpAck)) => return Outcome::Continue,
             Some(Ok(Packet::Other(class, kind))) => {
-                debug!(class, kind, "packet passed over");
-                return Heard::Nothing;
+                debug!(class, kind, "packet ignored");
+                return Outcome::Continue;
             }
-            Some(Err(error)) => return Heard::Lost(error.to_string()),
-            None => return Heard::Lost("closed".into()),
+            Some(Err(error)) => return Outcome::Lost(error.to_string()),
+            None => return Outcome::Lost("closed by the far end".into()),
         },
         count = outgoing.recv_many(&mut batch, BATCH) => if count == 0 {
-            return Heard::End;
+            return Outcome::End;
         },
     }
     let sent = async {
         for data in batch {
-            wire.feed(Packet::Data(data)).await?;
+            transport.feed(Packet::Data(data)).await?;
         }
-        wire.flush().await
+        transport.flush().await
     };
-    match tokio::time::timeout(PATIENCE, sent).await {
-        Ok(Ok(())) => Heard::Nothing,
-        Ok(Err(error)) => Heard::Lost(error.to_string()),
-        Err(_) => Heard::Lost("it does not read".into()),
+    match tokio::time::timeout(IO_TIMEOUT, sent).await {
+        Ok(Ok(())) => Outcome::Continue,
+        Ok(Err(error)) => Outcome::Lost(error.to_string()),
+        Err(_) => Outcome::Lost("write timed out: the far end does not read".into()),
     }
 }
 
+/// Connects or accepts, retrying until it succeeds.
 async fn open(role: &Role) -> TcpStream {
     loop {
         let opened = match role {
@@ -166,19 +173,20 @@
         };
         match opened {
             Ok(stream) => return stream,
-            Err(_) => tokio::time::sleep(RETRY).await,
+            Err(_) => tokio::time::sleep(RECONNECT_DELAY).await,
         }
     }
 }
 
-/// A later connection of a far end that connects by itself.
-async fn replaced(role: &Role) -> TcpStream {
+/// Waits for a further connection of the far end; never completes if this end connects.
+async fn replacement(role: &Role) -> TcpStream {
     match role {
         Role::Listen(_) => open(role).await,
         Role::Connect(_) => std::future::pending().await,
     }
 }
 
-async fn drain(outgoing: &mut mpsc::Receiver<Data>) {
+/// Discards outgoing packets until the sender is gone.
+async fn discard(outgoing: &mut mpsc::Receiver<Data>) {
     while outgoing.recv().await.is_some() {}
 }
--- a/crates/front/src/text.rs
+++ b/crates/front/src/text.rs
@@ -1,4 +1,4 @@
-//! H.248 text commands on sockets: datagrams, and TPKT over TCP.
+//! H.248 text commands over UDP datagrams, and over TCP as TPKT packets.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,54 +19,57 @@
 use crate::link::accept;
 use crate::Shared;
 
-/// Links of text clients are numbered from here, those of Diameter clients below.
-static NEXT: AtomicU64 = AtomicU64::new(1 << 32);
+/// Next link id of a text client. Text clients start at 2^32; the ids of Diameter clients are below.
+static NEXT_LINK: AtomicU64 = AtomicU64::new(1 << 32);
 
 fn next_link() -> LinkId {
-    LinkId(NEXT.fetch_add(1, Ordering::Relaxed))
+    LinkId(NEXT_LINK.fetch_add(1, Ordering::Relaxed))
 }
 
-/// Addresses that datagrams came from; the one that was silent longest makes room for a new one.
-const ADDRESSES: usize = 4_096;
-/// Connections at once; more wait.
-const CONNECTIONS: usize = 256;
-/// Texts that wait to be written to one connection.
-const QUEUE: usize = 4_096;
+/// Sender addresses kept at most; beyond it the least recently active one is evicted.
+const MAX_ADDRESSES: usize = 4_096;
+/// Concurrent TCP connections; further ones wait to be accepted.
+const MAX_CONNECTIONS: usize = 256;
+/// Capacity in texts of one connection's write queue.
+const WRITE_QUEUE: usize = 4_096;
 
-/// What is to be sent as a datagram.
+/// A text to be sent as a datagram to a link's address.
 pub(crate) type Datagram = (LinkId, Arc<str>);
 
-/// Who is behind which address.
+/// Sender addresses of datagrams and their links.
 #[derive(Default)]
 struct Addresses {
+    /// Link of an address, and the sequence number of its last datagram.
     links: BTreeMap<SocketAddr, (LinkId, u64)>,
     addrs: BTreeMap<LinkId, SocketAddr>,
-    heard: u64,
+    /// Number of datagrams received.
+    received: u64,
 }
 
 impl Addresses {
-    /// The link of an address, and the one that had to make room.
+    /// Returns the link of an address, creating it if needed, and the link that was evicted for it.
     fn link(&mut self, addr: SocketAddr) -> (LinkId, Option<LinkId>) {
-        self.heard += 1;
-        if let Some((link, heard)) = self.links.get_mut(&addr) {
-            *heard = self.heard;
+        self.received += 1;
+        if let Some((link, last)) = self.links.get_mut(&addr) {
+            *last = self.received;
             return (*link, None);
         }
-        let mut gone = None;
-        if self.links.len() >= ADDRESSES {
-            let oldest = self.links.iter().min_by_key(|(_, (_, heard))| *heard).map(|(addr, _)| *addr);
-            gone = oldest.and_then(|addr| self.links.remove(&addr)).map(|(link, _)| link);
-            if let Some(link) = gone {
+        let mut evicted = None;
+        if self.links.len() >= MAX_ADDRESSES {
+            let oldest = self.links.iter().min_by_key(|(_, (_, last))| *last).map(|(addr, _)| *addr);
+            evicted = oldest.and_then(|addr| self.links.remove(&addr)).map(|(link, _)| link);
+            if let Some(link) = evicted {
                 self.addrs.remove(&link);
             }
         }
         let link = next_link();
-        self.links.insert(addr, (link, self.heard));
+        self.links.insert(addr, (link, self.received));
         self.addrs.insert(link, addr);
-        (link, gone)
+        (link, evicted)
     }
 }
 
+/// Serves the UDP socket.
 pub(crate) async fn datagrams(shared: Arc<Shared>, socket: UdpSocket, mut to_send: mpsc::Receiver<Datagram>) {
     let mut buffer = vec![0u8; TEXT_MAX + 1];
     let mut addresses = Addresses::default();
@@ -74,26 +77,27 @@
         tokio::select! {
             received = socket.recv_from(&mut buffer) => {
                 let Ok((size, addr)) = received else {
-                    // A peer's closed port shows as an error of the next read.
+                    // An ICMP error from a peer's closed port is reported by the next read and can be
+                    // ignored.
                     tokio::task::yield_now().await;
                     continue;
                 };
-                let (link, gone) = addresses.link(addr);
-                if let Some(gone) = gone {
-                    let _ = shared.core.send(ToCore::Desk(DeskInput::TextGone(gone))).await;
+                let (link, evicted) = addresses.link(addr);
+                if let Some(evicted) = evicted {
+                    let _ = shared.core.send(ToCore::Desk(DeskInput::TextGone(evicted))).await;
                 }
                 let bytes = buffer[..size].to_vec();
-                // A core that is behind loses datagrams, as a network does: they come again.
+                // The datagram is dropped when the core's queue is full; the client retransmits it.
                 let input = DeskInput::Text { link, reliable: false, bytes };
                 if shared.core.try_send(ToCore::Desk(input)).is_err() {
-                    debug!(%addr, "datagram lost: the core is behind");
+                    debug!(%addr, "datagram dropped: the core's queue is full");
                 }
             }
             datagram = to_send.recv() => {
                 let Some((link, text)) = datagram else { return };
                 if let Some(addr) = addresses.addrs.get(&link) {
                     if let Err(error) = socket.send_to(text.as_bytes(), addr).await {
-                        debug!(%addr, %error, "datagram lost");
+                        debug!(%addr, %error, "datagram not sent");
                     }
                 }
             }
@@ -101,16 +105,17 @@
     }
 }
 
+/// Accepts and serves TCP connections.
 pub(crate) async fn packets(shared: Arc<Shared>, listener: TcpListener) {
-    let room = Arc::new(Semaphore::new(CONNECTIONS));
+    let slots = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     let mut closing = shared.closing.clone();
-    while let Some((stream, addr, permit)) = accept(&listener, &room, &mut closing).await {
+    while let Some((stream, addr, permit)) = accept(&listener, &slots, &mut closing).await {
         let shared = shared.clone();
         tokio::spawn(async move {
             let link = next_link();
             info!(link = link.0, %addr, "text client connected");
             if let Err(error) = connection(&shared, stream, link).await {
-                warn!(link = link.0, %error, "text client's link closed");
+                warn!(link = link.0, %error, "text client connection closed");
             }
             let _ = shared.core.send(ToCore::Desk(DeskInput::TextGone(link))).await;
             drop(permit);
@@ -120,14 +125,14 @@
 
 async fn connection(shared: &Arc<Shared>, mut stream: TcpStream, link: LinkId) -> std::io::Result<()> {
     let _ = stream.set_nodelay(true);
-    let (to_link, mut from_core) = mpsc::channel::<Arc<str>>(QUEUE);
+    let (to_link, mut from_core) = mpsc::channel::<Arc<str>>(WRITE_QUEUE);
     if shared.core.send(ToCore::TextUp(link, to_link)).await.is_err() {
         return Ok(());
     }
-    let patience = Duration::from_micros(shared.config.links.write);
+    let write_timeout = Duration::from_micros(shared.config.links.write);
     let mut buffer = BytesMut::with_capacity(4_096);
     loop {
-        // At most one packet beyond what was read waits here.
+        // Handles all complete packets, so that at most one partial packet stays in the buffer.
         while let Some((bytes, size)) =
             unframe(&buffer).map_err(std::io::Error::other)?.map(|(text, size)| (text.to_vec(), size))
         {
@@ -145,9 +150,13 @@
             text = from_core.recv() => {
                 let Some(text) = text else { return Ok(()) };
                 let packet = frame(text.as_bytes()).map_err(std::io::Error::other)?;
-                match tokio::time::timeout(patience, stream.write_all(&packet)).await {
+                match tokio::time::timeout(write_timeout, stream.write_all(&packet)).await {
                     Ok(written) => written?,
-                    Err(_) => return Err(std::io::Error::new(std::io::ErrorKind::TimedOut, "it does not read")),
+                    Err(_) => {
+                        let kind = std::io::ErrorKind::TimedOut;
+                        let error = std::io::Error::new(kind, "the text client does not read");
+                        return Err(error);
+                    },
                 }
             }
         }
--- a/crates/front/tests/admin.rs
+++ b/crates/front/tests/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' socket of a running front.
+//! The admin socket of a running front.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -21,7 +21,7 @@
     baydrift_config::parse("test", &text).unwrap_or_else(|e| panic!("{:?}", e.problems))
 }
 
-fn place(name: &str) -> PathBuf {
+fn socket_path(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("baydrift-{name}-{}.sock", std::process::id()))
 }
 
@@ -52,23 +52,23 @@
 }
 
 #[tokio::test]
-async fn operators_see_the_groups_of_a_running_front() {
-    let path = place("groups");
+async fn circuits_command_reports_trunk_groups() {
+    let path = socket_path("groups");
     let far = FarEnd::start(far_end(), Arc::new(Recorder::default()), 1).await.expect("it starts");
     let config = config(&path, &far.addrs[&0].to_string());
     let front = Bound::bind(config.clone()).await.expect("bound").start().expect("started");
-    // Its circuits are reset first; once the far end has acknowledged that, they are free.
-    let said = tokio::time::timeout(Duration::from_secs(30), async {
+    // Circuits are reset at start; they become free once the far end has acknowledged the reset.
+    let answer = tokio::time::timeout(Duration::from_secs(30), async {
         loop {
-            let said = query_admin(&path, "circuits").await.expect("an answer");
-            if said["groups"][0]["free"] == 40 {
-                return said;
+            let answer = query_admin(&path, "circuits").await.expect("an answer");
+            if answer["groups"][0]["free"] == 40 {
+                return answer;
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     });
-    let said = said.await.expect("circuits become free");
-    let group = &said["groups"][0];
+    let answer = answer.await.expect("circuits become free");
+    let group = &answer["groups"][0];
     assert_eq!((&group["far_end"], &group["group"]), (&"gw.test".into(), &"north".into()));
     assert_eq!(
         (&group["reachable"], &group["circuits"], &group["clearing"]),
@@ -77,7 +77,7 @@
     assert_eq!(group["not_idle"].as_array().map(Vec::len), Some(0));
     let unknown = query_admin(&path, "everything").await.expect_err("no such question");
     assert!(matches!(&unknown, AdminError::Answer(text) if text.contains("everything")), "{unknown}");
-    // Nobody else's: neither to be read by others, nor to be taken by a second front.
+    // Only the owner can open the socket, and a second front cannot take its path.
     use std::os::unix::fs::PermissionsExt;
     assert_eq!(std::fs::metadata(&path).expect("a file").permissions().mode() & 0o777, 0o600);
     assert!(matches!(Bound::bind(config).await, Err(FrontError::Admin { .. })));
@@ -86,20 +86,20 @@
 }
 
 #[tokio::test]
-async fn a_socket_left_by_a_killed_front_is_replaced_and_another_file_is_not() {
-    let path = place("left");
+async fn stale_socket_is_replaced_and_a_regular_file_is_not() {
+    let path = socket_path("left");
     drop(std::os::unix::net::UnixListener::bind(&path).expect("bound"));
     assert!(path.exists());
     let front = Bound::bind(config(&path, "127.0.0.1:1")).await.expect("bound").start().expect("started");
-    let said = query_admin(&path, "circuits").await.expect("an answer");
-    // The far end is away: nothing is free, and what is to be reset waits.
-    let group = &said["groups"][0];
+    let answer = query_admin(&path, "circuits").await.expect("an answer");
+    // The far end is unreachable: no circuit is free, and their resets are pending.
+    let group = &answer["groups"][0];
     assert_eq!(
         (&group["reachable"], &group["free"], &group["clearing"]),
         (&false.into(), &0.into(), &40.into())
     );
     front.stop().await;
-    let file = place("file");
+    let file = socket_path("file");
     std::fs::write(&file, "precious").expect("written");
     assert!(Bound::bind(config(&file, "127.0.0.1:1")).await.is_err());
     assert_eq!(std::fs::read_to_string(&file).expect("still there"), "precious");
--- a/crates/front/tests/calls.rs
+++ b/crates/front/tests/calls.rs
@@ -1,4 +1,5 @@
-//! Calls over real sockets: the whole way, repeats, drops, drains, hangs, and a stop.
+//! Calls over real sockets: set-up and release, retransmissions, lost connections, drains, hung servers,
+//! shutdown.
 
 mod common;
 
@@ -14,8 +15,8 @@
 const TERMINATION: RequestType = RequestType::Termination;
 
 #[tokio::test]
-async fn a_call_goes_all_the_way_and_back() {
-    let w = world(2, "").await;
+async fn call_is_set_up_updated_and_released() {
+    let w = fixture(2, "").await;
     w.ready().await;
     let mut client = Client::open(w.addr).await;
     let state = Avp::group(dict::PROXY_INFO, &[Avp::text(dict::PROXY_HOST, "p.test"), Avp::text(33, "x")]);
@@ -29,15 +30,15 @@
     assert_eq!(client.answer("c1;1").await.result(), result::SUCCESS);
     client.send(ccr("c1;1", RequestType::Update)).await;
     assert_eq!(client.answer("c1;1").await.result(), result::UNKNOWN_SESSION_ID);
-    w.until("nothing held", |s| s.held.calls == 0 && s.held.orphans == 0 && s.held.tickets == 0).await;
+    w.wait_until("nothing held", |s| s.held.calls == 0 && s.held.orphans == 0 && s.held.tickets == 0).await;
 }
 
 #[tokio::test]
-async fn a_request_said_again_is_one_call_with_one_answer() {
-    let w = world(1, "").await;
+async fn retransmitted_request_is_one_call_with_one_answer() {
+    let w = fixture(1, "").await;
     w.ready().await;
     let before = w.set_ups();
-    // Before the answer, on the same and on a new connection; the first one drops.
+    // Retransmitted before the answer, on the same connection and, after that one is closed, on a new one.
     let mut first = Client::open(w.addr).await;
     let mut request = ccr("c1;again", INITIAL);
     request.header.end_to_end = 77;
@@ -49,7 +50,7 @@
     second.send(request.clone()).await;
     let answer = second.answer("c1;again").await;
     assert_eq!((answer.result(), answer.header.end_to_end), (result::SUCCESS, 77));
-    // After it.
+    // Retransmitted after the answer.
     second.send(request.clone()).await;
     assert_eq!(second.answer("c1;again").await.result(), result::SUCCESS);
     assert_eq!(w.set_ups() - before, 1);
@@ -58,24 +59,24 @@
 }
 
 #[tokio::test]
-async fn a_caller_that_gives_up_is_answered_once_and_its_attempt_released() {
-    let w = world(1, "").await;
+async fn cancelled_call_is_answered_once_and_its_attempt_released() {
+    let w = fixture(1, "").await;
     w.ready().await;
     w.servers[0].command(Command::Slow(20.0));
     let mut client = Client::open(w.addr).await;
     client.send(ccr("c1;1", INITIAL)).await;
-    w.until("in set-up", |s| s.held.in_set_up == 1).await;
+    w.wait_until("in set-up", |s| s.held.in_set_up == 1).await;
     client.send(ccr("c1;1", TERMINATION)).await;
     let answers = [client.answer("c1;1").await, client.answer("c1;1").await];
     let results: Vec<_> = answers.iter().map(|a| (a.number(dict::CC_REQUEST_TYPE), a.result())).collect();
     assert_eq!(results, [(Some(1), result::UNABLE_TO_COMPLY), (Some(3), result::SUCCESS)]);
-    w.recorded("a release", |m| matches!(m, Moment::Release { .. })).await;
-    w.until("nothing held", |s| s.held.calls == 0 && s.held.orphans == 0).await;
+    w.wait_recorded("a release", |m| matches!(m, Moment::Release { .. })).await;
+    w.wait_until("nothing held", |s| s.held.calls == 0 && s.held.orphans == 0).await;
 }
 
 #[tokio::test]
-async fn a_hung_server_is_left_and_used_again() {
-    let w = world(2, "").await;
+async fn hung_server_is_avoided_and_used_again_after_recovery() {
+    let w = fixture(2, "").await;
     w.ready().await;
     let mut client = Client::open(w.addr).await;
     w.servers[0].command(Command::Hang(true));
@@ -83,15 +84,15 @@
         let message = ccr(&format!("c1;{n}"), INITIAL).with(Avp::text(dict::DESTINATION_HOST, "s0.test"));
         client.send(message).await;
     }
-    // All are answered, by way of the other server, within their time.
+    // All calls are answered in time, through the other server.
     for _ in 0..12 {
         let answer = client.read().await.unwrap();
         assert_eq!(answer.result(), result::SUCCESS, "{answer:?}");
     }
-    w.recorded("an unanswered watchdog", |m| matches!(m, Moment::Mute { server: 0, .. })).await;
+    w.wait_recorded("an unanswered watchdog", |m| matches!(m, Moment::Mute { server: 0, .. })).await;
     w.servers[0].command(Command::Hang(false));
     let mut n = 100;
-    let used = |w: &World| {
+    let used = |w: &Fixture| {
         let lines = w.recorder.lines();
         let last = lines.iter().rev().find(|l| matches!(l.moment, Moment::Mute { .. })).map_or(0, |l| l.at);
         lines.iter().any(|l| l.at > last && matches!(l.moment, Moment::SetUp { server: 0, .. }))
@@ -108,8 +109,8 @@
 }
 
 #[tokio::test]
-async fn a_server_that_drains_by_dpr_gets_nothing_new_and_finishes_what_it_has() {
-    let w = world(2, "").await;
+async fn server_draining_by_dpr_gets_no_new_calls_and_can_release_old_ones() {
+    let w = fixture(2, "").await;
     w.ready().await;
     let mut client = Client::open(w.addr).await;
     let to_first =
@@ -117,7 +118,7 @@
     client.send(to_first(1)).await;
     assert_eq!(client.answer("c1;1").await.result(), result::SUCCESS);
     w.servers[0].command(Command::Drain { by_dpr: true, stop_after: 60_000_000, back_after: None });
-    w.recorded("the DPA", |m| matches!(m, Moment::Told { server: 0, ready: false, .. })).await;
+    w.wait_recorded("the DPA", |m| matches!(m, Moment::Told { server: 0, ready: false, .. })).await;
     let before = w.set_ups();
     for n in 2..22 {
         client.send(to_first(n)).await;
@@ -126,15 +127,15 @@
     let lines = w.recorder.lines();
     let set_ups = lines.iter().filter(|l| matches!(l.moment, Moment::SetUp { server: 1, .. })).count();
     assert!(w.set_ups() - before == 20 && set_ups >= 20);
-    // The call that stands there can still be released.
+    // The call established there before can still be released.
     client.send(ccr("c1;1", TERMINATION)).await;
     client.answer("c1;1").await;
-    w.recorded("its release", |m| matches!(m, Moment::Release { server: 0, .. })).await;
+    w.wait_recorded("its release", |m| matches!(m, Moment::Release { server: 0, .. })).await;
 }
 
 #[tokio::test]
-async fn a_cut_reaches_the_caller() {
-    let w = world(1, "").await;
+async fn dropped_call_is_reported_to_the_client() {
+    let w = fixture(1, "").await;
     w.ready().await;
     let mut client = Client::open(w.addr).await;
     client.send(ccr("c1;1", INITIAL)).await;
@@ -143,24 +144,24 @@
     let asr = client.read().await.unwrap();
     assert_eq!((asr.header.code, asr.text(dict::SESSION_ID)), (code::ABORT_SESSION, Some("c1;1")));
     client.send(Message::answer(&asr, result::SUCCESS)).await;
-    w.until("nothing held", |s| s.held.calls == 0 && s.counts.cut == 1).await;
+    w.wait_until("nothing held", |s| s.held.calls == 0 && s.counts.cut == 1).await;
 }
 
 #[tokio::test]
-async fn a_stop_answers_what_waits_cuts_what_stands_and_says_good_bye() {
-    let w = world(1, "").await;
+async fn shutdown_answers_pending_calls_drops_established_ones_and_sends_dpr() {
+    let w = fixture(1, "").await;
     w.ready().await;
     let mut client = Client::open(w.addr).await;
-    client.send(ccr("c1;stands", INITIAL)).await;
-    assert_eq!(client.answer("c1;stands").await.result(), result::SUCCESS);
+    client.send(ccr("c1;established", INITIAL)).await;
+    assert_eq!(client.answer("c1;established").await.result(), result::SUCCESS);
     w.servers[0].command(Command::Slow(50.0));
-    client.send(ccr("c1;waits", INITIAL)).await;
-    w.until("in set-up", |s| s.held.in_set_up == 1).await;
-    let World { front, recorder, .. } = w;
+    client.send(ccr("c1;pending", INITIAL)).await;
+    w.wait_until("in set-up", |s| s.held.in_set_up == 1).await;
+    let Fixture { front, recorder, .. } = w;
     let stopping = tokio::spawn(front.stop());
-    assert_eq!(client.answer("c1;waits").await.result(), result::TOO_BUSY);
+    assert_eq!(client.answer("c1;pending").await.result(), result::TOO_BUSY);
     let asr = client.read().await.unwrap();
-    assert_eq!((asr.header.code, asr.text(dict::SESSION_ID)), (code::ABORT_SESSION, Some("c1;stands")));
+    assert_eq!((asr.header.code, asr.text(dict::SESSION_ID)), (code::ABORT_SESSION, Some("c1;established")));
     let dpr = client.read().await.unwrap();
     assert_eq!(dpr.header.code, code::DISCONNECT);
     client.send(Message::answer(&dpr, result::SUCCESS)).await;
--- a/crates/front/tests/common/mod.rs
+++ b/crates/front/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A front with stand-in servers on loopback, and a client of few words.
+//! A front with stand-in servers on loopback, and a minimal Diameter client.
 
-#![allow(dead_code)] // Each test file uses its part.
+#![allow(dead_code)] // Each test file uses a part of this module.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,16 +17,16 @@
 use tokio::net::TcpStream;
 use tokio_util::codec::Framed;
 
-pub struct World {
+pub struct Fixture {
     pub front: Front,
     pub servers: Vec<Server>,
     pub recorder: Arc<Recorder>,
     pub addr: SocketAddr,
 }
 
-/// A front, and so many servers that set a call up in 20 ms. `more` is added to the configuration; a client
-/// `c1.test` of realm `test` may connect twice.
-pub async fn world(servers: u16, more: &str) -> World {
+/// Starts a front and the given number of servers, each of which sets a call up in 20 ms. `more` is appended
+/// to the configuration. A client `c1.test` of realm `test` may open two connections.
+pub async fn fixture(servers: u16, more: &str) -> Fixture {
     let recorder = Arc::new(Recorder::default());
     let mut text = "front \"front.test\" realm=\"test\" {\n listen \"127.0.0.1:0\"\n serves \"core.test\"\n watchdog \
                     \"500ms\"\n stop-within \"800ms\"\n seed 5\n}\nclass \"grid\" { context \"grid@test\"; gives-up \
@@ -45,7 +45,7 @@
     let config = baydrift_config::parse("test.kdl", &text).unwrap_or_else(|e| panic!("{:?}", e.problems));
     let front = Bound::bind(config).await.expect("sockets").start().expect("good settings");
     let addr = front.addrs().diameter;
-    World { front, servers: all, recorder, addr }
+    Fixture { front, servers: all, recorder, addr }
 }
 
 fn spec(number: u16) -> ServerSpec {
@@ -73,9 +73,9 @@
     }
 }
 
-impl World {
-    /// Waits until the front's state is as wanted; fails after 20 s.
-    pub async fn until(&self, what: &str, good: impl Fn(&Snapshot) -> bool) -> Snapshot {
+impl Fixture {
+    /// Waits until the front's state satisfies `good`; fails after 2000 polls at 10 ms.
+    pub async fn wait_until(&self, what: &str, good: impl Fn(&Snapshot) -> bool) -> Snapshot {
         for _ in 0..2_000 {
             let snapshot = self.front.snapshot().await.expect("the front runs");
             if good(&snapshot) {
@@ -83,21 +83,21 @@
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        panic!("never seen: {what}: {:?}", self.front.snapshot().await);
+        panic!("state not reached: {what}: {:?}", self.front.snapshot().await);
     }
 
-    /// Waits until something stands in the record.
-    pub async fn recorded(&self, what: &str, good: impl Fn(&Moment) -> bool) {
+    /// Waits until an event that satisfies `good` is in the record; fails after 2000 polls at 10 ms.
+    pub async fn wait_recorded(&self, what: &str, good: impl Fn(&Moment) -> bool) {
         for _ in 0..2_000 {
             if self.recorder.lines().iter().any(|line| good(&line.moment)) {
                 return;
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        panic!("never recorded: {what}");
+        panic!("event not recorded: {what}");
     }
 
-    /// A first call that stands, asked for until the server links are up.
+    /// Retries a first call until it is established, which shows that a server link is up, and releases it.
     pub async fn ready(&self) {
         let mut client = Client::open(self.addr).await;
         for session in 0..500 {
@@ -150,7 +150,7 @@
         Self { wire: Framed::new(stream, Codec::default()), ids: 0 }
     }
 
-    /// Connected, with capabilities exchanged as `c1.test`.
+    /// Connects and exchanges capabilities as `c1.test`.
     pub async fn open(addr: SocketAddr) -> Self {
         let mut client = Self::connect(addr).await;
         client.send(cer("c1.test", "test")).await;
@@ -158,7 +158,8 @@
         client
     }
 
-    /// Sends with ids of its own, unless the message has an end-to-end one.
+    /// Sends a message with a new Hop-by-Hop Identifier, which is also its End-to-End Identifier unless it
+    /// has one.
     pub async fn send(&mut self, mut message: Message) {
         self.ids += 1;
         message.header.hop_by_hop = self.ids;
@@ -168,7 +169,7 @@
         self.wire.send(message).await.expect("sent");
     }
 
-    /// The next message, watchdogs answered on the way; `None` once closed.
+    /// Reads the next message, answering watchdog requests; `None` once the connection is closed.
     pub async fn read(&mut self) -> Option<Message> {
         loop {
             let next =
@@ -185,7 +186,7 @@
         }
     }
 
-    /// The next answer for a session.
+    /// Reads up to the next answer for a session.
     pub async fn answer(&mut self, session: &str) -> Message {
         loop {
             let message = self.read().await.expect("an answer");
--- a/crates/front/tests/strangers.rs
+++ b/crates/front/tests/strangers.rs
@@ -1,4 +1,4 @@
-//! Those who don't belong, or do not behave: each is turned away by name, and calls go on beside them.
+//! Unknown and misbehaving peers: each is rejected with a specific error, and other calls continue.
 
 mod common;
 
@@ -13,16 +13,16 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Calls still go through.
-async fn lives(w: &World, name: &str) {
+/// Asserts that a call on a new connection succeeds.
+async fn assert_call_succeeds(w: &Fixture, name: &str) {
     let mut client = Client::open(w.addr).await;
     client.send(ccr(name, RequestType::Initial)).await;
     assert_eq!(client.answer(name).await.result(), result::SUCCESS);
 }
 
 #[tokio::test]
-async fn who_is_not_configured_or_fits_not_is_turned_away_by_name() {
-    let w = world(1, "").await;
+async fn unknown_or_incompatible_peer_is_rejected() {
+    let w = fixture(1, "").await;
     w.ready().await;
     let mut no_application = cer("c1.test", "test");
     no_application.avps.retain(|avp| avp.code != dict::AUTH_APPLICATION_ID);
@@ -38,7 +38,7 @@
         assert_eq!(client.read().await.unwrap().result(), wanted);
         assert!(client.read().await.is_none(), "closed after {wanted}");
     }
-    // More connections than it may have.
+    // More connections than the client may open.
     let _two = (Client::open(w.addr).await, Client::open(w.addr).await);
     let mut third = Client::connect(w.addr).await;
     third.send(cer("c1.test", "test")).await;
@@ -46,8 +46,8 @@
 }
 
 #[tokio::test]
-async fn requests_that_fit_not_are_answered_and_the_link_goes_on() {
-    let w = world(1, "").await;
+async fn invalid_request_is_answered_and_the_link_stays_open() {
+    let w = fixture(1, "").await;
     w.ready().await;
     let mut client = Client::open(w.addr).await;
     let ask = |change: &dyn Fn(&mut Message)| {
@@ -87,7 +87,7 @@
     assert!(asked == 10 && w.front.snapshot().await.unwrap().held.tickets == 0);
 }
 
-/// Sends bytes and waits for the end; what came back.
+/// Sends bytes, waits until the connection is closed, and returns the bytes received.
 async fn raw(addr: SocketAddr, bytes: &[u8]) -> Vec<u8> {
     let mut stream = TcpStream::connect(addr).await.expect("listening");
     let _ = stream.write_all(bytes).await;
@@ -98,8 +98,8 @@
 }
 
 #[tokio::test]
-async fn bytes_that_are_no_messages_close_their_own_link_alone() {
-    let w = world(1, "\nlimits { handshake \"300ms\"; }").await;
+async fn malformed_bytes_close_only_their_own_link() {
+    let w = fixture(1, "\nlimits { handshake \"300ms\"; }").await;
     w.ready().await;
     let cases: [&[u8]; 5] = [
         b"GET / HTTP/1.1\r\n\r\n",
@@ -111,30 +111,30 @@
     for bytes in cases {
         assert!(raw(w.addr, bytes).await.is_empty());
     }
-    // A reserved bit is answered; then, without capabilities, the link is closed.
+    // A set reserved bit is answered with an error; then the link is closed, because no CER came.
     let mut reserved = vec![1, 0, 0, 20, 0x84, 0, 1, 1];
     reserved.extend_from_slice(&[0; 12]);
     assert_eq!(raw(w.addr, &reserved).await[0], 1);
-    lives(&w, "c1;after").await;
+    assert_call_succeeds(&w, "c1;after").await;
 }
 
 #[tokio::test]
-async fn connections_that_never_say_cer_leave_room_for_those_that_do() {
-    let w = world(1, "\nlimits { half-open 20; handshake \"1s\"; }").await;
+async fn connections_without_cer_do_not_block_others() {
+    let w = fixture(1, "\nlimits { half-open 20; handshake \"1s\"; }").await;
     w.ready().await;
     let mut idle = Vec::new();
     for _ in 0..1_000 {
         idle.push(TcpStream::connect(w.addr).await.expect("listening"));
     }
-    w.until("at the bound", |s| s.connections.1 <= 20).await;
-    w.until("none is left", |s| s.connections.1 == 0).await;
-    lives(&w, "c1;after").await;
+    w.wait_until("half-open connections within the limit", |s| s.connections.1 <= 20).await;
+    w.wait_until("no half-open connection", |s| s.connections.1 == 0).await;
+    assert_call_succeeds(&w, "c1;after").await;
     drop(idle);
 }
 
 #[tokio::test]
-async fn a_byte_at_a_time_is_read_and_holds_no_one_up() {
-    let w = world(1, "").await;
+async fn slow_sender_is_served_and_delays_no_other_client() {
+    let w = fixture(1, "").await;
     w.ready().await;
     let slow = tokio::spawn(async move {
         let mut client = Client::open(w.addr).await;
@@ -147,18 +147,18 @@
             tokio::task::yield_now().await;
         }
         let result = client.answer("c1;slow").await.result();
-        lives(&w, "c1;beside").await;
+        assert_call_succeeds(&w, "c1;beside").await;
         result
     });
     assert_eq!(slow.await.unwrap(), result::SUCCESS);
 }
 
 #[tokio::test]
-async fn a_client_that_does_not_read_loses_its_link_and_nothing_grows() {
-    let w = world(1, "\nlimits { queue 64; write \"300ms\"; calls-in-set-up-per-link 50; }").await;
+async fn client_that_does_not_read_is_disconnected() {
+    let w = fixture(1, "\nlimits { queue 64; write \"300ms\"; calls-in-set-up-per-link 50; }").await;
     w.ready().await;
     let mut flood = Client::open(w.addr).await;
-    // Requests that are answered at once, faster than anyone reads the answers.
+    // Requests that are answered at once, while the client reads no answers.
     let mut sent = 0u32;
     loop {
         let mut message = ccr("c1;flood", RequestType::Update);
@@ -169,23 +169,23 @@
             break;
         }
         sent += 1;
-        assert!(sent < 1_000_000, "never held up");
+        assert!(sent < 1_000_000, "the front never stopped reading");
     }
-    let snapshot = w.until("the link is closed", |s| s.connections.0 == 0).await;
+    let snapshot = w.wait_until("the link is closed", |s| s.connections.0 == 0).await;
     assert!(snapshot.held.tickets == 0, "{snapshot:?}");
-    lives(&w, "c1;after").await;
-    // Calls in set-up have a bound of their own, with an answer.
+    assert_call_succeeds(&w, "c1;after").await;
+    // Calls in set-up have a separate limit per link; calls beyond it are counted as rejected by it.
     w.servers[0].command(baydrift_standin::Command::Slow(50.0));
     let mut many = Client::open(w.addr).await;
     for n in 0..60 {
         many.send(ccr(&format!("c1;m{n}"), RequestType::Initial)).await;
     }
-    w.until("the bound", |s| s.counts.bound > 0).await;
+    w.wait_until("the limit of calls in set-up", |s| s.counts.bound > 0).await;
 }
 
 #[tokio::test]
-async fn the_pool_list_is_taken_whole_or_turned_down_by_name() {
-    let w = world(2, "\npool listen=\"127.0.0.1:0\" token=\"t\"").await;
+async fn pool_list_is_accepted_whole_or_rejected_with_a_status() {
+    let w = fixture(2, "\npool listen=\"127.0.0.1:0\" token=\"t\"").await;
     w.ready().await;
     let pool = w.front.addrs().pool.expect("configured");
     let list = |version: u64, host: &str, state: &str| serde_json::json!({"version": version, "servers": [{"host": host, "state": state}]});
@@ -193,7 +193,8 @@
     assert_eq!(push(pool, "t", &list(1, "s0.test", "resting")).await, 400);
     assert_eq!(push(pool, "t", &list(1, "s7.test", "draining")).await, 422);
     assert_eq!(push(pool, "t", &serde_json::json!({"x": "y".repeat(400_000)})).await, 413);
-    // A list that names it: until then it may have started with this front, and is ramped.
+    // s1 needs a list that names it: until then it may have started together with this front, and is warmed
+    // up.
     assert_eq!(push(pool, "t", &list(3, "s1.test", "ready")).await, 200);
     assert_eq!(push(pool, "t", &list(5, "s0.test", "draining")).await, 200);
     assert_eq!(push(pool, "t", &list(4, "s0.test", "ready")).await, 409);
--- a/crates/front/tests/text.rs
+++ b/crates/front/tests/text.rs
@@ -1,4 +1,4 @@
-//! H.248 text over real sockets: datagrams and packets, whole, split, lying and from strangers.
+//! H.248 text over real sockets: datagrams and TPKT packets, split and malformed ones, and unknown senders.
 
 mod common;
 
@@ -13,12 +13,12 @@
 const REGISTER: &str = "T=1{C=-{SC=ROOT{SV{MT=RS}}}}";
 const ADD: &str = "{C=${A=trunk/${M{O{bdc/ctx=\"grid@test\"}}}}}";
 
-async fn ask(socket: &UdpSocket, mid: &str, text: &str) -> String {
+async fn request(socket: &UdpSocket, mid: &str, text: &str) -> String {
     socket.send(format!("!/1 <{mid}> {text}").as_bytes()).await.expect("sent");
-    hear(socket).await
+    receive(socket).await
 }
 
-async fn hear(socket: &UdpSocket) -> String {
+async fn receive(socket: &UdpSocket) -> String {
     let mut buffer = [0u8; 4_096];
     let received = tokio::time::timeout(std::time::Duration::from_secs(20), socket.recv(&mut buffer));
     let size = received.await.expect("in time").expect("received");
@@ -26,38 +26,41 @@
 }
 
 #[tokio::test]
-async fn a_call_by_datagrams_and_its_reply_said_again() {
-    let w = world(1, TEXT).await;
+async fn call_over_udp_repeats_its_reply() {
+    let w = fixture(1, TEXT).await;
     w.ready().await;
-    // The release guard after the start is a span of time, and nothing tells of its end: until then a call by datagram
-    // may be one that the process before had out.
+    // Waits out the retry hold-off of 300 ms after a start, whose end is not reported: until then a call by
+    // datagram may be one that a previous process had in flight.
     tokio::time::sleep(std::time::Duration::from_millis(310)).await;
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     socket.connect(w.front.addrs().text_udp.unwrap()).await.unwrap();
-    assert_eq!(ask(&socket, "t1.test", REGISTER).await, "!/1 <front.test> P=1{C=-{SC=ROOT}}");
+    assert_eq!(request(&socket, "t1.test", REGISTER).await, "!/1 <front.test> P=1{C=-{SC=ROOT}}");
     let before = w.set_ups();
-    let reply = ask(&socket, "t1.test", &format!("T=2{ADD}")).await;
+    let reply = request(&socket, "t1.test", &format!("T=2{ADD}")).await;
     assert_eq!(reply, "!/1 <front.test> P=2{IA,C=1{A=trunk/1}}");
     for _ in 0..5 {
-        assert_eq!(ask(&socket, "t1.test", &format!("T=2{ADD}")).await, reply);
+        assert_eq!(request(&socket, "t1.test", &format!("T=2{ADD}")).await, reply);
     }
     assert_eq!(w.set_ups() - before, 1);
-    // A stranger, one that takes another's place, and noise.
+    // An unknown sender, one that uses another client's MId, and garbage.
     let other = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     other.connect(w.front.addrs().text_udp.unwrap()).await.unwrap();
-    assert!(ask(&other, "t9.test", "T=3{C=1{S=trunk/1}}").await.contains("ER=402"));
-    assert!(ask(&other, "t1.test", "T=3{C=1{S=trunk/1}}").await.contains("ER=402"));
+    assert!(request(&other, "t9.test", "T=3{C=1{S=trunk/1}}").await.contains("ER=402"));
+    assert!(request(&other, "t1.test", "T=3{C=1{S=trunk/1}}").await.contains("ER=402"));
     for noise in [&b"\xff\xfe\x00"[..], b"", b"{{{{{{{{", &[b'{'; 60_000]] {
         other.send(noise).await.unwrap();
     }
-    // Its acknowledgement ends the copies; some may be under way.
+    // The acknowledgement ends the repetition of the reply; some copies may still be in flight.
     socket.send(b"!/1 <t1.test> K{2}").await.unwrap();
-    let mut said = ask(&socket, "t1.test", "T=4{C=1{S=trunk/1}}").await;
-    while said == reply {
-        said = hear(&socket).await;
+    let mut reply_to_subtract = request(&socket, "t1.test", "T=4{C=1{S=trunk/1}}").await;
+    while reply_to_subtract == reply {
+        reply_to_subtract = receive(&socket).await;
     }
-    assert!(said.starts_with("!/1 <front.test> P=4{C=1{S=trunk/1{SA{bdc/dur="), "{said}");
-    w.until("nothing held", |s| s.held.calls == 0 && s.held.orphans == 0).await;
+    assert!(
+        reply_to_subtract.starts_with("!/1 <front.test> P=4{C=1{S=trunk/1{SA{bdc/dur="),
+        "{reply_to_subtract}"
+    );
+    w.wait_until("nothing held", |s| s.held.calls == 0 && s.held.orphans == 0).await;
 }
 
 async fn packet(stream: &mut TcpStream) -> Option<String> {
@@ -76,8 +79,8 @@
 }
 
 #[tokio::test]
-async fn a_call_by_packets_split_at_every_byte_and_lies_close_the_link() {
-    let w = world(1, TEXT).await;
+async fn split_packets_are_joined_and_malformed_ones_close_the_link() {
+    let w = fixture(1, TEXT).await;
     w.ready().await;
     let addr = w.front.addrs().text_tcp.unwrap();
     let mut stream = TcpStream::connect(addr).await.unwrap();
@@ -88,16 +91,16 @@
     assert_eq!(packet(&mut stream).await.unwrap(), "!/1 <front.test> P=1{C=-{SC=ROOT}}");
     stream.write_all(&frame(format!("!/1 <t2.test> T=2{ADD}").as_bytes()).unwrap()).await.unwrap();
     assert_eq!(packet(&mut stream).await.unwrap(), "!/1 <front.test> P=2{C=1{A=trunk/1}}");
-    // A length that lies: shorter than its own header, and another protocol.
-    for lie in [&[3u8, 0, 0, 2][..], b"GET / HTTP/1.1\r\n\r\n"] {
-        let mut liar = TcpStream::connect(addr).await.unwrap();
-        liar.write_all(lie).await.unwrap();
-        assert!(packet(&mut liar).await.is_none());
+    // A length shorter than the packet's own header, and another protocol.
+    for malformed in [&[3u8, 0, 0, 2][..], b"GET / HTTP/1.1\r\n\r\n"] {
+        let mut other = TcpStream::connect(addr).await.unwrap();
+        other.write_all(malformed).await.unwrap();
+        assert!(packet(&mut other).await.is_none());
     }
-    // One that announces more than comes holds only itself up.
-    let mut waits = TcpStream::connect(addr).await.unwrap();
-    waits.write_all(&[3, 0, 0xff, 0xff, b'!']).await.unwrap();
+    // An incomplete packet delays only its own connection.
+    let mut incomplete = TcpStream::connect(addr).await.unwrap();
+    incomplete.write_all(&[3, 0, 0xff, 0xff, b'!']).await.unwrap();
     stream.write_all(&frame(b"!/1 <t2.test> T=3{C=1{S=trunk/1}}").unwrap()).await.unwrap();
     assert!(packet(&mut stream).await.unwrap().contains("P=3{C=1{S=trunk/1"));
-    w.until("nothing held", |s| s.held.calls == 0).await;
+    w.wait_until("nothing held", |s| s.held.calls == 0).await;
 }
