--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,4 +1,4 @@
-//! What must fit together.
+//! Checks across settings: unique names, required nodes and consistent references.
 
 use std::collections::BTreeMap;
 
@@ -7,17 +7,19 @@
 use crate::reader::{Node, Problems};
 use crate::Config;
 
-/// Checks names that must be unique and things that must be there.
+/// Reports duplicate names and numbers, missing nodes, and settings that contradict each other.
 pub(crate) fn check(document: &KdlDocument, problems: &Problems, front: &Node<'_>, config: &Config) {
     for kind in ["class", "publisher", "client", "text-client"] {
-        unique(document, problems, &[kind], |node| node.entries().iter().find(|e| e.name().is_none()));
+        check_unique(document, problems, &[kind], |node| node.entries().iter().find(|e| e.name().is_none()));
     }
-    // Servers and far ends are members of one pool.
+    // Servers and far ends are members of the same pool.
     let members = ["server", "far-end"];
-    unique(document, problems, &members, |node| node.entries().iter().find(|e| e.name().is_none()));
-    unique(document, problems, &members, |node| node.entries().iter().find(|e| is(e, "number")));
-    unique(document, problems, &["server"], |node| node.entries().iter().find(|e| is(e, "addr")));
-    unique(document, problems, &["far-end"], |node| node.entries().iter().find(|e| is(e, "point")));
+    check_unique(document, problems, &members, |node| node.entries().iter().find(|e| e.name().is_none()));
+    check_unique(document, problems, &members, |node| node.entries().iter().find(|e| has_name(e, "number")));
+    check_unique(document, problems, &["server"], |node| node.entries().iter().find(|e| has_name(e, "addr")));
+    check_unique(document, problems, &["far-end"], |node| {
+        node.entries().iter().find(|e| has_name(e, "point"))
+    });
     if config.point.is_none() && !config.far_ends.is_empty() {
         front.report("far ends need this exchange's own point code", Some("exchange point=11"));
     }
@@ -28,7 +30,7 @@
         front.report("no client may connect", Some("client \"gateway.example\" realm=\"example\""));
     }
     if config.text.is_none() && !config.text_clients.is_empty() {
-        front.report("text-clients have nowhere to speak", Some("text udp=\"127.0.0.1:2944\""));
+        front.report("text-clients need a text listener", Some("text udp=\"127.0.0.1:2944\""));
     }
     if config.members().next().is_none() {
         front.report("no server is configured", Some("server \"s1.example\" realm=... number=0 addr=..."));
@@ -36,9 +38,9 @@
     if config.serves.is_empty() {
         front.report("no realm is served", Some("serves \"core.example\": the Destination-Realm of calls"));
     }
-    // Units are whole set-ups: with less than one nothing would ever go to a cold server.
-    let lends = config.fleet.as_ref().is_some_and(|fleet| fleet.budget_leases);
-    if lends && config.limits.cold_rate.is_none_or(|rate| rate < 1.0) {
+    // Leases are in units of one set-up: with a rate below 1, no call would reach a server in warm-up.
+    let budget_leases = config.fleet.as_ref().is_some_and(|fleet| fleet.budget_leases);
+    if budget_leases && config.limits.cold_rate.is_none_or(|rate| rate < 1.0) {
         front.report("the fleet lends of a cold-rate of 1 or more", Some("policy { cold-rate 28 }"));
     }
     if config.settings.ordinal >= config.settings.fronts {
@@ -73,11 +75,12 @@
     }
 }
 
-fn is(entry: &kdl::KdlEntry, name: &str) -> bool {
+fn has_name(entry: &kdl::KdlEntry, name: &str) -> bool {
     entry.name().is_some_and(|n| n.value() == name)
 }
 
-fn unique<'a>(
+/// Reports nodes of these kinds whose `key` entry repeats an earlier one.
+fn check_unique<'a>(
     document: &'a KdlDocument,
     problems: &Problems,
     kinds: &[&str],
@@ -86,7 +89,7 @@
     let mut seen: BTreeMap<String, &str> = BTreeMap::new();
     for node in document.nodes().iter().filter(|n| kinds.contains(&n.name().value())) {
         let Some(entry) = key(node) else { continue };
-        // Port 0 asks for any: two of them are not the same.
+        // Port 0 selects any free port, so two such addresses do not conflict.
         let any_port = entry.value().as_string().is_some_and(|t| t.ends_with(":0"));
         match seen.get(&entry.value().to_string()) {
             Some(kind) if !any_port => {
--- a/crates/config/src/front.rs
+++ b/crates/config/src/front.rs
@@ -1,4 +1,4 @@
-//! From a document to a [`Config`].
+//! Reads a KDL document into a [`Config`].
 
 use baydrift::interface::{Class, Repeat, ReportPath, ServerState, Settings};
 use baydrift_call::Limits;
@@ -13,7 +13,8 @@
 const S: u64 = 1_000_000;
 const HOUR: u64 = 3_600 * S;
 
-const KNOWN: [&str; 14] = [
+/// Names of top-level nodes.
+const TOP_LEVEL_NODES: [&str; 14] = [
     "front",
     "limits",
     "policy",
@@ -30,15 +31,15 @@
     "admin",
 ];
 
-/// Reads and checks a front's configuration; `name` is the file's, for messages.
+/// Reads and checks a front's configuration; `name` is the file name for error messages.
 ///
 /// # Errors
-/// All that is wrong, each with its place.
+/// All problems found, each with its line and column.
 pub fn parse(name: &str, text: &str) -> Result<Config, ConfigError> {
     let (document, problems) = parse_document(name, text)?;
     for node in document.nodes() {
-        if !KNOWN.contains(&node.name().value()) {
-            let hint = format!("known here: {}", KNOWN.join(", "));
+        if !TOP_LEVEL_NODES.contains(&node.name().value()) {
+            let hint = format!("known here: {}", TOP_LEVEL_NODES.join(", "));
             problems.add(
                 node.name().span(),
                 format!("no setting is called {}", node.name().value()),
@@ -55,33 +56,35 @@
             "front is missing",
             Some("front \"front1.example\" realm=\"example\" { ... }"),
         );
-        problems.finish(name).expect_err("one was added")
+        problems.finish(name).expect_err("a problem was added")
     })
 }
 
-fn all<'a>(document: &'a KdlDocument, problems: &Problems, name: &str) -> Vec<Node<'a>> {
+/// All top-level nodes with this name.
+fn all_nodes<'a>(document: &'a KdlDocument, problems: &Problems, name: &str) -> Vec<Node<'a>> {
     let nodes = document.nodes().iter().filter(|node| node.name().value() == name);
     nodes.map(|node| Node::new(node, problems)).collect()
 }
 
-fn one<'a>(document: &'a KdlDocument, problems: &Problems, name: &str) -> Option<Node<'a>> {
-    let mut nodes = all(document, problems, name);
-    for second in nodes.drain(1.min(nodes.len())..) {
-        second.report(format!("{name} is there already"), Some("keep one of them"));
+/// The top-level node with this name; reports further ones as problems.
+fn single_node<'a>(document: &'a KdlDocument, problems: &Problems, name: &str) -> Option<Node<'a>> {
+    let mut nodes = all_nodes(document, problems, name);
+    for duplicate in nodes.drain(1.min(nodes.len())..) {
+        duplicate.report(format!("{name} is defined more than once"), Some("keep one of them"));
     }
     nodes.pop()
 }
 
 fn read(document: &KdlDocument, problems: &Problems) -> Option<Config> {
-    let classes: Vec<_> = all(document, problems, "class").into_iter().map(class).collect();
-    let publishers: Vec<_> = all(document, problems, "publisher").into_iter().map(publisher).collect();
-    let (limits, links) = limits(one(document, problems, "limits"));
-    let point = one(document, problems, "exchange").map(exchange);
-    let far_ends = all(document, problems, "far-end").into_iter();
+    let classes: Vec<_> = all_nodes(document, problems, "class").into_iter().map(class).collect();
+    let publishers: Vec<_> = all_nodes(document, problems, "publisher").into_iter().map(publisher).collect();
+    let (limits, links) = limits(single_node(document, problems, "limits"));
+    let point = single_node(document, problems, "exchange").map(exchange);
+    let far_ends = all_nodes(document, problems, "far-end").into_iter();
     let far_ends = far_ends.map(|node| far_end(node, point.unwrap_or(0), &classes, &publishers)).collect();
-    let front = one(document, problems, "front")?;
-    let policy = one(document, problems, "policy");
-    let (settings, grace, cold_rate) = settings(&front, policy, &classes, &publishers);
+    let front = single_node(document, problems, "front")?;
+    let policy = single_node(document, problems, "policy");
+    let (settings, drain_grace, cold_rate) = settings(&front, policy, &classes, &publishers);
     let config = Config {
         host: front.name("its Origin-Host"),
         realm: front.required_text("realm"),
@@ -90,17 +93,17 @@
         watchdog: front.time("watchdog", 50 * MS..=HOUR).unwrap_or(6 * S),
         shutdown_timeout: front.time("stop-within", 0..=HOUR).unwrap_or(5 * S),
         seed: front.integer("seed", 0..=u64::MAX),
-        limits: Limits { drain_grace: grace, cold_rate, ..limits },
+        limits: Limits { drain_grace, cold_rate, ..limits },
         links,
-        clients: all(document, problems, "client").into_iter().map(client).collect(),
-        text: one(document, problems, "text").map(text),
-        text_clients: all(document, problems, "text-client").into_iter().map(text_client).collect(),
-        servers: all(document, problems, "server").into_iter().map(server).collect(),
+        clients: all_nodes(document, problems, "client").into_iter().map(client).collect(),
+        text: single_node(document, problems, "text").map(text),
+        text_clients: all_nodes(document, problems, "text-client").into_iter().map(text_client).collect(),
+        servers: all_nodes(document, problems, "server").into_iter().map(server).collect(),
         point,
         far_ends,
-        admin: one(document, problems, "admin").map(admin),
-        pool: one(document, problems, "pool").map(pool),
-        fleet: one(document, problems, "fleet").map(fleet),
+        admin: single_node(document, problems, "admin").map(admin),
+        pool: single_node(document, problems, "pool").map(pool),
+        fleet: single_node(document, problems, "fleet").map(fleet),
         classes,
         publishers,
         settings,
@@ -164,7 +167,7 @@
         subscriptions: node.texts("subscription"),
     };
     if publisher.realms.is_empty() && publisher.subscriptions.is_empty() {
-        node.report("publisher has neither realm nor subscription", Some("no call would ever be its own"));
+        node.report("publisher has neither realm nor subscription", Some("no call would belong to it"));
     }
     node.reject_unknown_keys();
     publisher
@@ -195,7 +198,7 @@
 
 fn admin(node: Node<'_>) -> std::path::PathBuf {
     let path = node.required_text("socket");
-    // A path of a Unix socket has a bound of its own (108 octets with its end on Linux).
+    // The path of a Unix socket is limited by the operating system (108 octets with the final NUL on Linux).
     if path.len() > 100 {
         node.report_at("socket", "a socket's path has at most 100 octets", None);
     }
@@ -258,35 +261,35 @@
         write: 5 * S,
     };
     let Some(node) = node else { return (limits, links) };
-    let set = |to: &mut usize, key, range| {
+    let set_count = |target: &mut usize, key, range| {
         if let Some(value) = node.integer(key, range) {
-            *to = value as usize;
+            *target = value as usize;
         }
     };
-    set(&mut limits.calls, "calls", 1..=10_000_000);
-    set(&mut limits.in_set_up_per_link, "calls-in-set-up-per-link", 1..=1_000_000);
-    set(&mut limits.cached_answers, "remembered-answers", 0..=10_000_000);
-    set(&mut limits.detached_attempts, "orphans", 0..=10_000_000);
-    set(&mut limits.servers, "servers", 1..=10_000);
-    set(&mut links.connections, "connections", 1..=100_000);
-    set(&mut links.half_open, "half-open", 1..=100_000);
-    set(&mut links.message_bytes, "message-bytes", 256..=16_777_215);
-    set(&mut links.queue, "queue", 16..=1_000_000);
-    let time = |to: &mut u64, key, range| {
+    set_count(&mut limits.calls, "calls", 1..=10_000_000);
+    set_count(&mut limits.in_set_up_per_link, "calls-in-set-up-per-link", 1..=1_000_000);
+    set_count(&mut limits.cached_answers, "remembered-answers", 0..=10_000_000);
+    set_count(&mut limits.detached_attempts, "orphans", 0..=10_000_000);
+    set_count(&mut limits.servers, "servers", 1..=10_000);
+    set_count(&mut links.connections, "connections", 1..=100_000);
+    set_count(&mut links.half_open, "half-open", 1..=100_000);
+    set_count(&mut links.message_bytes, "message-bytes", 256..=16_777_215);
+    set_count(&mut links.queue, "queue", 16..=1_000_000);
+    let set_duration = |target: &mut u64, key, range| {
         if let Some(value) = node.time(key, range) {
-            *to = value;
+            *target = value;
         }
     };
-    time(&mut limits.cached_answer_ttl, "remember-for", 0..=24 * HOUR);
-    time(&mut limits.release_timeout, "release-timeout", MS..=HOUR);
-    time(&mut limits.client_absence, "away", 0..=24 * HOUR);
-    time(&mut links.handshake, "handshake", MS..=HOUR);
-    time(&mut links.write, "write", MS..=HOUR);
+    set_duration(&mut limits.cached_answer_ttl, "remember-for", 0..=24 * HOUR);
+    set_duration(&mut limits.release_timeout, "release-timeout", MS..=HOUR);
+    set_duration(&mut limits.client_absence, "away", 0..=24 * HOUR);
+    set_duration(&mut links.handshake, "handshake", MS..=HOUR);
+    set_duration(&mut links.write, "write", MS..=HOUR);
     node.reject_unknown_keys();
     (limits, links)
 }
 
-/// What the module is told, the grace, and the last line's rate for cold servers.
+/// Returns the module's settings, the drain grace period, and the engine's rate limit for servers in warm-up.
 fn settings(
     front: &Node<'_>,
     policy: Option<Node<'_>>,
@@ -294,7 +297,7 @@
     publishers: &[Publisher],
 ) -> (Settings, u64, Option<f64>) {
     let mut settings = Settings {
-        // One that was reported already shall not make every ordinal wrong as well.
+        // If `fronts` is invalid, the maximum is assumed, so that the ordinals are not reported as well.
         fronts: front.integer("fronts", 1..=100_000).unwrap_or(if front.has("fronts") { 100_000 } else { 1 })
             as u32,
         ordinal: front.integer("ordinal", 0..=99_999).unwrap_or(0) as u32,
@@ -309,7 +312,7 @@
         max_retry_after: 0,
         reports: ReportPath::Answers,
         subscribe: false,
-        // Diameter over TCP: the transport repeats nothing that the application sees.
+        // Diameter over TCP: TCP retransmits below the application, which sees no retransmissions.
         retransmit_after: 0,
         retry_holdoff: 300 * MS,
         cold_from: 0.33,
@@ -317,21 +320,21 @@
         fall_multiple: 2.0,
         fall_time: 1_500 * MS,
     };
-    let mut grace = S;
-    let Some(node) = policy else { return (settings, grace, None) };
+    let mut drain_grace = S;
+    let Some(node) = policy else { return (settings, drain_grace, None) };
     if let Some(value) = node.integer("max-attempts", 1..=5) {
         settings.max_attempts = value as u32;
     }
-    let times = [
+    let durations = [
         ("release-guard", 300 * MS..=60 * S, &mut settings.retry_holdoff),
         ("ramp", 0..=HOUR, &mut settings.warm_up_time),
         ("fall-time", MS..=HOUR, &mut settings.fall_time),
         ("max-retry-after", 0..=HOUR, &mut settings.max_retry_after),
-        ("grace", 0..=S, &mut grace),
+        ("grace", 0..=S, &mut drain_grace),
     ];
-    for (key, range, to) in times {
+    for (key, range, target) in durations {
         if let Some(value) = node.time(key, range) {
-            *to = value;
+            *target = value;
         }
     }
     let numbers = [
@@ -339,12 +342,12 @@
         ("cold-from", 0.01..=1.0, &mut settings.cold_from),
         ("fall-multiple", 0.1..=100.0, &mut settings.fall_multiple),
     ];
-    for (key, range, to) in numbers {
+    for (key, range, target) in numbers {
         if let Some(value) = node.number(key, range) {
-            *to = value;
+            *target = value;
         }
     }
     let cold_rate = node.number("cold-rate", 0.1..=1e6);
     node.reject_unknown_keys();
-    (settings, grace, cold_rate)
+    (settings, drain_grace, cold_rate)
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,7 +1,7 @@
-//! A front's configuration.
+//! Configuration of a front.
 //!
-//! [`parse`] turns a KDL document into a [`Config`] or into *all* that is wrong with it, each problem with its
-//! place and, where there is one, a hint. `docs/operate/front.md` lists the settings for operators.
+//! [`parse`] turns a KDL document into a checked [`Config`], or reports *all* problems found in it, each with
+//! its position and, where possible, a hint. `docs/operate/front.md` lists the settings for operators.
 
 mod check;
 mod front;
@@ -17,93 +17,93 @@
 pub use reader::{parse_document, span_of, ConfigError, Node, Problem, Problems};
 pub use trunk::{Dial, FarEnd, Incoming, TrunkGroup};
 
-/// All settings of one front, checked.
+/// All settings of one front, after validation.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Config {
     /// Origin-Host.
     pub host: String,
     /// Origin-Realm.
     pub realm: String,
-    /// Where clients connect.
+    /// Address on which Diameter clients connect.
     pub listen: SocketAddr,
-    /// Realms that are served.
+    /// Realms served, matched with the Destination-Realm of calls.
     pub serves: Vec<String>,
-    /// Tw of the watchdog.
+    /// Interval of the Diameter watchdog (Tw of RFC 3539).
     pub watchdog: Micros,
-    /// An orderly stop takes no longer.
+    /// Time limit of a graceful shutdown (`stop-within`).
     pub shutdown_timeout: Micros,
-    /// Seed of the module's chance; `None` for one drawn at start.
+    /// Seed of the module's random numbers; `None` for a random seed at start.
     pub seed: Option<u64>,
-    /// Bounds of the call engine.
+    /// Limits of the call engine.
     pub limits: Limits,
-    /// Bounds of links.
+    /// Limits of links.
     pub links: LinkLimits,
     /// Classes, in the module's order.
     pub classes: Vec<ClassEntry>,
     /// Publishers, in the module's order.
     pub publishers: Vec<Publisher>,
-    /// Who may connect.
+    /// Diameter clients that may connect.
     pub clients: Vec<Client>,
-    /// Where H.248 text commands are taken.
+    /// Listeners for H.248 text commands.
     pub text: Option<Text>,
-    /// Who may send them.
+    /// Clients that may send H.248 text commands.
     pub text_clients: Vec<TextClient>,
-    /// Where calls are set up.
+    /// Diameter servers on which calls are set up.
     pub servers: Vec<Server>,
-    /// Signalling point code of this exchange, where it has trunk groups.
+    /// Signalling point code of this exchange, if it has trunk groups.
     pub point: Option<u32>,
-    /// Servers that are reached over trunk groups.
+    /// Servers reached over trunk groups.
     pub far_ends: Vec<FarEnd>,
-    /// Path of the Unix socket on which operators ask; who may is a matter of the file's directory.
+    /// Path of the admin socket. Who may use it depends on the permissions of the file and its directory.
     pub admin: Option<std::path::PathBuf>,
-    /// Where the list service pushes the pool.
+    /// HTTP endpoint to which the list service pushes the pool list.
     pub pool: Option<Pool>,
-    /// The other fronts.
+    /// Communication with the other fronts.
     pub fleet: Option<Fleet>,
-    /// What the module is told at start.
+    /// Settings passed to the module at start.
     pub settings: Settings,
 }
 
-/// Bounds of links and connections.
+/// Limits of links and connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LinkLimits {
-    /// Client connections in all.
+    /// Maximum number of client connections.
     pub connections: usize,
-    /// Of them, those that have not exchanged capabilities yet.
+    /// Maximum number of client connections that have not yet exchanged capabilities.
     pub half_open: usize,
-    /// Time for a client's CER.
+    /// Time limit for a client's CER.
     pub handshake: Micros,
-    /// Longest message.
+    /// Maximum length of a Diameter message, in bytes.
     pub message_bytes: usize,
-    /// Messages that wait to be written to one peer; beyond it the link is closed.
+    /// Capacity, in messages, of the write queue of each peer; when it overflows, a client's link is closed.
     pub queue: usize,
-    /// Time that a peer may take to read what was written.
+    /// Time limit of a write to a peer.
     pub write: Micros,
 }
 
-/// A class, and by which Service-Context-Ids calls belong to it.
+/// A class of calls, and the Service-Context-Ids by which calls are assigned to it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClassEntry {
-    /// Its name in logs and tables.
+    /// Name of the class in logs and tables.
     pub name: String,
     /// Service-Context-Ids.
     pub contexts: Vec<String>,
-    /// Callers give a try up after so long.
+    /// Time after which a caller abandons a call attempt (`gives-up`).
     pub caller_timeout: Micros,
-    /// What the module is told.
+    /// Settings of the class for the module.
     pub class: Class,
 }
 
-/// A publisher, and which calls are its.
+/// A publisher (a tenant of the module), and the rules by which calls are assigned to it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Publisher {
-    /// Its name.
+    /// Name of the publisher.
     pub name: String,
-    /// Calls a second that count in full.
+    /// Calls per second that count with their full value.
     pub quota: f64,
-    /// Origin-Realms.
+    /// Origin-Realms of its calls.
     pub realms: Vec<String>,
-    /// Beginnings of Subscription-Id-Data; they go before realms.
+    /// Prefixes of the Subscription-Id-Data of its calls; they take precedence over realms.
     pub subscriptions: Vec<String>,
 }
 
@@ -114,27 +114,27 @@
     pub host: String,
     /// Origin-Realm.
     pub realm: String,
-    /// Connections at once.
+    /// Maximum number of concurrent connections.
     pub connections: usize,
-    /// Whether it forwards requests of other hosts.
+    /// Whether it relays requests of other hosts.
     pub relay: bool,
 }
 
-/// Where H.248 text commands are taken.
+/// Listeners for H.248 text commands.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Text {
-    /// Datagrams.
+    /// UDP address.
     pub udp: SocketAddr,
-    /// TPKT over TCP.
+    /// TCP address, for TPKT packets.
     pub tcp: Option<SocketAddr>,
 }
 
-/// A client that sends text commands.
+/// A client that sends H.248 text commands.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TextClient {
-    /// Its MId, as it writes it: `<domain>`, `[address]` or a device's name, with its port if any.
+    /// Its MId as it appears in messages: `<domain>`, `[address]` or a device name, with its port if any.
     pub mid: String,
-    /// Its realm, for publishers.
+    /// Its realm, used to assign calls to publishers.
     pub realm: String,
 }
 
@@ -145,38 +145,39 @@
     pub host: String,
     /// Origin-Realm.
     pub realm: String,
-    /// Its number; also its id for the module.
+    /// Its number, which is also its id in the module.
     pub number: u16,
-    /// Where it listens.
+    /// Address on which it listens.
     pub addr: SocketAddr,
-    /// Its state until the list says otherwise.
+    /// Its state until the pool list changes it.
     pub state: ServerState,
 }
 
-/// Where the pool list is taken.
+/// HTTP endpoint for the pool list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Pool {
-    /// The HTTP listener.
+    /// Address of the HTTP listener.
     pub listen: SocketAddr,
-    /// What the list service must show.
+    /// Bearer token that the list service must present.
     pub token: String,
 }
 
-/// Messages between fronts.
+/// Communication between fronts.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fleet {
-    /// This front's own socket.
+    /// Address of this front's own UDP socket.
     pub bind: SocketAddr,
-    /// The others', by ordinal.
+    /// Ordinals and addresses of the other fronts.
     pub fronts: Vec<(u32, SocketAddr)>,
-    /// What cold servers may be sent is shared by lending, by the policy's `cold-rate`.
+    /// Whether fronts share the set-up budget of servers in warm-up (the policy's `cold-rate`) by leases
+    /// (`lends`).
     pub budget_leases: bool,
-    /// Fronts tell each other who of them lives.
+    /// Whether fronts run the membership protocol to detect failed fronts (`lives`).
     pub membership: bool,
 }
 
 impl Config {
-    /// All members of the pool, however they are reached: name, number, and state until the list says otherwise.
+    /// All members of the pool, servers and far ends: name, number, and state until the pool list changes it.
     pub fn members(&self) -> impl Iterator<Item = (&str, u16, ServerState)> {
         let servers = self.servers.iter().map(|s| (s.host.as_str(), s.number, s.state));
         servers.chain(self.far_ends.iter().map(|f| (f.host.as_str(), f.number, f.state)))
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reading KDL nodes with an eye on all that is wrong, not on the first error alone.
+//! Reads KDL nodes and collects all problems, instead of stopping at the first one.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -7,34 +7,34 @@
 use kdl::{KdlDocument, KdlNode, KdlValue};
 use miette::{Diagnostic, NamedSource, SourceSpan};
 
-/// One thing that is wrong, with its place.
+/// One problem in a configuration, with its position.
 #[derive(Debug, Clone, thiserror::Error, Diagnostic, PartialEq, Eq)]
 #[error("{line}:{column}: {text}")]
 pub struct Problem {
-    /// What.
+    /// Description of the problem.
     pub text: String,
-    /// Line, from 1.
+    /// Line, counted from 1.
     pub line: usize,
-    /// Column, from 1.
+    /// Column in characters, counted from 1.
     pub column: usize,
-    /// What to do.
+    /// How to fix it.
     #[help]
     pub hint: Option<String>,
-    /// Where.
+    /// Position in the source text.
     #[label("here")]
     pub span: SourceSpan,
 }
 
-/// A configuration that cannot be used: all that is wrong with it.
+/// A configuration that cannot be used, with all its problems.
 #[derive(Debug, thiserror::Error, Diagnostic)]
 #[error("{name}: {} problem{} in the configuration", problems.len(), if problems.len() == 1 { "" } else { "s" })]
 pub struct ConfigError {
-    /// The file's name.
+    /// Name of the file.
     pub name: String,
-    /// Its text.
+    /// Text of the file.
     #[source_code]
     pub source_code: NamedSource<String>,
-    /// What is wrong, in order of place.
+    /// The problems, sorted by position.
     #[related]
     pub problems: Vec<Problem>,
 }
@@ -47,12 +47,12 @@
 }
 
 impl Problems {
-    /// None yet, for a document's text.
+    /// Creates an empty collection for a document's text.
     pub fn new(text: &str) -> Self {
         Self { text: text.into(), found: Rc::default() }
     }
 
-    /// Adds one.
+    /// Adds a problem at a position.
     pub fn add(&self, span: SourceSpan, text: impl Into<String>, hint: Option<&str>) {
         let before = self.text.get(..span.offset().min(self.text.len())).unwrap_or("");
         let line = before.matches('\n').count() + 1;
@@ -61,10 +61,10 @@
         self.found.borrow_mut().push(Problem { text: text.into(), line, column, hint, span });
     }
 
-    /// An error, if there were any.
+    /// Returns the collected problems as an error, if there are any.
     ///
     /// # Errors
-    /// All problems in order of place.
+    /// All problems, sorted by position.
     pub fn finish(self, name: &str) -> Result<(), ConfigError> {
         let mut problems = self.found.take();
         if problems.is_empty() {
@@ -76,10 +76,10 @@
     }
 }
 
-/// Parses a document's grammar.
+/// Parses a KDL document.
 ///
 /// # Errors
-/// Where the text is no KDL.
+/// If the text is not valid KDL.
 pub fn parse_document(name: &str, text: &str) -> Result<(KdlDocument, Problems), ConfigError> {
     let problems = Problems::new(text);
     match KdlDocument::parse(text) {
@@ -92,50 +92,51 @@
             if error.diagnostics.is_empty() {
                 problems.add((0, 0).into(), "not KDL", None);
             }
-            Err(problems.finish(name).expect_err("one was added"))
+            Err(problems.finish(name).expect_err("a problem was added"))
         }
     }
 }
 
-/// The place of a node's name.
+/// Position of a node's name.
 pub fn span_of(node: &KdlNode) -> SourceSpan {
     node.name().span()
 }
 
-/// A node being read: what is never asked for is unknown and reported as such.
+/// A node being read. It records which keys are requested, so that [`Node::reject_unknown_keys`] can report
+/// others.
 #[derive(Debug)]
 pub struct Node<'a> {
-    /// The node itself.
+    /// The KDL node.
     pub node: &'a KdlNode,
     problems: Problems,
-    asked: RefCell<Vec<&'static str>>,
+    requested: RefCell<Vec<&'static str>>,
 }
 
 impl<'a> Node<'a> {
-    /// Starts to read a node.
+    /// Wraps a node; its problems are added to `problems`.
     pub fn new(node: &'a KdlNode, problems: &Problems) -> Self {
-        Self { node, problems: problems.clone(), asked: RefCell::default() }
+        Self { node, problems: problems.clone(), requested: RefCell::default() }
     }
 
-    /// Its place.
+    /// Position of the node's name.
     pub fn span(&self) -> SourceSpan {
         span_of(self.node)
     }
 
-    /// Adds a problem with this node.
+    /// Reports a problem with this node.
     pub fn report(&self, text: impl Into<String>, hint: Option<&str>) {
         self.problems.add(self.span(), text, hint);
     }
 
-    /// Adds a problem with one of its settings, at that setting's place.
+    /// Reports a problem with one of the node's settings, at the position of that setting.
     pub fn report_at(&self, key: &'static str, text: impl Into<String>, hint: Option<&str>) {
         let span = self.value(key).map_or(self.span(), |(_, span)| span);
         self.problems.add(span, text, hint);
     }
 
-    /// A setting: a property of the node, or a child's first argument.
+    /// Returns a setting: a property of the node, or the first argument of a child node.
     fn value(&self, key: &'static str) -> Option<(&'a KdlValue, SourceSpan)> {
-        self.asked.borrow_mut().push(key);
+        self.requested.borrow_mut().push(key);
         if let Some(entry) = self.node.entry(key) {
             return Some((entry.value(), entry.span()));
         }
@@ -149,12 +150,12 @@
         }
     }
 
-    /// Whether a setting is there, in whatever form.
+    /// Whether a setting has a value, of any type.
     pub fn has(&self, key: &'static str) -> bool {
         self.value(key).is_some()
     }
 
-    /// The node's first argument, its name.
+    /// The node's first argument, which is its name; `what` describes it for the error message.
     pub fn name(&self, what: &str) -> String {
         let first = self.node.entries().iter().find(|e| e.name().is_none());
         match first.map(|e| e.value()) {
@@ -166,14 +167,14 @@
         }
     }
 
-    /// Children of a name.
+    /// All child nodes with this name.
     pub fn children(&self, key: &'static str) -> Vec<Node<'a>> {
-        self.asked.borrow_mut().push(key);
+        self.requested.borrow_mut().push(key);
         let nodes = self.node.children().map_or(&[][..], |c| c.nodes());
         nodes.iter().filter(|n| n.name().value() == key).map(|n| Node::new(n, &self.problems)).collect()
     }
 
-    /// A text, if it is there.
+    /// Reads an optional, non-empty string.
     pub fn text(&self, key: &'static str) -> Option<String> {
         let (value, span) = self.value(key)?;
         let text = value.as_string().filter(|text| !text.is_empty());
@@ -183,7 +184,7 @@
         text.map(str::to_owned)
     }
 
-    /// All arguments of children of a name, as texts.
+    /// Reads all arguments of all child nodes with this name as strings.
     pub fn texts(&self, key: &'static str) -> Vec<String> {
         let mut all = Vec::new();
         for child in self.children(key) {
@@ -201,12 +202,12 @@
         all
     }
 
-    /// A text that must be there.
+    /// Reads a required string.
     pub fn required_text(&self, key: &'static str) -> String {
         self.required(key, self.text(key)).unwrap_or_default()
     }
 
-    /// What must be there; a value of the wrong form was reported already.
+    /// Reports a missing required setting. A value of the wrong type is present and was reported before.
     fn required<T>(&self, key: &'static str, value: Option<T>) -> Option<T> {
         if value.is_none() && self.value(key).is_none() {
             self.report(format!("{} lacks {key}", self.node.name().value()), None);
@@ -214,7 +215,7 @@
         value
     }
 
-    /// A whole number in a range.
+    /// Reads an optional integer within a range.
     pub fn integer(&self, key: &'static str, range: std::ops::RangeInclusive<u64>) -> Option<u64> {
         let (value, span) = self.value(key)?;
         let number = value.as_integer().and_then(|n| u64::try_from(n).ok()).filter(|n| range.contains(n));
@@ -225,13 +226,13 @@
         number
     }
 
-    /// A whole number that must be there.
+    /// Reads a required integer within a range.
     pub fn required_integer(&self, key: &'static str, range: std::ops::RangeInclusive<u64>) -> u64 {
-        let least = *range.start();
-        self.required(key, self.integer(key, range)).unwrap_or(least)
+        let min = *range.start();
+        self.required(key, self.integer(key, range)).unwrap_or(min)
     }
 
-    /// A number in a range.
+    /// Reads an optional number within a range.
     pub fn number(&self, key: &'static str, range: std::ops::RangeInclusive<f64>) -> Option<f64> {
         let (value, span) = self.value(key)?;
         let number = value.as_float().or(value.as_integer().map(|n| n as f64)).filter(|n| range.contains(n));
@@ -242,7 +243,7 @@
         number
     }
 
-    /// `#true` or `#false`.
+    /// Reads an optional `#true` or `#false`.
     pub fn flag(&self, key: &'static str) -> Option<bool> {
         let (value, span) = self.value(key)?;
         if value.as_bool().is_none() {
@@ -251,16 +252,16 @@
         value.as_bool()
     }
 
-    /// A span of time with its unit, in a range.
+    /// Reads an optional duration with its unit, within a range; the result is in microseconds.
     pub fn time(&self, key: &'static str, range: std::ops::RangeInclusive<Micros>) -> Option<Micros> {
         let (value, span) = self.value(key)?;
         let hint = Some("write it with its unit: \"300ms\", \"1.5s\", \"2m\"");
-        let micros = value.as_string().and_then(micros_of);
+        let micros = value.as_string().and_then(parse_duration);
         match micros {
             None => self.problems.add(span, format!("{key} wants a time with a unit"), hint),
-            Some(at) if !range.contains(&at) => {
-                let (least, most) = (in_words(*range.start()), in_words(*range.end()));
-                self.problems.add(span, format!("{key} wants a time from {least} to {most}"), None);
+            Some(value) if !range.contains(&value) => {
+                let (min, max) = (format_duration(*range.start()), format_duration(*range.end()));
+                self.problems.add(span, format!("{key} wants a time from {min} to {max}"), None);
                 return None;
             }
             Some(_) => {}
@@ -268,7 +269,7 @@
         micros
     }
 
-    /// An address with a port, on loopback or not.
+    /// Reads an optional IP address with a port.
     pub fn addr(&self, key: &'static str) -> Option<std::net::SocketAddr> {
         let text = self.text(key)?;
         let addr = text.parse().ok();
@@ -282,16 +283,16 @@
         addr
     }
 
-    /// An address that must be there.
+    /// Reads a required IP address with a port.
     pub fn required_addr(&self, key: &'static str) -> std::net::SocketAddr {
-        let none = std::net::SocketAddr::from(([127, 0, 0, 1], 0));
-        self.required(key, self.addr(key)).unwrap_or(none)
+        let fallback = std::net::SocketAddr::from(([127, 0, 0, 1], 0));
+        self.required(key, self.addr(key)).unwrap_or(fallback)
     }
 
-    /// Reports every child and property that was never asked for.
+    /// Reports every child node and property whose key was never requested.
     pub fn reject_unknown_keys(self) {
-        let asked = self.asked.borrow();
-        let mut known: Vec<_> = asked.to_vec();
+        let requested = self.requested.borrow();
+        let mut known: Vec<_> = requested.to_vec();
         known.sort_unstable();
         known.dedup();
         let hint = if known.is_empty() { None } else { Some(format!("known here: {}", known.join(", "))) };
@@ -307,10 +308,10 @@
     }
 }
 
-/// "300ms" and the like in microseconds; `None` without a number and a unit.
-fn micros_of(text: &str) -> Option<Micros> {
-    let at = text.find(|c: char| c.is_ascii_alphabetic())?;
-    let (number, unit) = text.split_at(at);
+/// Parses a duration such as "300ms" into microseconds; `None` without a number and a known unit.
+fn parse_duration(text: &str) -> Option<Micros> {
+    let unit_start = text.find(|c: char| c.is_ascii_alphabetic())?;
+    let (number, unit) = text.split_at(unit_start);
     let number: f64 = number.trim().parse().ok()?;
     let unit = match unit {
         "us" => 1.0,
@@ -323,7 +324,8 @@
     (number.is_finite() && number >= 0.0).then_some((number * unit) as Micros)
 }
 
-fn in_words(micros: Micros) -> String {
+/// Formats a duration in the largest of the units s, ms and us that divides it.
+fn format_duration(micros: Micros) -> String {
     match micros {
         0 => "0s".into(),
         m if m % 1_000_000 == 0 => format!("{}s", m / 1_000_000),
--- a/crates/config/src/trunk.rs
+++ b/crates/config/src/trunk.rs
@@ -1,4 +1,4 @@
-//! Far ends that are reached over trunk groups, from KDL.
+//! Reads far ends, which are reached over trunk groups, and their groups from KDL.
 
 use std::net::SocketAddr;
 
@@ -11,62 +11,63 @@
 
 /// A signalling point code has 14 bits (Q.704, 2.2.3).
 const POINT_MAX: u64 = 0x3fff;
-/// The last circuit's code.
+/// Highest circuit identification code (CIC).
 const CIC_MAX: u64 = CIRCUITS_MAX as u64 - 1;
 
-/// Who opens the signalling link to a far end.
+/// Which end opens the connection of a signalling link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Dial {
-    /// This end, to there.
+    /// This end connects to the address.
     Connect(SocketAddr),
-    /// The far end, to here.
+    /// The far end connects to the address on this end.
     Listen(SocketAddr),
 }
 
 /// A trunk group.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TrunkGroup {
-    /// Its name for operators.
+    /// Name of the group for operators.
     pub name: String,
-    /// Its circuits.
+    /// Its point codes, circuits and selection rule.
     pub spec: GroupSpec,
 }
 
-/// What calls of a far end's are.
+/// Class and publisher of the calls that come from a far end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Incoming {
-    /// Index of their class.
+    /// Index of the class.
     pub class: usize,
-    /// Index of their publisher; beyond all of them for none.
+    /// Index of the publisher; equal to the number of publishers if there is none.
     pub publisher: usize,
 }
 
-/// An exchange at the other end of trunk groups: a server of the pool that is reached by circuits.
+/// An exchange at the far end of trunk groups: a member of the server pool that is reached over circuits.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FarEnd {
-    /// Its name, as callers name it for their first choice.
+    /// Its name, by which callers request it as first choice.
     pub host: String,
-    /// Its number; also its id for the module.
+    /// Its number, which is also its id in the module.
     pub number: u16,
-    /// Its state until the list says otherwise.
+    /// Its state until the pool list changes it.
     pub state: ServerState,
     /// Its signalling point code.
     pub point: u32,
-    /// Its signalling link.
+    /// How its signalling link is opened.
     pub dial: Dial,
-    /// The groups that lead there; one at least.
+    /// Its trunk groups, at least one.
     pub groups: Vec<TrunkGroup>,
-    /// What its own calls are; without it they are turned away.
+    /// Class and publisher of calls that it sets up; `None` rejects such calls.
     pub incoming: Option<Incoming>,
 }
 
-/// This exchange's own point code.
+/// Reads this exchange's own point code.
 pub(crate) fn exchange(node: Node<'_>) -> u32 {
     let point = node.required_integer("point", 0..=POINT_MAX) as u32;
     node.reject_unknown_keys();
     point
 }
 
+/// Reads a far end with its trunk groups.
 pub(crate) fn far_end(
     node: Node<'_>,
     own_point: u32,
@@ -92,12 +93,12 @@
         node.report("a far end has a group at least", Some("group \"north\" first=1 circuits=30"));
     }
     let groups: Vec<_> = children.into_iter().map(|child| group(child, own_point, point)).collect();
-    for (place, group) in groups.iter().enumerate() {
+    for (index, group) in groups.iter().enumerate() {
         let overlaps = |other: &&TrunkGroup| {
             let (a, b) = (&other.spec, &group.spec);
             a.first < b.first.saturating_add(b.circuits) && b.first < a.first.saturating_add(a.circuits)
         };
-        if let Some(other) = groups[..place].iter().find(overlaps) {
+        if let Some(other) = groups[..index].iter().find(overlaps) {
             let text = format!("groups {} and {} have circuits of one code", other.name, group.name);
             node.report(text, Some("a circuit's code is its own among all groups to one far end"));
         }
--- a/crates/config/tests/config.rs
+++ b/crates/config/tests/config.rs
@@ -1,4 +1,4 @@
-//! Good and broken configurations: each problem is found, with its line and column.
+//! Valid and invalid configurations: each problem is reported with its line and column.
 
 use baydrift_config::parse;
 
@@ -22,8 +22,8 @@
 fleet bind="127.0.0.1:0" { front ordinal=0 addr="127.0.0.1:9000"; front ordinal=2 addr="127.0.0.1:9001"; }
 "#;
 
-/// Problems as "line:column text".
-fn wrong(text: &str) -> Vec<String> {
+/// Problems of a configuration as "line:column: text".
+fn problems_of(text: &str) -> Vec<String> {
     match parse("test.kdl", text) {
         Ok(_) => Vec::new(),
         Err(error) => error.problems.iter().map(ToString::to_string).collect(),
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_whole_configuration_is_read() {
+fn valid_configuration_is_read() {
     let config = parse("test.kdl", GOOD).unwrap_or_else(|e| panic!("{:?}", e.problems));
     assert_eq!((config.settings.fronts, config.settings.ordinal), (3, 1));
     assert_eq!(config.classes[1].contexts.len(), 2);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn each_broken_line_is_pointed_at() {
+fn problem_is_reported_at_its_line_and_column() {
     let cases = [
         ("watchdog \"6s\"", "watchdog 300", "5:14: watchdog wants a time with a unit"),
         ("watchdog \"6s\"", "watchdog \"6 parsecs\"", "5:14: watchdog wants a time with a unit"),
@@ -72,43 +72,43 @@
     ];
     for (from, to, want) in cases {
         assert!(GOOD.contains(from), "{from}");
-        let found = wrong(&GOOD.replacen(from, to, 1));
+        let found = problems_of(&GOOD.replacen(from, to, 1));
         assert!(found.iter().any(|problem| problem == want), "{to}: wanted {want:?}, found {found:?}");
     }
 }
 
-/// Guards against a budget that is said to be shared and is not there, which nobody would notice.
+/// Guards against a shared budget that is enabled but missing or below one set-up, which would go unnoticed.
 #[test]
-fn a_fleet_that_lends_needs_something_to_lend() {
-    let lends = GOOD.replace("fleet bind=", "fleet lends=#true bind=");
+fn budget_leases_need_a_cold_rate() {
+    let with_leases = GOOD.replace("fleet bind=", "fleet lends=#true bind=");
     assert!(
-        wrong(&lends).is_empty()
-            && parse("test.kdl", &lends).is_ok_and(|c| c.fleet.is_some_and(|f| f.budget_leases))
+        problems_of(&with_leases).is_empty()
+            && parse("test.kdl", &with_leases).is_ok_and(|c| c.fleet.is_some_and(|f| f.budget_leases))
     );
-    for nothing in ["", " cold-rate 0.5;"] {
-        let found = wrong(&lends.replace(" cold-rate 12.5;", nothing));
+    for rate in ["", " cold-rate 0.5;"] {
+        let found = problems_of(&with_leases.replace(" cold-rate 12.5;", rate));
         assert_eq!(found, ["2:1: the fleet lends of a cold-rate of 1 or more"]);
-        assert!(wrong(&GOOD.replace(" cold-rate 12.5;", nothing)).is_empty(), "it is no matter without");
+        assert!(problems_of(&GOOD.replace(" cold-rate 12.5;", rate)).is_empty(), "valid without leases");
     }
 }
 
 #[test]
-fn all_problems_are_told_at_once_in_order() {
+fn all_problems_are_reported_in_order() {
     let broken =
         GOOD.replace("worth 1;", "worth -1;").replace("fronts 3", "fronts 0").replace("client", "klient");
-    let found = wrong(&broken);
+    let found = problems_of(&broken);
     assert_eq!(found.len(), 4, "{found:?}");
     assert!(found[0].starts_with("2:1: no client may connect"), "{found:?}");
 }
 
 #[test]
-fn what_is_no_kdl_is_told_with_its_place() {
-    let found = wrong("front \"a\" {\n  listen \"127.0.0.1:0\n}\n");
+fn invalid_kdl_is_reported_with_its_position() {
+    let found = problems_of("front \"a\" {\n  listen \"127.0.0.1:0\n}\n");
     assert!(
         !found.is_empty() && found.iter().all(|p| p.split(':').next().unwrap().parse::<u32>().is_ok()),
         "{found:?}"
     );
-    assert_eq!(wrong(""), ["1:1: front is missing"]);
+    assert_eq!(problems_of(""), ["1:1: front is missing"]);
 }
 
 const FAR_END: &str = r#"exchange point=11
@@ -132,29 +132,29 @@
 }
 
 #[test]
-fn what_is_wrong_with_far_ends_is_told_with_its_place() {
+fn problem_of_a_far_end_is_reported_with_its_line() {
     let lines = GOOD.lines().count();
-    let with = |from: &str, to: &str| {
+    let problems_with = |from: &str, to: &str| {
         let broken = FAR_END.replace(from, to);
         assert_ne!(broken, FAR_END, "{from}");
-        wrong(&format!("{GOOD}{broken}"))
+        problems_of(&format!("{GOOD}{broken}"))
     };
-    let one = |from: &str, to: &str, line: usize, text: &str| {
-        let problems = with(from, to);
-        let place = format!("{}:", lines + line);
-        assert!(problems.len() == 1 && problems[0].starts_with(&place), "{problems:?}");
+    let assert_problem = |from: &str, to: &str, line: usize, text: &str| {
+        let problems = problems_with(from, to);
+        let position = format!("{}:", lines + line);
+        assert!(problems.len() == 1 && problems[0].starts_with(&position), "{problems:?}");
         assert!(problems[0].contains(text), "{problems:?}");
     };
-    one("point=21", "point=11", 2, "own");
-    one("point=21", "point=99999", 2, "point");
-    one("first=33", "first=20", 2, "circuits of one code");
-    one("circuits=30 reserve=2", "circuits=5000", 3, "circuits");
-    one("reserve=2", "reserve=30", 3, "first choices");
-    one("sequential", "random", 4, "selection");
-    one("class=\"grid\"", "class=\"grit\"", 5, "no class");
-    one("publisher=\"gulf\"", "publisher=\"golf\"", 5, "no publisher");
-    one(" connect=\"127.0.0.1:2905\"", "", 2, "connect and listen");
-    one("number=7", "number=1", 2, "already");
-    one("gw.test", "s1.core.test", 2, "already");
-    assert!(with("exchange point=11\n", "").iter().any(|p| p.contains("point code")));
+    assert_problem("point=21", "point=11", 2, "own");
+    assert_problem("point=21", "point=99999", 2, "point");
+    assert_problem("first=33", "first=20", 2, "circuits of one code");
+    assert_problem("circuits=30 reserve=2", "circuits=5000", 3, "circuits");
+    assert_problem("reserve=2", "reserve=30", 3, "first choices");
+    assert_problem("sequential", "random", 4, "selection");
+    assert_problem("class=\"grid\"", "class=\"grit\"", 5, "no class");
+    assert_problem("publisher=\"gulf\"", "publisher=\"golf\"", 5, "no publisher");
+    assert_problem(" connect=\"127.0.0.1:2905\"", "", 2, "connect and listen");
+    assert_problem("number=7", "number=1", 2, "already");
+    assert_problem("gw.test", "s1.core.test", 2, "already");
+    assert!(problems_with("exchange point=11\n", "").iter().any(|p| p.contains("point code")));
 }
--- a/crates/front/src/admin.rs
+++ b/crates/front/src/admin.rs
@@ -19,7 +19,7 @@
 use tokio::sync::{oneshot, Semaphore};
 use tracing::{debug, warn};
 
-use crate::core::ToCore;
+use crate::core::CoreMessage;
 use crate::Shared;
 
 /// Concurrent connections; further ones wait to be accepted.
@@ -96,8 +96,8 @@
     let mut line = String::new();
     BufReader::new(from).take(MAX_COMMAND_BYTES).read_line(&mut line).await?;
     let answer = match line.trim() {
-        "circuits" => from_core(shared, ToCore::Circuits).await,
-        "fleet" => from_core(shared, ToCore::Fleet).await,
+        "circuits" => from_core(shared, CoreMessage::Circuits).await,
+        "fleet" => from_core(shared, CoreMessage::Fleet).await,
         other => json!({"error": format!("{other:?} is not known here; known: circuits, fleet")}),
     };
     to.write_all(format!("{answer}\n").as_bytes()).await?;
@@ -105,7 +105,7 @@
 }
 
 /// Requests a document from the core.
-async fn from_core(shared: &Shared, request: impl FnOnce(oneshot::Sender<Value>) -> ToCore) -> Value {
+async fn from_core(shared: &Shared, request: impl FnOnce(oneshot::Sender<Value>) -> CoreMessage) -> Value {
     let (reply, response) = oneshot::channel();
     let sent = shared.core.send(request(reply)).await;
     let document = if sent.is_ok() { response.await.ok() } else { None };
--- a/crates/front/src/client.rs
+++ b/crates/front/src/client.rs
@@ -11,7 +11,7 @@
 use tokio::sync::mpsc;
 use tracing::{debug, info, warn};
 
-use crate::core::{ToCore, ToLink};
+use crate::core::{CoreMessage, LinkMessage};
 use crate::link::{feed, flush, read_now, transport, Transport, MAX_BURST};
 use crate::Shared;
 
@@ -64,12 +64,12 @@
             let (to_link, from_core) = mpsc::channel(shared.config.links.queue);
             let (local, watchdog) = (shared.local.clone(), shared.config.watchdog);
             let peer = ClientLink::new(link, local, watchdog, shared.initial_end_to_end_id(), rand::random());
-            let up = ToCore::ClientUp(link, opened.clone(), to_link);
+            let up = CoreMessage::ClientUp(link, opened.clone(), to_link);
             if shared.core.send(up).await.is_ok() {
                 let mut client = ClientTask { shared, transport, link, peer, out: Vec::new(), from_core };
                 let result = client.serve(cer).await;
                 log_end(link, &opened, result);
-                let _ = shared.core.send(ToCore::Desk(DeskInput::ClientDown(link))).await;
+                let _ = shared.core.send(CoreMessage::Desk(DeskInput::ClientDown(link))).await;
             }
         }
         Err(fault) => {
@@ -94,7 +94,7 @@
     link: LinkId,
     peer: ClientLink,
     out: Vec<LinkOutput>,
-    from_core: mpsc::Receiver<ToLink>,
+    from_core: mpsc::Receiver<LinkMessage>,
 }
 
 impl ClientTask<'_> {
@@ -136,27 +136,27 @@
     }
 
     /// Sends a message from the core and those queued behind it, up to [`MAX_BURST`].
-    async fn handle_outgoing(&mut self, first: ToLink) -> Result<(), StreamError> {
+    async fn handle_outgoing(&mut self, first: LinkMessage) -> Result<(), StreamError> {
         let mut next = Some(first);
         for _ in 0..MAX_BURST {
             match next {
-                Some(ToLink::Send(message)) => {
+                Some(LinkMessage::Send(message)) => {
                     let message = self.peer.outgoing(message);
                     self.feed(message).await?;
                 }
-                Some(ToLink::Stop) => {
+                Some(LinkMessage::Stop) => {
                     self.handle(PeerInput::Stop(cause::REBOOTING)).await?;
                 }
-                Some(ToLink::Request(..)) | None => return Ok(()),
+                Some(LinkMessage::Request(..)) | None => return Ok(()),
             }
             next = self.from_core.try_recv().ok();
         }
         match next {
-            Some(ToLink::Send(message)) => {
+            Some(LinkMessage::Send(message)) => {
                 let message = self.peer.outgoing(message);
                 self.feed(message).await
             }
-            Some(ToLink::Stop) => self.handle(PeerInput::Stop(cause::REBOOTING)).await,
+            Some(LinkMessage::Stop) => self.handle(PeerInput::Stop(cause::REBOOTING)).await,
             _ => Ok(()),
         }
     }
@@ -169,7 +169,7 @@
         for output in out.drain(..) {
             match output {
                 LinkOutput::Send(_, message) => self.feed(message).await?,
-                LinkOutput::Desk(input) => drop(self.shared.core.send(ToCore::Desk(input)).await),
+                LinkOutput::Desk(input) => drop(self.shared.core.send(CoreMessage::Desk(input)).await),
                 LinkOutput::Refused(code) => debug!(link = self.link.0, code, "message rejected"),
                 // A closed link shows in the peer's state, which `serve` checks.
                 _ => {}
--- a/crates/front/src/core.rs
+++ b/crates/front/src/core.rs
@@ -17,9 +17,9 @@
 use crate::{fleet, Shared, Snapshot, Spent};
 
 /// Messages from the other tasks to the core.
-pub(crate) enum ToCore {
+pub(crate) enum CoreMessage {
     /// A client connection is open; the sender takes messages for it.
-    ClientUp(LinkId, Opened, mpsc::Sender<ToLink>),
+    ClientUp(LinkId, Opened, mpsc::Sender<LinkMessage>),
     /// A text client's TCP connection is open; the sender takes texts for it.
     TextUp(LinkId, mpsc::Sender<Arc<str>>),
     /// An input that is passed to the desk.
@@ -42,7 +42,7 @@
 }
 
 /// Messages from the core to the task of a client or server link.
-pub(crate) enum ToLink {
+pub(crate) enum LinkMessage {
     /// Sends a message; a request gets a new Hop-by-Hop Identifier.
     Send(Message),
     /// Sends an attempt's request that the desk issued at this time.
@@ -57,9 +57,9 @@
 struct Core {
     shared: Arc<Shared>,
     desk: Desk,
-    clients: BTreeMap<LinkId, mpsc::Sender<ToLink>>,
-    servers: BTreeMap<ServerId, mpsc::Sender<ToLink>>,
-    texts: BTreeMap<LinkId, mpsc::Sender<Arc<str>>>,
+    clients: BTreeMap<LinkId, mpsc::Sender<LinkMessage>>,
+    servers: BTreeMap<ServerId, mpsc::Sender<LinkMessage>>,
+    text_connections: BTreeMap<LinkId, mpsc::Sender<Arc<str>>>,
     /// Signalling links, by the point code of the far end.
     far_end_links: BTreeMap<u32, mpsc::Sender<Data>>,
     datagrams: Option<mpsc::Sender<Datagram>>,
@@ -72,8 +72,8 @@
 pub(crate) async fn run(
     shared: Arc<Shared>,
     desk: Desk,
-    mut inputs: mpsc::Receiver<ToCore>,
-    servers: BTreeMap<ServerId, mpsc::Sender<ToLink>>,
+    mut inputs: mpsc::Receiver<CoreMessage>,
+    servers: BTreeMap<ServerId, mpsc::Sender<LinkMessage>>,
     far_end_links: BTreeMap<u32, mpsc::Sender<Data>>,
     datagrams: Option<mpsc::Sender<Datagram>>,
     fleet: Option<Arc<UdpSocket>>,
@@ -85,7 +85,7 @@
         desk,
         clients: BTreeMap::new(),
         servers,
-        texts: BTreeMap::new(),
+        text_connections: BTreeMap::new(),
         far_end_links,
         datagrams,
         fleet,
@@ -130,25 +130,25 @@
 }
 
 impl Core {
-    fn handle_input(&mut self, now: Micros, input: ToCore) {
+    fn handle_input(&mut self, now: Micros, input: CoreMessage) {
         match input {
-            ToCore::ClientUp(link, opened, sender) => {
+            CoreMessage::ClientUp(link, opened, sender) => {
                 self.clients.insert(link, sender);
                 self.desk.hear(now, DeskInput::ClientUp { link, opened }, &mut self.out);
             }
-            ToCore::TextUp(link, sender) => {
-                self.texts.insert(link, sender);
+            CoreMessage::TextUp(link, sender) => {
+                self.text_connections.insert(link, sender);
             }
-            ToCore::Desk(input) => {
+            CoreMessage::Desk(input) => {
                 if let DeskInput::TextGone(link) = &input {
-                    self.texts.remove(link);
+                    self.text_connections.remove(link);
                 }
                 if let DeskInput::ClientDown(link) = &input {
                     self.clients.remove(link);
                 }
                 self.desk.hear(now, input, &mut self.out);
             }
-            ToCore::Pool(list, reply) => {
+            CoreMessage::Pool(list, reply) => {
                 let result = self.desk.pool(now, &list, &mut self.out);
                 match &result {
                     Ok(()) => info!(version = list.version, servers = list.servers.len(), "pool list"),
@@ -156,16 +156,16 @@
                 }
                 let _ = reply.send(result);
             }
-            ToCore::Circuits(reply) => {
+            CoreMessage::Circuits(reply) => {
                 let _ = reply.send(crate::admin::circuits(&self.desk, now));
             }
-            ToCore::Fleet(reply) => {
+            CoreMessage::Fleet(reply) => {
                 let _ = reply.send(crate::admin::fleet(&self.desk, now));
             }
-            ToCore::Snapshot(reply) => {
+            CoreMessage::Snapshot(reply) => {
                 let _ = reply.send(self.snapshot());
             }
-            ToCore::Stop { timeout, done } => {
+            CoreMessage::Stop { timeout, done } => {
                 self.desk.hear(now, DeskInput::Stop, &mut self.out);
                 self.stopping = Some((Instant::now() + timeout, Some(done)));
             }
@@ -187,8 +187,10 @@
         for output in self.out.drain(..) {
             match output {
                 DeskOutput::ToClient { link, message } => {
-                    let queue_full =
-                        self.clients.get(&link).is_some_and(|to| to.try_send(ToLink::Send(message)).is_err());
+                    let queue_full = self
+                        .clients
+                        .get(&link)
+                        .is_some_and(|to| to.try_send(LinkMessage::Send(message)).is_err());
                     if queue_full {
                         // Dropping its queue closes the link; the task then reports it like any other lost
                         // link.
@@ -197,25 +199,29 @@
                     }
                 }
                 DeskOutput::ToServer { server, attempt, kind, message, at } => {
-                    send(&self.servers, server, ToLink::Request(at, (attempt, kind), message));
+                    send(&self.servers, server, LinkMessage::Request(at, (attempt, kind), message));
                 }
-                DeskOutput::Text { link, text } => match (self.texts.get(&link), &self.datagrams) {
-                    // A full queue closes a TCP connection; a datagram is dropped, and the client
-                    // retransmits.
-                    (Some(to), _) if to.try_send(text.clone()).is_err() => {
-                        warn!(link = link.0, "text client does not read what it is sent: link closed");
-                        self.texts.remove(&link);
+                DeskOutput::Text { link, text } => {
+                    match (self.text_connections.get(&link), &self.datagrams) {
+                        // A full queue closes a TCP connection; a datagram is dropped, and the client
+                        // retransmits.
+                        (Some(to), _) if to.try_send(text.clone()).is_err() => {
+                            warn!(link = link.0, "text client does not read what it is sent: link closed");
+                            self.text_connections.remove(&link);
+                        }
+                        (Some(_), _) => {}
+                        (None, Some(datagrams)) => drop(datagrams.try_send((link, text))),
+                        (None, None) => {}
                     }
-                    (Some(_), _) => {}
-                    (None, Some(datagrams)) => drop(datagrams.try_send((link, text))),
-                    (None, None) => {}
-                },
+                }
                 // A packet is dropped when the queue is full because the far end does not read; protocol
                 // timers retransmit it.
                 DeskOutput::ToFarEnd(data) => {
                     drop(self.far_end_links.get(&data.dpc).map(|to| to.try_send(data)));
                 }
-                DeskOutput::Reply { server, message } => send(&self.servers, server, ToLink::Send(message)),
+                DeskOutput::Reply { server, message } => {
+                    send(&self.servers, server, LinkMessage::Send(message))
+                }
                 DeskOutput::ToFront { to, payload } => {
                     if let (Some(socket), Some(config)) = (&self.fleet, &self.shared.config.fleet) {
                         fleet::send(socket, config, self.shared.config.settings.ordinal, to, &payload);
@@ -240,7 +246,7 @@
         self.desk.hear(now, DeskInput::CutAll, &mut self.out);
         self.dispatch();
         for to in self.clients.values().chain(self.servers.values()) {
-            let _ = to.try_send(ToLink::Stop);
+            let _ = to.try_send(LinkMessage::Stop);
         }
         // Links close when their queues are empty and their DPR is answered.
         let all: Vec<_> = self.clients.values().chain(self.servers.values()).cloned().collect();
@@ -259,7 +265,7 @@
     }
 }
 
-fn send(servers: &BTreeMap<ServerId, mpsc::Sender<ToLink>>, server: ServerId, what: ToLink) {
+fn send(servers: &BTreeMap<ServerId, mpsc::Sender<LinkMessage>>, server: ServerId, what: LinkMessage) {
     // The queue is full: the message is dropped, and the attempt ends when the server's link is closed.
     if servers.get(&server).is_some_and(|to| to.try_send(what).is_err()) {
         warn!(server, "server does not read what it is sent");
--- a/crates/front/src/fleet.rs
+++ b/crates/front/src/fleet.rs
@@ -8,7 +8,7 @@
 use tokio::net::UdpSocket;
 use tracing::debug;
 
-use crate::core::ToCore;
+use crate::core::CoreMessage;
 use crate::Shared;
 
 /// First bytes of a datagram: name and version of the format.
@@ -57,7 +57,7 @@
             (Some((ordinal, payload)), Some((expected, _))) if ordinal == *expected => {
                 let input = DeskInput::Fleet { from: ordinal, payload: payload.to_vec() };
                 // A message is dropped when the core's queue is full, because the next one replaces it.
-                let _ = shared.core.try_send(ToCore::Desk(input));
+                let _ = shared.core.try_send(CoreMessage::Desk(input));
             }
             _ => debug!(%from, size, "datagram not from a configured front"),
         }
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -32,7 +32,7 @@
 use tokio_util::codec::Framed;
 use tracing::{info, warn};
 
-use crate::core::ToCore;
+use crate::core::CoreMessage;
 use crate::signalling::LinkEvent;
 
 pub use admin::{query_admin, AdminError};
@@ -133,7 +133,7 @@
     pub(crate) local: Arc<Local>,
     pub(crate) clock: Clock,
     pub(crate) admission: Mutex<Doors>,
-    pub(crate) core: mpsc::Sender<ToCore>,
+    pub(crate) core: mpsc::Sender<CoreMessage>,
     /// Queues to the servers' tasks, by Origin-Host, for transports that servers open themselves.
     pub(crate) inbound: BTreeMap<String, mpsc::Sender<Inbound>>,
     /// Becomes true when the front stops accepting connections.
@@ -288,7 +288,7 @@
             None => Desk::new(&config, boot, seed)?,
         };
         let local = local(&config, addrs.diameter.ip(), boot.state_id);
-        let (to_core, from_links) = mpsc::channel(CORE_QUEUE);
+        let (core_queue, from_links) = mpsc::channel(CORE_QUEUE);
         let (closing, closed) = watch::channel(false);
         let (mut inbound, mut servers) = (BTreeMap::new(), Vec::new());
         for server in &config.servers {
@@ -299,7 +299,7 @@
         let shared = Arc::new(Shared {
             admission: Mutex::new(Doors::new(&config)),
             clock: Clock(Instant::now()),
-            core: to_core.clone(),
+            core: core_queue.clone(),
             closing: closed,
             inbound,
             config,
@@ -317,7 +317,7 @@
             far_end_links.insert(point, to_link);
             let events = shared.core.clone();
             tokio::spawn(signalling::serve(point, role, from_core, events, |far, event| {
-                ToCore::Desk(match event {
+                CoreMessage::Desk(match event {
                     LinkEvent::Up => DeskInput::TrunkUp(far),
                     LinkEvent::Down => DeskInput::TrunkDown(far),
                     LinkEvent::Packet(data) => DeskInput::Trunk(data),
@@ -347,7 +347,7 @@
         let core =
             tokio::spawn(core::run(shared.clone(), desk, from_links, links, far_end_links, datagrams, fleet));
         info!(host = shared.config.host, addr = %addrs.diameter, "front runs");
-        Ok(Front { addrs, shared, to_core, closing, core })
+        Ok(Front { addrs, shared, core_queue, closing, core })
     }
 }
 
@@ -382,7 +382,7 @@
 pub struct Front {
     addrs: Addrs,
     shared: Arc<Shared>,
-    to_core: mpsc::Sender<ToCore>,
+    core_queue: mpsc::Sender<CoreMessage>,
     closing: watch::Sender<bool>,
     core: tokio::task::JoinHandle<()>,
 }
@@ -396,7 +396,7 @@
     /// Counters and current state; `None` once the front has stopped.
     pub async fn snapshot(&self) -> Option<Snapshot> {
         let (reply, snapshot) = oneshot::channel();
-        self.to_core.send(ToCore::Snapshot(reply)).await.ok()?;
+        self.core_queue.send(CoreMessage::Snapshot(reply)).await.ok()?;
         snapshot.await.ok()
     }
 
@@ -407,7 +407,7 @@
         let timeout = Duration::from_micros(self.shared.config.shutdown_timeout);
         let _ = self.closing.send(true);
         let (done, stopped) = oneshot::channel();
-        if self.to_core.send(ToCore::Stop { timeout, done }).await.is_ok() {
+        if self.core_queue.send(CoreMessage::Stop { timeout, done }).await.is_ok() {
             let _ = tokio::time::timeout(timeout + Duration::from_secs(1), stopped).await;
         }
         self.core.abort();
--- a/crates/front/src/pool.rs
+++ b/crates/front/src/pool.rs
@@ -18,7 +18,7 @@
 use tokio::sync::{oneshot, Semaphore};
 use tracing::{debug, warn};
 
-use crate::core::ToCore;
+use crate::core::CoreMessage;
 use crate::link::accept;
 use crate::Shared;
 
@@ -123,7 +123,7 @@
         Err(text) => return (StatusCode::BAD_REQUEST, text),
     };
     let (reply, result) = oneshot::channel();
-    if shared.core.send(ToCore::Pool(list, reply)).await.is_err() {
+    if shared.core.send(CoreMessage::Pool(list, reply)).await.is_err() {
         return (StatusCode::SERVICE_UNAVAILABLE, "the front stops".into());
     }
     match result.await {
--- a/crates/front/src/server.rs
+++ b/crates/front/src/server.rs
@@ -10,14 +10,14 @@
 use tokio::sync::mpsc;
 use tracing::{debug, info, warn};
 
-use crate::core::{ToCore, ToLink};
+use crate::core::{CoreMessage, LinkMessage};
 use crate::link::{feed, flush, read, read_now, transport, Transport, MAX_BURST};
 use crate::{Inbound, Shared};
 
 pub(crate) async fn run(
     shared: Arc<Shared>,
     server: Server,
-    from_core: mpsc::Receiver<ToLink>,
+    from_core: mpsc::Receiver<LinkMessage>,
     inbound: mpsc::Receiver<Inbound>,
 ) {
     let (local, watchdog) = (shared.local.clone(), shared.config.watchdog);
@@ -48,7 +48,7 @@
     accepted: Option<Transport>,
     connecting: Option<Connecting>,
     out: Vec<LinkOutput>,
-    from_core: mpsc::Receiver<ToLink>,
+    from_core: mpsc::Receiver<LinkMessage>,
     inbound: mpsc::Receiver<Inbound>,
     stopping: bool,
 }
@@ -139,25 +139,25 @@
     }
 
     /// Sends a message from the core and those queued behind it, up to [`MAX_BURST`].
-    async fn handle_outgoing(&mut self, first: ToLink) {
+    async fn handle_outgoing(&mut self, first: LinkMessage) {
         let mut next = Some(first);
         for _ in 0..MAX_BURST {
             match next {
-                Some(ToLink::Request(at, what, message)) => {
+                Some(LinkMessage::Request(at, what, message)) => {
                     match self.peer.request(self.shared.clock.now(), at, what, message) {
                         Asked::Send(side, message) => self.send(side, message).await,
                         Asked::Nowhere => return,
                         Asked::Stale(input) => {
-                            let _ = self.shared.core.send(ToCore::Desk(input)).await;
+                            let _ = self.shared.core.send(CoreMessage::Desk(input)).await;
                         }
                     }
                 }
-                Some(ToLink::Send(message)) => {
+                Some(LinkMessage::Send(message)) => {
                     if let Some(side) = self.peer.side() {
                         self.send(side, message).await;
                     }
                 }
-                Some(ToLink::Stop) => {
+                Some(LinkMessage::Stop) => {
                     self.stopping = true;
                     self.handle(PeerInput::Stop(cause::REBOOTING)).await;
                 }
@@ -241,6 +241,6 @@
             DeskInput::ServerDrains(_) => info!(server, host, "server drains"),
             _ => {}
         }
-        let _ = self.shared.core.send(ToCore::Desk(input)).await;
+        let _ = self.shared.core.send(CoreMessage::Desk(input)).await;
     }
 }
--- a/crates/front/src/text.rs
+++ b/crates/front/src/text.rs
@@ -15,7 +15,7 @@
 use tokio::sync::{mpsc, Semaphore};
 use tracing::{debug, info, warn};
 
-use crate::core::ToCore;
+use crate::core::CoreMessage;
 use crate::link::accept;
 use crate::Shared;
 
@@ -84,12 +84,12 @@
                 };
                 let (link, evicted) = addresses.link(addr);
                 if let Some(evicted) = evicted {
-                    let _ = shared.core.send(ToCore::Desk(DeskInput::TextGone(evicted))).await;
+                    let _ = shared.core.send(CoreMessage::Desk(DeskInput::TextGone(evicted))).await;
                 }
                 let bytes = buffer[..size].to_vec();
                 // The datagram is dropped when the core's queue is full; the client retransmits it.
                 let input = DeskInput::Text { link, reliable: false, bytes };
-                if shared.core.try_send(ToCore::Desk(input)).is_err() {
+                if shared.core.try_send(CoreMessage::Desk(input)).is_err() {
                     debug!(%addr, "datagram dropped: the core's queue is full");
                 }
             }
@@ -117,7 +117,7 @@
             if let Err(error) = connection(&shared, stream, link).await {
                 warn!(link = link.0, %error, "text client connection closed");
             }
-            let _ = shared.core.send(ToCore::Desk(DeskInput::TextGone(link))).await;
+            let _ = shared.core.send(CoreMessage::Desk(DeskInput::TextGone(link))).await;
             drop(permit);
         });
     }
@@ -126,7 +126,7 @@
 async fn connection(shared: &Arc<Shared>, mut stream: TcpStream, link: LinkId) -> std::io::Result<()> {
     let _ = stream.set_nodelay(true);
     let (to_link, mut from_core) = mpsc::channel::<Arc<str>>(WRITE_QUEUE);
-    if shared.core.send(ToCore::TextUp(link, to_link)).await.is_err() {
+    if shared.core.send(CoreMessage::TextUp(link, to_link)).await.is_err() {
         return Ok(());
     }
     let write_timeout = Duration::from_micros(shared.config.links.write);
@@ -138,7 +138,7 @@
         {
             buffer.advance(size);
             let input = DeskInput::Text { link, reliable: true, bytes };
-            if shared.core.send(ToCore::Desk(input)).await.is_err() {
+            if shared.core.send(CoreMessage::Desk(input)).await.is_err() {
                 return Ok(());
             }
         }
