--- a/crates/front/src/client.rs
+++ b/crates/front/src/client.rs
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Handles a received frame and those already buffered behind it, up to [`MAX_BURST`].
+    /// Handles a received frame and those already buffered behind it, in one burst ([`MAX_BURST`]).
     async fn handle_frames(&mut self, first: Option<Result<Frame, StreamError>>) -> Result<(), StreamError> {
         let mut next = Some(first);
         for _ in 0..MAX_BURST {
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Sends a message from the core and those queued behind it, up to [`MAX_BURST`].
+    /// Sends a message from the core and those queued behind it, in one burst ([`MAX_BURST`]).
     async fn handle_outgoing(&mut self, first: LinkMessage) -> Result<(), StreamError> {
         let mut next = Some(first);
         for _ in 0..MAX_BURST {
--- a/crates/front/src/core.rs
+++ b/crates/front/src/core.rs
@@ -54,6 +54,7 @@
 /// Inputs handled at most before timers and outputs are processed.
 const BATCH: usize = 256;
 
+/// State of the core task.
 struct Core {
     shared: Arc<Shared>,
     desk: Desk,
@@ -183,6 +184,7 @@
         }
     }
 
+    /// Passes the pending outputs of the desk to the tasks of their recipients.
     fn dispatch(&mut self) {
         for output in self.out.drain(..) {
             match output {
@@ -265,9 +267,9 @@
     }
 }
 
-fn send(servers: &BTreeMap<ServerId, mpsc::Sender<LinkMessage>>, server: ServerId, what: LinkMessage) {
+fn send(servers: &BTreeMap<ServerId, mpsc::Sender<LinkMessage>>, server: ServerId, message: LinkMessage) {
     // The queue is full: the message is dropped, and the attempt ends when the server's link is closed.
-    if servers.get(&server).is_some_and(|to| to.try_send(what).is_err()) {
+    if servers.get(&server).is_some_and(|to| to.try_send(message).is_err()) {
         warn!(server, "server does not read what it is sent");
     }
 }
--- a/crates/front/src/exchange.rs
+++ b/crates/front/src/exchange.rs
@@ -39,7 +39,7 @@
     /// Counters of the trunk groups.
     pub counts: Counts,
     /// Counters of the signalling point.
-    pub office: SignallingCounts,
+    pub signalling: SignallingCounts,
 }
 
 /// A running exchange; dropping it stops its task.
@@ -164,8 +164,8 @@
             ExchangeCommand::State(reply) => {
                 let trunks = self.point.trunks();
                 let usage = (0..).map_while(|group| trunks.usage(GroupId(group))).collect();
-                let (counts, office) = (trunks.counts(), self.point.counts());
-                let _ = reply.send(ExchangeState { usage, counts, office });
+                let (counts, signalling) = (trunks.counts(), self.point.counts());
+                let _ = reply.send(ExchangeState { usage, counts, signalling });
             }
         }
     }
--- a/crates/front/src/server.rs
+++ b/crates/front/src/server.rs
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Handles a received frame and those already buffered behind it, up to [`MAX_BURST`].
+    /// Handles a received frame and those already buffered behind it, in one burst ([`MAX_BURST`]).
     async fn handle_frames(&mut self, side: Side, first: Option<Result<Frame, StreamError>>) {
         let mut next = Some(first);
         for _ in 0..MAX_BURST {
@@ -138,13 +138,13 @@
         self.handle(PeerInput::Disconnected(side)).await;
     }
 
-    /// Sends a message from the core and those queued behind it, up to [`MAX_BURST`].
+    /// Sends a message from the core and those queued behind it.
     async fn handle_outgoing(&mut self, first: LinkMessage) {
         let mut next = Some(first);
         for _ in 0..MAX_BURST {
             match next {
-                Some(LinkMessage::Request(at, what, message)) => {
-                    match self.peer.request(self.shared.clock.now(), at, what, message) {
+                Some(LinkMessage::Request(at, attempt, message)) => {
+                    match self.peer.request(self.shared.clock.now(), at, attempt, message) {
                         Asked::Send(side, message) => self.send(side, message).await,
                         Asked::Nowhere => return,
                         Asked::Stale(input) => {
