--- a/crates/cli/src/front.rs
+++ b/crates/cli/src/front.rs
@@ -19,7 +19,7 @@
         config.classes.len(),
         config.publishers.len(),
         config.clients.len(),
-        config.members().count(),
+        config.pool_members().count(),
         config.far_ends.len(),
         config.settings.ordinal,
         config.settings.fronts
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -32,10 +32,10 @@
     if config.text.is_none() && !config.text_clients.is_empty() {
         front.report("text-clients need a text listener", Some("text udp=\"127.0.0.1:2944\""));
     }
-    if config.members().next().is_none() {
+    if config.pool_members().next().is_none() {
         front.report("no server is configured", Some("server \"s1.example\" realm=... number=0 addr=..."));
     }
-    if config.serves.is_empty() {
+    if config.served_realms.is_empty() {
         front.report("no realm is served", Some("serves \"core.example\": the Destination-Realm of calls"));
     }
     // Leases are in units of one set-up: with a rate below 1, no call would reach a server in warm-up.
@@ -58,12 +58,12 @@
             front.report(text, None);
         }
         for number in class.class.servers.iter().flatten() {
-            if config.members().all(|(_, other, _)| other != *number) {
+            if config.pool_members().all(|(_, other, _)| other != *number) {
                 front.report(format!("class {}: no server has number {number}", class.name), None);
             }
         }
     }
-    if config.members().count() > config.limits.servers {
+    if config.pool_members().count() > config.limits.servers {
         front.report(format!("more servers than limits allow ({})", config.limits.servers), None);
     }
     if let Some(fleet) = &config.fleet {
--- a/crates/config/src/front.rs
+++ b/crates/config/src/front.rs
@@ -89,7 +89,7 @@
         host: front.name("its Origin-Host"),
         realm: front.required_text("realm"),
         listen: front.required_addr("listen"),
-        serves: front.texts("serves"),
+        served_realms: front.texts("serves"),
         watchdog: front.time("watchdog", 50 * MS..=HOUR).unwrap_or(6 * S),
         shutdown_timeout: front.time("stop-within", 0..=HOUR).unwrap_or(5 * S),
         seed: front.integer("seed", 0..=u64::MAX),
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -27,7 +27,7 @@
     /// Address on which Diameter clients connect.
     pub listen: SocketAddr,
     /// Realms served, matched with the Destination-Realm of calls.
-    pub serves: Vec<String>,
+    pub served_realms: Vec<String>,
     /// Interval of the Diameter watchdog (Tw of RFC 3539).
     pub watchdog: Micros,
     /// Time limit of a graceful shutdown (`stop-within`).
@@ -178,7 +178,7 @@
 
 impl Config {
     /// All members of the pool, servers and far ends: name, number, and state until the pool list changes it.
-    pub fn members(&self) -> impl Iterator<Item = (&str, u16, ServerState)> {
+    pub fn pool_members(&self) -> impl Iterator<Item = (&str, u16, ServerState)> {
         let servers = self.servers.iter().map(|s| (s.host.as_str(), s.number, s.state));
         servers.chain(self.far_ends.iter().map(|f| (f.host.as_str(), f.number, f.state)))
     }
--- a/crates/config/tests/config.rs
+++ b/crates/config/tests/config.rs
@@ -123,7 +123,7 @@
 fn far_ends_are_members_of_the_pool() {
     let text = format!("{GOOD}{FAR_END}");
     let config = parse("test.kdl", &text).unwrap_or_else(|e| panic!("{:?}", e.problems));
-    let members: Vec<_> = config.members().map(|(host, number, _)| (host, number)).collect();
+    let members: Vec<_> = config.pool_members().map(|(host, number, _)| (host, number)).collect();
     assert_eq!(members, [("s0.core.test", 0), ("s1.core.test", 1), ("gw.test", 7)]);
     let far = &config.far_ends[0];
     assert_eq!((config.point, far.point, far.groups.len()), (Some(11), 21, 2));
--- a/crates/day/src/rounds.rs
+++ b/crates/day/src/rounds.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use baydrift_front::{Exchange, ExchangeCommand, ExchangeState, Role};
+use baydrift_front::{Exchange, ExchangeCommand, ExchangeState, SignallingRole};
 use baydrift_signalling::SignallingPoint;
 use baydrift_standin::Packets;
 use baydrift_trunk::rules::{RouteChoice, Selection};
@@ -118,8 +118,8 @@
         Player { exchange, events, own: None, incoming: BTreeSet::new(), over: BTreeSet::new() }
     };
     let mut players = [
-        start(office(spec, 2, 1)?, 1, Role::Listen(listener)),
-        start(office(spec, 1, 2)?, 2, Role::Connect(relay.addr)),
+        start(office(spec, 2, 1)?, 1, SignallingRole::Listen(listener)),
+        start(office(spec, 1, 2)?, 2, SignallingRole::Connect(relay.addr)),
     ];
     let mut tally = RoundsTally::default();
     let mut next = 1;
--- a/crates/desk/src/facts.rs
+++ b/crates/desk/src/facts.rs
@@ -51,7 +51,7 @@
         }
         Self {
             host: config.host.clone(),
-            serves: config.serves.clone(),
+            serves: config.served_realms.clone(),
             contexts,
             first_contexts: config
                 .classes
@@ -61,7 +61,7 @@
             gives_up: config.classes.iter().map(|class| class.caller_timeout).collect(),
             realms,
             subscriptions,
-            servers: config.members().map(|(host, number, _)| (host.to_owned(), number)).collect(),
+            servers: config.pool_members().map(|(host, number, _)| (host.to_owned(), number)).collect(),
             publishers: config.publishers.len(),
         }
     }
--- a/crates/desk/src/pool.rs
+++ b/crates/desk/src/pool.rs
@@ -55,7 +55,7 @@
 
 impl Roster {
     pub(crate) fn new(config: &Config) -> Self {
-        let numbers = config.members().map(|(host, number, _)| (host.to_owned(), number)).collect();
+        let numbers = config.pool_members().map(|(host, number, _)| (host.to_owned(), number)).collect();
         Self { numbers, version: None }
     }
 
@@ -67,7 +67,7 @@
             state,
             started_at: None,
         };
-        config.members().map(entry).collect()
+        config.pool_members().map(entry).collect()
     }
 
     /// A pushed list as entries; all of it or nothing.
--- a/crates/front/src/exchange.rs
+++ b/crates/front/src/exchange.rs
@@ -14,7 +14,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tracing::debug;
 
-use crate::signalling::{self, LinkEvent, Role};
+use crate::signalling::{self, LinkEvent, SignallingRole};
 
 /// A command to an exchange.
 #[derive(Debug)]
@@ -64,7 +64,12 @@
 impl Exchange {
     /// Starts the exchange on the current runtime. `far` is the point code of the far end; the outcomes of
     /// calls are sent to `events`.
-    pub fn start(point: SignallingPoint, far: u32, role: Role, events: mpsc::Sender<Output>) -> Self {
+    pub fn start(
+        point: SignallingPoint,
+        far: u32,
+        role: SignallingRole,
+        events: mpsc::Sender<Output>,
+    ) -> Self {
         let (commands, command_queue) = mpsc::channel(COMMAND_QUEUE);
         let started = Instant::now();
         let (link, outgoing) = mpsc::channel(PACKET_QUEUE);
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -37,7 +37,7 @@
 
 pub use admin::{query_admin, AdminError};
 pub use exchange::{Exchange, ExchangeCommand, ExchangeState};
-pub use signalling::Role;
+pub use signalling::SignallingRole;
 
 /// Why a front cannot start.
 #[derive(Debug, thiserror::Error)]
@@ -161,7 +161,7 @@
     text_udp: Option<UdpSocket>,
     text_tcp: Option<TcpListener>,
     /// Signalling links, by the point code of the far end.
-    signalling: BTreeMap<u32, Role>,
+    signalling: BTreeMap<u32, SignallingRole>,
     admin: Option<admin::Socket>,
     addrs: Addrs,
     /// Offset added to the wall clock, in microseconds.
@@ -202,10 +202,10 @@
         let mut signalling = BTreeMap::new();
         for far in &config.far_ends {
             let role = match far.dial {
-                Dial::Connect(addr) => Role::Connect(addr),
+                Dial::Connect(addr) => SignallingRole::Connect(addr),
                 Dial::Listen(addr) => {
                     let what = "a far end's signalling";
-                    Role::Listen(TcpListener::bind(addr).await.map_err(bind_error(what, addr))?)
+                    SignallingRole::Listen(TcpListener::bind(addr).await.map_err(bind_error(what, addr))?)
                 }
             };
             signalling.insert(far.point, role);
--- a/crates/front/src/signalling.rs
+++ b/crates/front/src/signalling.rs
@@ -18,7 +18,7 @@
 
 /// Which end opens the connection.
 #[derive(Debug)]
-pub enum Role {
+pub enum SignallingRole {
     /// This end connects to the address, and reconnects when the connection is lost.
     Connect(SocketAddr),
     /// The far end connects; a later connection replaces an earlier one.
@@ -46,7 +46,7 @@
 /// the far end; `wrap` converts events for the receiver.
 pub(crate) async fn serve<T: Send>(
     far: u32,
-    role: Role,
+    role: SignallingRole,
     mut outgoing: mpsc::Receiver<Data>,
     events: mpsc::Sender<T>,
     wrap: fn(u32, LinkEvent) -> T,
@@ -165,11 +165,11 @@
 }
 
 /// Connects or accepts, retrying until it succeeds.
-async fn open(role: &Role) -> TcpStream {
+async fn open(role: &SignallingRole) -> TcpStream {
     loop {
         let opened = match role {
-            Role::Listen(listener) => listener.accept().await.map(|(stream, _)| stream),
-            Role::Connect(addr) => TcpStream::connect(addr).await,
+            SignallingRole::Listen(listener) => listener.accept().await.map(|(stream, _)| stream),
+            SignallingRole::Connect(addr) => TcpStream::connect(addr).await,
         };
         match opened {
             Ok(stream) => return stream,
@@ -179,10 +179,10 @@
 }
 
 /// Waits for a further connection of the far end; never completes if this end connects.
-async fn replacement(role: &Role) -> TcpStream {
+async fn replacement(role: &SignallingRole) -> TcpStream {
     match role {
-        Role::Listen(_) => open(role).await,
-        Role::Connect(_) => std::future::pending().await,
+        SignallingRole::Listen(_) => open(role).await,
+        SignallingRole::Connect(_) => std::future::pending().await,
     }
 }
 
