--- a/crates/front/src/text.rs
+++ b/crates/front/src/text.rs
@@ -69,7 +69,7 @@
     }
 }
 
-/// Serves the UDP socket.
+/// Passes received datagrams to the core and sends those of the core.
 pub(crate) async fn datagrams(shared: Arc<Shared>, socket: UdpSocket, mut to_send: mpsc::Receiver<Datagram>) {
     let mut buffer = vec![0u8; TEXT_MAX + 1];
     let mut addresses = Addresses::default();
--- a/crates/front/tests/common/mod.rs
+++ b/crates/front/tests/common/mod.rs
@@ -120,7 +120,7 @@
 }
 
 pub struct Client {
-    pub wire: Framed<TcpStream, Codec>,
+    pub transport: Framed<TcpStream, Codec>,
     ids: u32,
 }
 
@@ -147,7 +147,7 @@
 impl Client {
     pub async fn connect(addr: SocketAddr) -> Self {
         let stream = TcpStream::connect(addr).await.expect("listening");
-        Self { wire: Framed::new(stream, Codec::default()), ids: 0 }
+        Self { transport: Framed::new(stream, Codec::default()), ids: 0 }
     }
 
     /// Connects and exchanges capabilities as `c1.test`.
@@ -166,20 +166,20 @@
         if message.header.end_to_end == 0 {
             message.header.end_to_end = self.ids;
         }
-        self.wire.send(message).await.expect("sent");
+        self.transport.send(message).await.expect("sent");
     }
 
     /// Reads the next message, answering watchdog requests; `None` once the connection is closed.
     pub async fn read(&mut self) -> Option<Message> {
         loop {
             let next =
-                tokio::time::timeout(Duration::from_secs(20), self.wire.next()).await.expect("in time");
+                tokio::time::timeout(Duration::from_secs(20), self.transport.next()).await.expect("in time");
             let Some(Ok(Frame::Valid(message))) = next else { return None };
             if message.header.code == code::WATCHDOG && message.header.flags.request {
                 let dwa = Message::answer(&message, result::SUCCESS)
                     .with(Avp::text(dict::ORIGIN_HOST, "c1.test"))
                     .with(Avp::text(dict::ORIGIN_REALM, "test"));
-                self.wire.send(dwa).await.expect("sent");
+                self.transport.send(dwa).await.expect("sent");
                 continue;
             }
             return Some(message);
--- a/crates/front/tests/strangers.rs
+++ b/crates/front/tests/strangers.rs
@@ -50,7 +50,7 @@
     let w = fixture(1, "").await;
     w.ready().await;
     let mut client = Client::open(w.addr).await;
-    let ask = |change: &dyn Fn(&mut Message)| {
+    let request = |change: &dyn Fn(&mut Message)| {
         let mut message = ccr("c1;bad", RequestType::Initial);
         change(&mut message);
         message
@@ -60,22 +60,22 @@
         m.push(Avp::text(code, text));
     };
     let cases = [
-        (ask(&|m| set(m, dict::DESTINATION_REALM, "nowhere")), result::REALM_NOT_SERVED, false),
-        (ask(&|m| set(m, dict::DESTINATION_HOST, "s9.test")), result::UNABLE_TO_DELIVER, false),
-        (ask(&|m| set(m, dict::SERVICE_CONTEXT_ID, "none")), result::INVALID_AVP_VALUE, true),
-        (ask(&|m| set(m, dict::ORIGIN_HOST, "c2.test")), result::UNKNOWN_PEER, false),
-        (ask(&|m| m.avps.retain(|a| a.code != dict::CC_REQUEST_NUMBER)), result::MISSING_AVP, true),
+        (request(&|m| set(m, dict::DESTINATION_REALM, "nowhere")), result::REALM_NOT_SERVED, false),
+        (request(&|m| set(m, dict::DESTINATION_HOST, "s9.test")), result::UNABLE_TO_DELIVER, false),
+        (request(&|m| set(m, dict::SERVICE_CONTEXT_ID, "none")), result::INVALID_AVP_VALUE, true),
+        (request(&|m| set(m, dict::ORIGIN_HOST, "c2.test")), result::UNKNOWN_PEER, false),
+        (request(&|m| m.avps.retain(|a| a.code != dict::CC_REQUEST_NUMBER)), result::MISSING_AVP, true),
         (
-            ask(&|m| m.push(Avp { mandatory: true, ..Avp::vendor_specific(99, 1, vec![]) })),
+            request(&|m| m.push(Avp { mandatory: true, ..Avp::vendor_specific(99, 1, vec![]) })),
             result::AVP_UNSUPPORTED,
             true,
         ),
-        (ask(&|m| m.push(Avp::new(dict::CC_TIME, vec![1]))), result::INVALID_AVP_LENGTH, true),
-        (ask(&|m| m.push(Avp::text(dict::ROUTE_RECORD, "front.test"))), result::LOOP_DETECTED, false),
-        (ask(&|m| m.header.application = 9), result::APPLICATION_UNSUPPORTED, false),
-        (ask(&|m| m.header.code = 271), result::COMMAND_UNSUPPORTED, false),
+        (request(&|m| m.push(Avp::new(dict::CC_TIME, vec![1]))), result::INVALID_AVP_LENGTH, true),
+        (request(&|m| m.push(Avp::text(dict::ROUTE_RECORD, "front.test"))), result::LOOP_DETECTED, false),
+        (request(&|m| m.header.application = 9), result::APPLICATION_UNSUPPORTED, false),
+        (request(&|m| m.header.code = 271), result::COMMAND_UNSUPPORTED, false),
     ];
-    let asked = cases.len();
+    let case_count = cases.len();
     for (message, wanted, names_avp) in cases {
         client.send(message).await;
         let answer = client.read().await.unwrap();
@@ -84,7 +84,7 @@
     }
     client.send(ccr("c1;good", RequestType::Initial)).await;
     assert_eq!(client.answer("c1;good").await.result(), result::SUCCESS);
-    assert!(asked == 10 && w.front.snapshot().await.unwrap().held.tickets == 0);
+    assert!(case_count == 10 && w.front.snapshot().await.unwrap().held.tickets == 0);
 }
 
 /// Sends bytes, waits until the connection is closed, and returns the bytes received.
@@ -143,7 +143,7 @@
         request.header.hop_by_hop = 900;
         request.write(&mut bytes);
         for byte in bytes {
-            client.wire.get_mut().write_all(&[byte]).await.expect("sent");
+            client.transport.get_mut().write_all(&[byte]).await.expect("sent");
             tokio::task::yield_now().await;
         }
         let result = client.answer("c1;slow").await.result();
@@ -164,7 +164,7 @@
         let mut message = ccr("c1;flood", RequestType::Update);
         message.header.hop_by_hop = sent;
         message.push(Avp::group(dict::PROXY_INFO, &[Avp::text(dict::PROXY_HOST, &"x".repeat(8_000))]));
-        let done = tokio::time::timeout(Duration::from_secs(5), flood.wire.send(message)).await;
+        let done = tokio::time::timeout(Duration::from_secs(5), flood.transport.send(message)).await;
         if !matches!(done, Ok(Ok(()))) {
             break;
         }
