--- a/crates/desk/src/classification.rs
+++ b/crates/desk/src/classification.rs
@@ -51,17 +51,17 @@
         }
         Self {
             host: config.host.clone(),
-            served_realms: config.serves.clone(),
+            served_realms: config.served_realms.clone(),
             contexts,
             first_contexts: config
                 .classes
                 .iter()
                 .map(|class| class.contexts.first().cloned().unwrap_or_default())
                 .collect(),
-            caller_timeouts: config.classes.iter().map(|class| class.gives_up).collect(),
+            caller_timeouts: config.classes.iter().map(|class| class.caller_timeout).collect(),
             realms,
             subscriptions,
-            servers: config.members().map(|(host, number, _)| (host.to_owned(), number)).collect(),
+            servers: config.pool_members().map(|(host, number, _)| (host.to_owned(), number)).collect(),
             publisher_count: config.publishers.len(),
         }
     }
--- a/crates/desk/src/pool.rs
+++ b/crates/desk/src/pool.rs
@@ -55,7 +55,8 @@
 
 impl ServerPool {
     pub(crate) fn new(config: &Config) -> Self {
-        let server_numbers = config.members().map(|(host, number, _)| (host.to_owned(), number)).collect();
+        let server_numbers =
+            config.pool_members().map(|(host, number, _)| (host.to_owned(), number)).collect();
         Self { server_numbers, version: None }
     }
 
@@ -67,7 +68,7 @@
             state,
             started_at: None,
         };
-        config.members().map(entry).collect()
+        config.pool_members().map(entry).collect()
     }
 
     /// Converts a pushed list to entries and records its version; a list with any invalid entry is rejected
--- a/crates/desk/src/session_layer.rs
+++ b/crates/desk/src/session_layer.rs
@@ -321,7 +321,9 @@
         }
         let (fronts, ordinal) = (config.settings.fronts, config.settings.ordinal);
         let fleet = config.fleet.as_ref();
-        if let Some(units) = config.limits.cold_rate.filter(|_| fleet.is_some_and(|fleet| fleet.lends)) {
+        if let Some(units) =
+            config.limits.cold_rate.filter(|_| fleet.is_some_and(|fleet| fleet.budget_leases))
+        {
             engine.enable_budget_sharing(BudgetSharing {
                 units: units as u32,
                 fronts,
@@ -329,7 +331,7 @@
                 incarnation: identity.incarnation,
             });
         }
-        if fleet.is_some_and(|fleet| fleet.lives) {
+        if fleet.is_some_and(|fleet| fleet.membership) {
             let (incarnation, seed) = (identity.state_id, identity.incarnation);
             engine.enable_membership(baydrift_fleet::LocalFront { ordinal, fronts, incarnation, seed });
         }
