--- a/crates/cli/src/budgets.rs
+++ b/crates/cli/src/budgets.rs
@@ -1,4 +1,4 @@
-//! `baydrift budgets`: fleets that share a budget, in virtual time.
+//! `baydrift budgets`: simulates a fleet of fronts that shares one budget, in virtual time.
 
 use std::process::ExitCode;
 use std::sync::{Mutex, PoisonError};
@@ -8,58 +8,60 @@
     drawn_troubles, share_budget, BudgetSharing, BudgetSpec, BudgetTally, BudgetTrouble, WaySpec,
 };
 
-use crate::seeds::on_all_cores;
+use crate::seeds::for_each_seed;
 
-const S: u64 = 1_000_000;
+const MICROS_PER_SECOND: u64 = 1_000_000;
 
 #[derive(clap::Args)]
 pub struct Args {
-    /// Fronts by the settings.
+    /// Number of fronts in the settings.
     #[arg(long, default_value_t = 300, value_parser = clap::value_parser!(u32).range(2..=1000))]
     fronts: u32,
-    /// Units of the budget, each spent once a second.
+    /// Units in the budget; each can be spent once a second.
     #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u32).range(1..=100_000))]
     units: u32,
-    /// Seconds.
+    /// Simulated time in seconds.
     #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u64).range(1..=3600))]
     seconds: u64,
-    /// Units wanted a second, over all fronts, as a multiple of the budget.
+    /// Demand over all fronts in units a second, as a multiple of the budget.
     #[arg(long, default_value_t = 2.0)]
     wanted: f64,
-    /// Share of fronts that carry nine tenths of what is wanted.
+    /// Share of fronts that account for nine tenths of the demand, from 0 to 1.
     #[arg(long, default_value_t = 0.1)]
     busy: f64,
-    /// Share of fronts that are down throughout.
+    /// Share of fronts that are down for the whole run, from 0 to 1.
     #[arg(long, default_value_t = 0.33)]
     down: f64,
-    /// Share of datagrams between fronts that are lost.
+    /// Share of datagrams between fronts that are lost, from 0 to 1.
     #[arg(long, default_value_t = 0.05)]
     lost: f64,
-    /// A loan lasts so many milliseconds.
+    /// Lease of a loan, in milliseconds.
     #[arg(long, default_value_t = 4_000, value_parser = clap::value_parser!(u64).range(1..=60_000))]
     lease_ms: u64,
-    /// The first seed.
+    /// Random seed; the first of them with --seeds.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Plays so many seeds with drawn faults instead: deaths, standstills, deaf and mute fronts, clocks that jump.
+    /// Run this many seeds with random faults instead: crashes, stalls, fronts that cannot receive or send,
+    /// clock steps.
     #[arg(long)]
     seeds: Option<u64>,
 }
 
-fn terms(args: &Args) -> EscrowConfig {
+fn escrow_config(args: &Args) -> EscrowConfig {
     EscrowConfig { lease: args.lease_ms * 1_000, ..EscrowConfig::default() }
 }
 
 fn spec(args: &Args, seed: u64, sharing: BudgetSharing) -> BudgetSpec {
     let busy = ((f64::from(args.fronts) * args.busy).round() as u32).clamp(1, args.fronts - 1);
-    let all = args.wanted * f64::from(args.units);
-    // Busy ones first by place, and places are mixed with what is down by a step that shares no factor with most fleets.
+    let demand = args.wanted * f64::from(args.units);
+    // The steps 7 and 11 are coprime to most fleet sizes, so that both busy and idle fronts are among those
+    // that are down.
     let wanted = |front: u32| {
-        let place = front * 7 % args.fronts;
-        if place < busy {
-            all * 0.9 / f64::from(busy)
+        let rank = front * 7 % args.fronts;
+        if rank < busy {
+            demand * 0.9 / f64::from(busy)
         } else {
-            all * 0.1 / f64::from(args.fronts - busy)
+            demand * 0.1 / f64::from(args.fronts - busy)
         }
     };
     let down = (f64::from(args.fronts) * args.down) as u32;
@@ -67,7 +69,7 @@
     BudgetSpec {
         fronts: args.fronts,
         units: args.units,
-        terms: terms(args),
+        terms: escrow_config(args),
         seeking: BorrowerConfig::default(),
         way: WaySpec {
             delay: 2_000,
@@ -79,33 +81,33 @@
         },
         sharing,
         wanted: (0..args.fronts).map(wanted).collect(),
-        span: args.seconds * S,
-        heard_within: S / 2,
+        span: args.seconds * MICROS_PER_SECOND,
+        heard_within: MICROS_PER_SECOND / 2,
         troubles: dead.map(|front| (0, front, BudgetTrouble::Dies(None))).collect(),
         drift_ppm: 100,
         seed,
     }
 }
 
-fn line(name: &str, args: &Args, tally: &BudgetTally) {
-    let each = args.seconds as f64 * f64::from(args.fronts);
+fn print_tally(name: &str, args: &Args, tally: &BudgetTally) {
+    let front_seconds = args.seconds as f64 * f64::from(args.fronts);
     println!(
         "  {name:<22} used {:.3} of what could be, {:>4} spent in a window at most, of {}; {:.2} words and {:.0} bytes a front and second",
         tally.used,
         tally.most,
         args.units,
-        tally.words as f64 / each,
-        tally.bytes as f64 / each
+        tally.words as f64 / front_seconds,
+        tally.bytes as f64 / front_seconds
     );
 }
 
 pub fn run(args: &Args) -> miette::Result<ExitCode> {
-    if let Err(error) = terms(args).check() {
+    if let Err(error) = escrow_config(args).check() {
         eprintln!("baydrift budgets: {error}");
         return Ok(ExitCode::from(2));
     }
     match args.seeds {
-        Some(seeds) => many(args, seeds),
+        Some(seeds) => run_seeds(args, seeds),
         None => {
             println!(
                 "{} fronts, {:.0}% of them down, {} units a second, {:.1} of it wanted, nine tenths by {:.0}% of the fronts, {} s, virtual time",
@@ -116,59 +118,60 @@
                 args.busy * 100.0,
                 args.seconds
             );
-            let ways = [
+            let modes = [
                 ("fixed shares", BudgetSharing::Fixed),
                 ("by the number believed", BudgetSharing::Believed),
                 ("units lent", BudgetSharing::Escrow),
                 ("one that knows all", BudgetSharing::KnowsAll),
             ];
-            let mut over = false;
-            for (name, sharing) in ways {
+            let mut exceeded = false;
+            for (name, sharing) in modes {
                 let tally = share_budget(&spec(args, args.seed, sharing));
-                line(name, args, &tally);
-                over |= sharing == BudgetSharing::Escrow && tally.most > args.units as usize;
+                print_tally(name, args, &tally);
+                exceeded |= sharing == BudgetSharing::Escrow && tally.most > args.units as usize;
             }
-            Ok(if over { ExitCode::FAILURE } else { ExitCode::SUCCESS })
+            Ok(if exceeded { ExitCode::FAILURE } else { ExitCode::SUCCESS })
         }
     }
 }
 
-/// What drawn faults came to.
+/// Totals over all seeds.
 #[derive(Default)]
-struct Sum {
-    over: u64,
+struct SeedTotals {
+    exceeded: u64,
     spent: u64,
     used: f64,
     most: usize,
 }
 
-/// Drawn faults, on all cores.
-fn many(args: &Args, seeds: u64) -> miette::Result<ExitCode> {
-    let sum = Mutex::new(Sum::default());
-    let began = std::time::Instant::now();
-    let threads = on_all_cores(args.seed, seeds, |seed| {
+/// Runs seeds with random faults on all cores.
+fn run_seeds(args: &Args, seeds: u64) -> miette::Result<ExitCode> {
+    let totals = Mutex::new(SeedTotals::default());
+    let started = std::time::Instant::now();
+    let threads = for_each_seed(args.seed, seeds, |seed| {
         let mut spec = spec(args, seed, BudgetSharing::Escrow);
         spec.troubles = drawn_troubles(args.fronts, spec.span, spec.terms.lease, seed);
         let tally = share_budget(&spec);
-        let over = tally.most > args.units as usize;
-        let mut sum = sum.lock().unwrap_or_else(PoisonError::into_inner);
-        sum.over += u64::from(over);
-        sum.spent += tally.spent;
-        sum.used += tally.used;
-        sum.most = sum.most.max(tally.most);
-        if over {
+        let exceeded = tally.most > args.units as usize;
+        let mut totals = totals.lock().unwrap_or_else(PoisonError::into_inner);
+        totals.exceeded += u64::from(exceeded);
+        totals.spent += tally.spent;
+        totals.used += tally.used;
+        totals.most = totals.most.max(tally.most);
+        if exceeded {
             println!("  seed {seed}: {} units in a window, of {}", tally.most, args.units);
         }
         Ok(())
     })?;
-    let Sum { over, spent, used, most } = sum.into_inner().unwrap_or_else(PoisonError::into_inner);
+    let SeedTotals { exceeded, spent, used, most } =
+        totals.into_inner().unwrap_or_else(PoisonError::into_inner);
     println!(
-        "{seeds} seeds of {} fronts and {} units, {} s each with drawn faults: {over} over the bound, {most} at most; {spent} spent, {:.3} used on the mean; {:.0} s on {threads} threads",
+        "{seeds} seeds of {} fronts and {} units, {} s each with drawn faults: {exceeded} over the bound, {most} at most; {spent} spent, {:.3} used on the mean; {:.0} s on {threads} threads",
         args.fronts,
         args.units,
         args.seconds,
         used / seeds.max(1) as f64,
-        began.elapsed().as_secs_f64()
+        started.elapsed().as_secs_f64()
     );
-    Ok(if over == 0 && spent > 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if exceeded == 0 && spent > 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
--- a/crates/cli/src/circuits.rs
+++ b/crates/cli/src/circuits.rs
@@ -1,4 +1,4 @@
-//! `baydrift circuits`: the trunk groups of a running front.
+//! `baydrift circuits`: prints the state of a running front's trunk groups.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -9,38 +9,38 @@
 
 #[derive(clap::Args)]
 pub struct Args {
-    /// The front's operators' socket, as its configuration names it.
+    /// The front's admin socket, as in its configuration.
     socket: PathBuf,
-    /// Each circuit that is not idle, too.
+    /// Also list each circuit that is not idle.
     #[arg(long)]
     each: bool,
-    /// Only groups whose name, or whose far end's, holds this.
+    /// Show only groups whose name, or whose far end's name, contains this text.
     #[arg(long)]
     only: Option<String>,
-    /// The front's own answer, as JSON.
+    /// Print the front's answer as JSON.
     #[arg(long)]
     json: bool,
 }
 
-fn text<'a>(of: &'a Value, key: &str) -> &'a str {
-    of[key].as_str().unwrap_or("?")
+fn text_field<'a>(object: &'a Value, key: &str) -> &'a str {
+    object[key].as_str().unwrap_or("?")
 }
 
-/// Milliseconds of an answer, in seconds.
-pub(crate) fn seconds(ms: &Value) -> String {
+/// A duration in milliseconds formatted in seconds, or "never" where the value is null.
+pub(crate) fn format_seconds(ms: &Value) -> String {
     ms.as_u64().map_or("never".into(), |ms| format!("{:.1}", ms as f64 / 1e3))
 }
 
 pub async fn run(args: &Args) -> miette::Result<ExitCode> {
-    let said = query_admin(&args.socket, "circuits").await.into_diagnostic()?;
+    let answer = query_admin(&args.socket, "circuits").await.into_diagnostic()?;
     if args.json {
-        println!("{said}");
+        println!("{answer}");
         return Ok(ExitCode::SUCCESS);
     }
-    let groups = said["groups"].as_array().cloned().unwrap_or_default();
-    let wanted = |group: &&Value| {
-        let only = args.only.as_deref().unwrap_or("");
-        text(group, "group").contains(only) || text(group, "far_end").contains(only)
+    let groups = answer["groups"].as_array().cloned().unwrap_or_default();
+    let matches_filter = |group: &&Value| {
+        let filter = args.only.as_deref().unwrap_or("");
+        text_field(group, "group").contains(filter) || text_field(group, "far_end").contains(filter)
     };
     println!(
         "{:<24} {:<20} {:>6} {:>6} {:>7} {:>8} {:>8} {:>8}  {:<5} {:>12}",
@@ -55,11 +55,11 @@
         "link",
         "audit, s ago"
     );
-    for group in groups.iter().filter(wanted) {
+    for group in groups.iter().filter(matches_filter) {
         println!(
             "{:<24} {:<20} {:>6} {:>6} {:>7} {:>8} {:>8} {:>8}  {:<5} {:>12}",
-            text(group, "far_end"),
-            text(group, "group"),
+            text_field(group, "far_end"),
+            text_field(group, "group"),
             group["circuits"].to_string(),
             group["free"].to_string(),
             group["blocked"].to_string(),
@@ -67,7 +67,7 @@
             group["incoming"].to_string(),
             group["clearing"].to_string(),
             if group["reachable"] == true { "up" } else { "down" },
-            seconds(&group["last_audit_ms_ago"]),
+            format_seconds(&group["last_audit_ms_ago"]),
         );
         for circuit in group["not_idle"].as_array().into_iter().flatten().filter(|_| args.each) {
             let blocked = match (circuit["blocked_here"] == true, circuit["blocked_there"] == true) {
@@ -79,21 +79,21 @@
             println!(
                 "    circuit {:>4}  {:<10} for {:>8} s  {blocked}",
                 circuit["cic"].to_string(),
-                text(circuit, "state"),
-                seconds(&circuit["age_ms"])
+                text_field(circuit, "state"),
+                format_seconds(&circuit["age_ms"])
             );
         }
     }
     println!(
         "seized {}, by far ends {}; glare won {}, lost {}; resets {}, stuck {}; audits asked {}, unanswered {}",
-        said["seized"],
-        said["seized_there"],
-        said["glare_won"],
-        said["glare_lost"],
-        said["resets"],
-        said["stuck"],
-        said["queries"],
-        said["queries_lost"]
+        answer["seized"],
+        answer["seized_there"],
+        answer["glare_won"],
+        answer["glare_lost"],
+        answer["resets"],
+        answer["stuck"],
+        answer["queries"],
+        answer["queries_lost"]
     );
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/cli/src/day.rs
+++ b/crates/cli/src/day.rs
@@ -1,4 +1,4 @@
-//! `baydrift day` and `baydrift audit`.
+//! `baydrift day` runs a scenario and audits its record; `baydrift audit` audits a stored record.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
@@ -10,81 +10,87 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use miette::{IntoDiagnostic, WrapErr};
 
-use crate::seeds::on_all_cores;
+use crate::seeds::for_each_seed;
 
 #[derive(clap::Args)]
 pub struct Args {
-    /// The script.
+    /// Scenario file.
     #[arg(required_unless_present = "from_bench")]
     script: Option<PathBuf>,
-    /// A day file of the operators' bench instead of a script.
+    /// Read a day file of the operators' bench instead of a scenario.
     #[arg(long, conflicts_with = "script")]
     from_bench: Option<PathBuf>,
-    /// Calls a second that a bench's day is scaled to, servers with them; else as in the file.
+    /// Scale a bench's day to this call rate, in calls a second, and its servers with it; without it, as in
+    /// the file.
     #[arg(long)]
     calls_per_second: Option<f64>,
-    /// Most fronts of a bench's day.
+    /// Maximum number of fronts in a bench's day.
     #[arg(long, default_value_t = 8)]
     fronts: u32,
-    /// Another length than the script's.
+    /// Duration in seconds, instead of the scenario's.
     #[arg(long)]
     seconds: Option<f64>,
-    /// Another seed than the script's.
+    /// Random seed, instead of the scenario's.
     #[arg(long)]
     seed: Option<u64>,
-    /// Plain round robin instead of the decision module, for comparison.
+    /// Use plain round robin instead of the decision module, for comparison.
     #[arg(long)]
     round_robin: bool,
-    /// Another share of calls by H.248 text than the script's.
+    /// Share of calls made by H.248 text, from 0 to 1, instead of the scenario's.
     #[arg(long)]
     text: Option<f64>,
-    /// Text clients heed notices of overload.
+    /// Make text clients respect overload notices.
     #[arg(long)]
     heeds: bool,
-    /// Writes the record here, for `baydrift audit`. A day that breaks a rule always keeps its record.
+    /// Write the record to this file, for `baydrift audit`. The record of a day that breaks a rule is always
+    /// kept.
     #[arg(long)]
     record: Option<PathBuf>,
-    /// Plays it in virtual time, without sockets: the same seed gives the same record, to the byte.
+    /// Run in virtual time, without sockets: the same seed gives the same record, byte for byte.
     #[arg(long = "virtual")]
     in_virtual_time: bool,
-    /// Plays it with each front, each server and the list service as a process of its own, and a net with faults
-    /// between them.
+    /// Run each front, each server and the list service as a process of its own, connected by an emulated
+    /// network with faults.
     #[arg(long, conflicts_with = "in_virtual_time")]
     processes: bool,
-    /// Folder for the processes' logs and configurations; without it one that is removed where all went well.
+    /// Folder for the processes' logs and configurations; without it, a temporary folder that is removed on
+    /// success.
     #[arg(long, requires = "processes")]
     logs: Option<PathBuf>,
-    /// Plays so many seeds, from the day's own on, on all cores; with --virtual or --processes.
+    /// Run this many seeds, starting from the day's own, on all cores; with --virtual.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// Troubles drawn by the seed instead of the script's.
+    /// Use faults drawn from the seed instead of the scenario's.
     #[arg(long)]
     drawn: bool,
-    /// Troubles by this file instead of the script's: a schedule as a failed day prints it.
+    /// Read the fault schedule from this file instead of the scenario's, in the form that a failed day
+    /// prints.
     #[arg(long, conflicts_with = "drawn")]
     troubles: Option<PathBuf>,
-    /// Prints the schedule and plays nothing.
+    /// Print the fault schedule and exit.
     #[arg(long)]
     schedule: bool,
-    /// Cuts the schedule of a day that fails down to a shortest that still fails. Each trial is played up to so many
-    /// times; once is enough in virtual time.
+    /// Reduce the fault schedule of a failed day to a minimal one that still fails. Each trial is run up to
+    /// TIMES times; in virtual time once is enough.
     #[arg(long, value_name = "TIMES", num_args = 0..=1, default_missing_value = "1", value_parser = clap::value_parser!(u32).range(1..=20))]
     shorten: Option<u32>,
-    /// Starts the fronts by another build of the program, the stand-ins by this one.
+    /// Run the fronts from another build of the program, and the stand-ins from this one.
     #[arg(long, value_name = "PROGRAM", requires = "processes")]
     fronts_by: Option<PathBuf>,
-    /// Draws faults of processes, as --processes does: the same seed then plays the same schedule in virtual time.
+    /// Draw faults of processes, as --processes does, so that the same seed gives the same schedule in
+    /// virtual time.
     #[arg(long, requires = "drawn")]
     fleet: bool,
 }
 
 fn load(args: &Args) -> miette::Result<Day> {
     let mut day = match (&args.script, &args.from_bench) {
-        (Some(path), _) => baydrift_day::parse(&path.display().to_string(), &crate::read(path)?)?,
+        (Some(path), _) => baydrift_day::parse(&path.display().to_string(), &crate::read_file(path)?)?,
         (None, Some(path)) => {
-            let read = baydrift_day::from_bench(&crate::read(path)?, args.calls_per_second, args.fronts);
-            let (day, skipped) = read.into_diagnostic().wrap_err_with(|| path.display().to_string())?;
-            skipped.iter().for_each(|what| eprintln!("note: {what}"));
+            let parsed =
+                baydrift_day::from_bench(&crate::read_file(path)?, args.calls_per_second, args.fronts);
+            let (day, skipped) = parsed.into_diagnostic().wrap_err_with(|| path.display().to_string())?;
+            skipped.iter().for_each(|item| eprintln!("note: {item}"));
             day
         }
         (None, None) => miette::bail!("a script or --from-bench is needed"),
@@ -94,7 +100,7 @@
     day.heeds |= args.heeds;
     day.text = args.text.unwrap_or(day.text).clamp(0.0, 1.0);
     if let Some(path) = &args.troubles {
-        day.troubles = parse_troubles(&path.display().to_string(), &crate::read(path)?, &day)?;
+        day.troubles = parse_troubles(&path.display().to_string(), &crate::read_file(path)?, &day)?;
     }
     if args.round_robin {
         day.policy = Policy::RoundRobin;
@@ -102,8 +108,8 @@
     Ok(day)
 }
 
-/// The day that is played with a seed.
-fn of_seed(args: &Args, day: &Day, seed: u64) -> Day {
+/// The day to run with a seed: as given, or with faults drawn from the seed.
+fn day_for_seed(args: &Args, day: &Day, seed: u64) -> Day {
     let day = Day { seed, ..day.clone() };
     match (args.drawn, args.processes || args.fleet) {
         (false, _) => day,
@@ -112,18 +118,18 @@
     }
 }
 
-/// How to play a day again.
-fn again(args: &Args, day: &Day) -> String {
-    let mut words = vec!["baydrift day".to_owned()];
-    words.extend(args.script.iter().map(|path| path.display().to_string()));
-    words.extend(args.from_bench.iter().map(|path| format!("--from-bench {}", path.display())));
-    words.extend(args.calls_per_second.map(|rate| format!("--calls-per-second {rate}")));
-    words.extend(args.seconds.map(|seconds| format!("--seconds {seconds}")));
-    words.extend(args.text.map(|share| format!("--text {share}")));
-    words.extend(args.troubles.iter().map(|path| format!("--troubles {}", path.display())));
-    words.extend(args.fronts_by.iter().map(|path| format!("--fronts-by {}", path.display())));
+/// The command line that runs a day again.
+fn replay_command(args: &Args, day: &Day) -> String {
+    let mut command = vec!["baydrift day".to_owned()];
+    command.extend(args.script.iter().map(|path| path.display().to_string()));
+    command.extend(args.from_bench.iter().map(|path| format!("--from-bench {}", path.display())));
+    command.extend(args.calls_per_second.map(|rate| format!("--calls-per-second {rate}")));
+    command.extend(args.seconds.map(|seconds| format!("--seconds {seconds}")));
+    command.extend(args.text.map(|share| format!("--text {share}")));
+    command.extend(args.troubles.iter().map(|path| format!("--troubles {}", path.display())));
+    command.extend(args.fronts_by.iter().map(|path| format!("--fronts-by {}", path.display())));
     if args.from_bench.is_some() {
-        words.push(format!("--fronts {}", args.fronts));
+        command.push(format!("--fronts {}", args.fronts));
     }
     let flags = [
         (args.round_robin, "--round-robin"),
@@ -133,17 +139,18 @@
         (args.in_virtual_time, "--virtual"),
         (args.processes, "--processes"),
     ];
-    words.extend(flags.iter().filter(|(set, _)| *set).map(|(_, word)| (*word).to_owned()));
-    words.push(format!("--seed {}", day.seed));
-    words.join(" ")
+    command.extend(flags.iter().filter(|(set, _)| *set).map(|(_, flag)| (*flag).to_owned()));
+    command.push(format!("--seed {}", day.seed));
+    command.join(" ")
 }
 
-/// Keeps the record where it was asked for, or where a rule broke; tells where, and how to play the day again.
-fn keep(args: &Args, day: &Day, outcome: &Outcome) -> miette::Result<()> {
-    let kept = outcome.good();
+/// Writes the record where `--record` asks for it, or where the day failed; then also prints its path, the
+/// command that runs the day again, and the fault schedule.
+fn save_record(args: &Args, day: &Day, outcome: &Outcome) -> miette::Result<()> {
+    let passed = outcome.good();
     let path = match &args.record {
         Some(path) if args.seeds == 1 => path.clone(),
-        _ if kept => return Ok(()),
+        _ if passed => return Ok(()),
         _ => {
             let name = args.script.as_deref().and_then(Path::file_stem).unwrap_or("day".as_ref());
             let name =
@@ -153,33 +160,33 @@
     };
     let file = std::fs::File::create(&path).into_diagnostic().wrap_err_with(|| path.display().to_string())?;
     write_record(&outcome.lines, file).into_diagnostic().wrap_err_with(|| path.display().to_string())?;
-    if !kept {
+    if !passed {
         println!(
             "  a rule broke or a bound was passed: seed {}; the record is {}; again with: {}",
             day.seed,
             path.display(),
-            again(args, day)
+            replay_command(args, day)
         );
         print!("{}", schedule_text(&day.troubles));
     }
     Ok(())
 }
 
-/// Many seeds, each in virtual time; the worst is what counts.
-fn net(args: &Args, day: &Day) -> miette::Result<ExitCode> {
+/// Runs many seeds in virtual time on all cores; fails if any of them fails.
+fn run_seeds(args: &Args, day: &Day) -> miette::Result<ExitCode> {
     let bar = ProgressBar::new(args.seeds);
     if let Ok(style) = ProgressStyle::with_template("{elapsed} [{bar:30}] {pos}/{len} seeds, {eta} left") {
         bar.set_style(style);
     }
-    let sum = Mutex::new(Net::default());
-    let began = std::time::Instant::now();
-    let threads = on_all_cores(day.seed, args.seeds, |seed| {
-        let day = of_seed(args, day, seed);
+    let summary = Mutex::new(SeedSummary::default());
+    let started = std::time::Instant::now();
+    let threads = for_each_seed(day.seed, args.seeds, |seed| {
+        let day = day_for_seed(args, day, seed);
         let outcome = baydrift_day::run_virtual(&day, |_, _| {}).into_diagnostic()?;
-        let mut sum = sum.lock().unwrap_or_else(PoisonError::into_inner);
-        sum.add(&outcome);
+        let mut summary = summary.lock().unwrap_or_else(PoisonError::into_inner);
+        summary.add(&outcome);
         if !outcome.good() {
-            keep(args, &day, &outcome)?;
+            save_record(args, &day, &outcome)?;
             print!("{}", baydrift_day::table(&outcome.verdict, &outcome.service));
         }
         bar.inc(1);
@@ -187,58 +194,58 @@
     });
     bar.finish_and_clear();
     let threads = threads?;
-    let sum = sum.into_inner().unwrap_or_else(PoisonError::into_inner);
-    println!("{sum}, in {:.0} s on {threads} threads", began.elapsed().as_secs_f64());
-    Ok(if sum.broken == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    let summary = summary.into_inner().unwrap_or_else(PoisonError::into_inner);
+    println!("{summary}, in {:.0} s on {threads} threads", started.elapsed().as_secs_f64());
+    Ok(if summary.failed == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// What many days came to.
+/// Totals over many seeds.
 #[derive(Default)]
-struct Net {
+struct SeedSummary {
     days: u64,
-    broken: u64,
+    failed: u64,
     calls: usize,
     answered: usize,
     set_ups: usize,
     held_back: u64,
     excused: BTreeMap<&'static str, usize>,
-    service: f64,
-    worst: Option<f64>,
+    service_total: f64,
+    service_worst: Option<f64>,
 }
 
-impl Net {
+impl SeedSummary {
     fn add(&mut self, outcome: &Outcome) {
         let verdict = &outcome.verdict;
         self.days += 1;
-        self.broken += u64::from(!outcome.good());
+        self.failed += u64::from(!outcome.good());
         self.calls += verdict.calls;
         self.answered += verdict.answered;
         self.set_ups += verdict.set_ups;
         self.held_back += outcome.fronts.iter().flat_map(|f| &f.held_back).map(|(_, n)| n).sum::<u64>();
-        for (why, count) in &verdict.excused {
-            *self.excused.entry(why.name()).or_default() += count;
+        for (reason, count) in &verdict.excused {
+            *self.excused.entry(reason.name()).or_default() += count;
         }
         let service = outcome.service.total.service();
-        self.service += service;
-        self.worst = Some(self.worst.map_or(service, |worst| worst.min(service)));
+        self.service_total += service;
+        self.service_worst = Some(self.service_worst.map_or(service, |worst| worst.min(service)));
     }
 }
 
-impl std::fmt::Display for Net {
+impl std::fmt::Display for SeedSummary {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let mean = self.service / self.days.max(1) as f64;
+        let mean = self.service_total / self.days.max(1) as f64;
         write!(
             f,
             "{} days in virtual time, {} with a rule broken: {} calls, {} answered, {} set-ups, {} held back; \
              excused {:?}; service {mean:.3} on average, {:.3} at worst",
             self.days,
-            self.broken,
+            self.failed,
             self.calls,
             self.answered,
             self.set_ups,
             self.held_back,
             self.excused,
-            self.worst.unwrap_or(1.0)
+            self.service_worst.unwrap_or(1.0)
         )
     }
 }
@@ -246,9 +253,9 @@
 pub async fn run(args: Args) -> miette::Result<ExitCode> {
     let day = load(&args)?;
     if args.in_virtual_time && args.seeds != 1 {
-        return net(&args, &day);
+        return run_seeds(&args, &day);
     }
-    let day = of_seed(&args, &day, day.seed);
+    let day = day_for_seed(&args, &day, day.seed);
     if args.schedule {
         print!("{}", schedule_text(&day.troubles));
         return Ok(ExitCode::SUCCESS);
@@ -264,7 +271,7 @@
             tracing::info!(at, what, "trouble");
         }
     };
-    let logs = logs(&args)?;
+    let logs = create_log_folder(&args)?;
     let outcome = play(&args, &day, logs.as_deref(), progress).await?;
     bar.finish_and_clear();
     let policy = if day.policy == Policy::RoundRobin { "round robin" } else { "baydrift" };
@@ -280,16 +287,16 @@
     if args.processes || day.fronts > 1 || !outcome.sums.exceeded.is_empty() {
         print!("{}", baydrift_day::sums_table(&outcome.sums));
     }
-    keep(&args, &day, &outcome)?;
+    save_record(&args, &day, &outcome)?;
     for (front, snapshot) in outcome.fronts.iter().enumerate() {
         let held: Vec<_> = snapshot.held_back.iter().filter(|(_, n)| *n > 0).collect();
-        tracing::info!(front, ?snapshot, "the front's own counts");
+        tracing::info!(front, ?snapshot, "counters of the front");
         if !held.is_empty() {
             println!("  front {front} held back {held:?}");
         }
     }
-    outcome.driver.iter().for_each(|what| println!("  the driver: {what}"));
-    outcome.crashed.iter().for_each(|what| println!("  {what}"));
+    outcome.driver.iter().for_each(|fault| println!("  the driver: {fault}"));
+    outcome.crashed.iter().for_each(|crash| println!("  {crash}"));
     let good = outcome.good();
     if let Some(times) = args.shorten.filter(|_| !good) {
         shorten(&args, &day, &outcome, times, logs.as_deref()).await?;
@@ -302,7 +309,7 @@
     Ok(if good { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// Plays a day as the arguments say.
+/// Runs a day in virtual time, as processes or on loopback sockets, as the arguments select.
 async fn play(
     args: &Args,
     day: &Day,
@@ -325,7 +332,8 @@
     outcome.into_diagnostic()
 }
 
-/// Cuts the schedule of a day that failed down to a shortest that fails in a way that this one did, and prints it.
+/// Reduces the fault schedule of a failed day to a minimal one that still causes one of the same failures,
+/// and prints it.
 async fn shorten(
     args: &Args,
     day: &Day,
@@ -333,47 +341,51 @@
     times: u32,
     logs: Option<&Path>,
 ) -> miette::Result<()> {
-    let ways = outcome.failures();
-    let mut cut = Shorten::new(day.troubles.clone());
-    while let Some(troubles) = cut.trial() {
+    let failures = outcome.failures();
+    let mut shortening = Shorten::new(day.troubles.clone());
+    while let Some(troubles) = shortening.trial() {
         let trial = Day { troubles, ..day.clone() };
         let mut failed = false;
         for _ in 0..if args.in_virtual_time { 1 } else { times } {
-            let played = play(args, &trial, logs, |_, _| {}).await?;
-            failed = !ways.is_disjoint(&played.failures());
+            let trial_outcome = play(args, &trial, logs, |_, _| {}).await?;
+            failed = !failures.is_disjoint(&trial_outcome.failures());
             if failed {
                 break;
             }
         }
-        cut.told(failed);
+        shortening.told(failed);
         eprintln!(
-            "trial {}: {} of {} troubles still fail",
-            cut.trials(),
-            cut.kept().len(),
+            "trial {}: {} of {} faults still fail",
+            shortening.trials(),
+            shortening.kept().len(),
             day.troubles.len()
         );
     }
-    println!("  a shortest schedule that fails so ({}), after {} trials:", list(&ways), cut.trials());
-    print!("{}", schedule_text(cut.kept()));
+    println!(
+        "  a shortest schedule that fails so ({}), after {} trials:",
+        join_failures(&failures),
+        shortening.trials()
+    );
+    print!("{}", schedule_text(shortening.kept()));
     Ok(())
 }
 
-fn list(ways: &BTreeSet<String>) -> String {
-    ways.iter().cloned().collect::<Vec<_>>().join(", ")
+fn join_failures(failures: &BTreeSet<String>) -> String {
+    failures.iter().cloned().collect::<Vec<_>>().join(", ")
 }
 
-/// Where the processes of this day write, if it has any.
-fn logs(args: &Args) -> miette::Result<Option<PathBuf>> {
+/// Creates the folder for logs and configurations of the processes; `None` without `--processes`.
+fn create_log_folder(args: &Args) -> miette::Result<Option<PathBuf>> {
     if !args.processes {
         return Ok(None);
     }
-    let own = || std::env::temp_dir().join(format!("baydrift-day-{}", std::process::id()));
-    let logs = args.logs.clone().unwrap_or_else(own);
+    let temporary = || std::env::temp_dir().join(format!("baydrift-day-{}", std::process::id()));
+    let logs = args.logs.clone().unwrap_or_else(temporary);
     std::fs::create_dir_all(&logs).into_diagnostic().wrap_err_with(|| logs.display().to_string())?;
     Ok(Some(logs))
 }
 
-/// Plays one part of a day as a process, as the driver of the day tells it.
+/// Runs one participant of a day in this process; the driver sends its role on standard input.
 pub async fn stand_in() -> miette::Result<ExitCode> {
     Ok(match baydrift_day::play_role().await {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -1,4 +1,4 @@
-//! `baydrift demo`: the main job on an embedded default.
+//! `baydrift demo`: a front with stand-in servers and callers in one process, on a built-in configuration.
 
 use std::collections::BTreeMap;
 use std::process::ExitCode;
@@ -14,49 +14,50 @@
 use miette::IntoDiagnostic;
 use tokio::sync::watch;
 
-use crate::front::{announce, told_to_stop};
+use crate::front::{print_listeners, shutdown_signal};
 
 #[derive(clap::Args)]
 pub struct Args {
-    /// Ends after so long; without it, when told to stop.
+    /// Duration in seconds; without it, the demo runs until SIGINT or SIGTERM.
     #[arg(long)]
     seconds: Option<f64>,
-    /// Calls a second of the built-in callers; 0 leaves the front to outside clients.
+    /// Call rate of the built-in callers, in calls a second; 0 leaves the front to outside clients.
     #[arg(long, default_value_t = 20.0)]
     calls_per_second: f64,
-    /// Seed of all that is drawn.
+    /// Random seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
 }
 
 const CONFIG: &str = include_str!("demo.kdl");
-const SERVERS: u16 = 3;
+const SERVER_COUNT: u16 = 3;
 
 pub async fn run(args: Args) -> miette::Result<ExitCode> {
     let recorder = Arc::new(Recorder::default());
-    let (mut servers, mut text) = (Vec::new(), CONFIG.to_owned());
-    for number in 0..SERVERS {
-        let server = Server::start(spec(number), recorder.clone(), args.seed + u64::from(number)).await;
+    let (mut servers, mut config_text) = (Vec::new(), CONFIG.to_owned());
+    for number in 0..SERVER_COUNT {
+        let server =
+            Server::start(server_spec(number), recorder.clone(), args.seed + u64::from(number)).await;
         let server = server.into_diagnostic()?;
-        text += &format!(
+        config_text += &format!(
             "server \"s{number}.demo.test\" realm=\"demo.test\" number={number} addr=\"{}\"\n",
             server.addr
         );
         servers.push(server);
     }
-    let config = baydrift_config::parse("the demo's configuration", &text)?;
+    let config = baydrift_config::parse("the demo's configuration", &config_text)?;
     let bound = Bound::bind(config.clone()).await.into_diagnostic()?;
-    announce(&config, &bound.addrs());
+    print_listeners(&config, &bound.addrs());
     let addrs = bound.addrs();
     let front = bound.start().into_diagnostic()?;
 
-    let (offers, told) = watch::channel(Offers::default());
+    let (offers, offers_receiver) = watch::channel(Offers::default());
     let flow = |class: usize, context: &str, share: f64| Flow {
         class,
         publisher: 0,
         context: context.into(),
         subscription: "demo:caller".into(),
-        // Half of the calls come by each protocol.
+        // Half of the calls come over Diameter, half over H.248 text.
         rate: args.calls_per_second * share / 2.0,
         hold: 3_000_000,
         patience: 3_000_000,
@@ -66,11 +67,11 @@
         realm: "demo.test".into(),
         front: (0, config.host.clone(), config.realm.clone()),
         to_realm: config.realm.clone(),
-        servers: (0..SERVERS).map(|n| (format!("s{n}.demo.test"), 1.0)).collect(),
+        servers: (0..SERVER_COUNT).map(|n| (format!("s{n}.demo.test"), 1.0)).collect(),
         flows: vec![flow(0, "lookup@demo.test", 0.8), flow(1, "check@demo.test", 0.2)],
         watchdog: 6_000_000,
     };
-    let mut texts = None;
+    let mut text_caller = None;
     if let Some(addr) = addrs.text_udp {
         let spec = TextSpec {
             mid: "<callers.demo.test>".into(),
@@ -78,46 +79,47 @@
             servers: callers.servers.clone(),
             flows: callers.flows.clone(),
         };
-        let started = TextCaller::start(spec, addr, told.clone(), recorder.clone(), args.seed + 1).await;
-        texts = Some(started.into_diagnostic()?);
+        let started =
+            TextCaller::start(spec, addr, offers_receiver.clone(), recorder.clone(), args.seed + 1).await;
+        text_caller = Some(started.into_diagnostic()?);
     }
-    let callers = Caller::start(callers, addrs.diameter, told, recorder.clone(), args.seed);
-    let until = async {
+    let callers = Caller::start(callers, addrs.diameter, offers_receiver, recorder.clone(), args.seed);
+    let deadline = async {
         match args.seconds {
             Some(seconds) => tokio::time::sleep(Duration::from_secs_f64(seconds.clamp(0.0, 1e6))).await,
             None => std::future::pending().await,
         }
     };
     tokio::select! {
-        () = until => {}
-        () = told_to_stop() => {}
+        () = deadline => {}
+        () = shutdown_signal() => {}
     }
     offers.send_modify(|offers| offers.factor = 0.0);
     let _ = tokio::time::timeout(Duration::from_millis(3_500), callers.ended()).await;
-    drop(texts);
+    drop(text_caller);
     if let Some(snapshot) = front.snapshot().await {
-        tracing::info!(?snapshot, "the front's own counts");
+        tracing::info!(?snapshot, "counters of the front");
     }
-    // The stop cuts what still stands: no part of what the run shows.
+    // Read before the stop, which drops calls that are still established: they are no part of the result.
     let lines = recorder.lines();
     front.stop().await;
     let verdict = rules(&lines, RuleLimits::default());
-    let terms: Vec<_> = config
+    let classes: Vec<_> = config
         .classes
         .iter()
-        .map(|c| ClassConfig {
-            name: c.name.clone(),
-            worth: c.class.worth,
-            late_worth: c.class.late_worth,
-            aim: c.class.aim,
+        .map(|class| ClassConfig {
+            name: class.name.clone(),
+            worth: class.class.worth,
+            late_worth: class.class.late_worth,
+            aim: class.class.aim,
             hot_worth: 1.0,
         })
         .collect();
-    print!("{}", baydrift_day::table(&verdict, &service(&lines, &terms, &["demo".into()])));
+    print!("{}", baydrift_day::table(&verdict, &service(&lines, &classes, &["demo".into()])));
     Ok(if verdict.passed() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-fn spec(number: u16) -> ServerSpec {
+fn server_spec(number: u16) -> ServerSpec {
     ServerSpec {
         host: format!("s{number}.demo.test"),
         realm: "demo.test".into(),
--- a/crates/cli/src/front.rs
+++ b/crates/cli/src/front.rs
@@ -1,4 +1,4 @@
-//! `baydrift front` and `baydrift check`.
+//! `baydrift front` runs a front; `baydrift check` validates its configuration.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -8,7 +8,7 @@
 use miette::IntoDiagnostic;
 
 fn load(path: &Path) -> miette::Result<Config> {
-    Ok(baydrift_config::parse(&path.display().to_string(), &crate::read(path)?)?)
+    Ok(baydrift_config::parse(&path.display().to_string(), &crate::read_file(path)?)?)
 }
 
 pub fn check(path: &Path) -> miette::Result<ExitCode> {
@@ -27,8 +27,8 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// One line of JSON for each listener.
-pub fn announce(config: &Config, addrs: &Addrs) {
+/// Prints one line of JSON for each listener; tools read the bound addresses from it.
+pub fn print_listeners(config: &Config, addrs: &Addrs) {
     let contexts: Vec<_> = config.classes.iter().flat_map(|class| &class.contexts).collect();
     println!(
         "{}",
@@ -40,21 +40,21 @@
             "service_context_ids": contexts,
         })
     );
-    let others = [
+    let optional_listeners = [
         ("pool", addrs.pool),
         ("fleet", addrs.fleet),
         ("h248-udp", addrs.text_udp),
         ("h248-tcp", addrs.text_tcp),
     ];
-    for (what, addr) in others {
+    for (kind, addr) in optional_listeners {
         if let Some(addr) = addr {
-            println!("{}", serde_json::json!({"listen": what, "addr": addr.to_string()}));
+            println!("{}", serde_json::json!({"listen": kind, "addr": addr.to_string()}));
         }
     }
 }
 
-/// Ends with the first SIGINT or SIGTERM.
-pub async fn told_to_stop() {
+/// Resolves on the first SIGINT or SIGTERM.
+pub async fn shutdown_signal() {
     use tokio::signal::unix::{signal, SignalKind};
     let Ok(mut term) = signal(SignalKind::terminate()) else { return std::future::pending().await };
     tokio::select! {
@@ -63,13 +63,13 @@
     }
 }
 
-pub async fn run(path: &Path, clock_off: i64) -> miette::Result<ExitCode> {
+pub async fn run(path: &Path, clock_offset: i64) -> miette::Result<ExitCode> {
     let config = load(path)?;
     let mut bound = Bound::bind(config.clone()).await.into_diagnostic()?;
-    announce(&config, &bound.addrs());
-    bound.set_clock_offset(clock_off);
+    print_listeners(&config, &bound.addrs());
+    bound.set_clock_offset(clock_offset);
     let front = bound.start().into_diagnostic()?;
-    told_to_stop().await;
+    shutdown_signal().await;
     front.stop().await;
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/cli/src/seeds.rs
+++ b/crates/cli/src/seeds.rs
@@ -1,29 +1,33 @@
-//! Many seeds on all cores.
+//! Runs a simulation for many seeds, in parallel on all cores.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Plays so many seeds from the first on, each on whichever thread is free; the first error ends its thread and is told.
-/// How many threads there were.
-pub fn on_all_cores(
+/// Calls `run` once for each of the `count` seeds from `first` on, each on the next free thread. Returns the
+/// number of threads.
+///
+/// # Errors
+/// An error of `run` ends its thread, not the others; the first in thread order is returned after all threads
+/// ended.
+pub fn for_each_seed(
     first: u64,
-    seeds: u64,
-    play: impl Fn(u64) -> miette::Result<()> + Sync,
+    count: u64,
+    run: impl Fn(u64) -> miette::Result<()> + Sync,
 ) -> miette::Result<usize> {
-    let next = AtomicU64::new(first);
-    let end = first.saturating_add(seeds);
+    let next_seed = AtomicU64::new(first);
+    let end = first.saturating_add(count);
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
-    let failed = std::thread::scope(|scope| {
-        let work = || -> miette::Result<()> {
+    let error = std::thread::scope(|scope| {
+        let worker = || -> miette::Result<()> {
             loop {
-                let seed = next.fetch_add(1, Ordering::Relaxed);
+                let seed = next_seed.fetch_add(1, Ordering::Relaxed);
                 if seed >= end {
                     return Ok(());
                 }
-                play(seed)?;
+                run(seed)?;
             }
         };
-        let all: Vec<_> = (0..threads).map(|_| scope.spawn(work)).collect();
-        all.into_iter().find_map(|thread| thread.join().ok()?.err())
+        let workers: Vec<_> = (0..threads).map(|_| scope.spawn(worker)).collect();
+        workers.into_iter().find_map(|worker| worker.join().ok()?.err())
     });
-    failed.map_or(Ok(threads), Err)
+    error.map_or(Ok(threads), Err)
 }
--- a/crates/cli/src/trunks.rs
+++ b/crates/cli/src/trunks.rs
@@ -1,4 +1,5 @@
-//! `baydrift trunks`: two exchanges and the groups between them, in virtual time.
+//! `baydrift trunks`: simulates two exchanges and the trunk groups between them, in virtual time or on
+//! sockets.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -11,54 +12,54 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use miette::IntoDiagnostic;
 
-const S: f64 = 1e6;
+const MICROS_PER_SECOND: f64 = 1e6;
 
 #[derive(clap::Args)]
 pub struct Args {
-    /// Trunk groups between both ends.
+    /// Number of trunk groups between the two exchanges.
     #[arg(long, default_value_t = 4)]
     groups: u16,
-    /// Circuits of a group, up to 4,095.
+    /// Circuits in each group, up to 4,095.
     #[arg(long, default_value_t = 62)]
     circuits: u16,
-    /// Calls a second, from both ends together.
+    /// Call rate of both exchanges together, in calls a second.
     #[arg(long, default_value_t = 60.0)]
     calls_per_second: f64,
-    /// Mean time that a call stands, seconds.
+    /// Mean holding time of a call, in seconds.
     #[arg(long, default_value_t = 3.0)]
     hold: f64,
-    /// Callers call for so long, seconds.
+    /// Time during which calls are offered, in seconds.
     #[arg(long, default_value_t = 600.0)]
     seconds: f64,
-    /// Share of signals lost.
+    /// Share of signalling messages that are lost, from 0 to 1.
     #[arg(long, default_value_t = 0.001)]
     lost: f64,
-    /// Share of signals that come twice.
+    /// Share of signalling messages that are duplicated, from 0 to 1.
     #[arg(long, default_value_t = 0.001)]
     doubled: f64,
-    /// A signal takes at least so many milliseconds, and up to three times as long.
+    /// Least delay of a signalling message, in milliseconds; the delay varies up to three times this.
     #[arg(long, default_value_t = 10.0)]
     delay_ms: f64,
-    /// Both ends choose circuits from the lowest up.
+    /// Both exchanges select circuits in ascending order, instead of from opposite ends of the group.
     #[arg(long)]
     sequential: bool,
-    /// Seconds between a group's audits; 0 for none.
+    /// Interval between audits of a group, in seconds; 0 disables them.
     #[arg(long, default_value_t = 1.0)]
     audit_every: f64,
-    /// Instead of callers, so many rounds in which both ends seize at the same moment.
+    /// Instead of random calls, run this many rounds in which both exchanges seize at the same time.
     #[arg(long)]
     rounds: Option<u64>,
-    /// The rounds on loopback sockets, with two exchanges and a relay that loses and doubles packets, instead of in
-    /// virtual time. Q.764's timers are fifty times shorter than there.
+    /// Run the rounds on loopback sockets, with two exchanges and a relay that drops and duplicates packets,
+    /// instead of in virtual time. Q.764's timers are divided by 50.
     #[arg(long, requires = "rounds")]
     sockets: bool,
-    /// Seed of all that is drawn.
+    /// Random seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
 }
 
 fn micros(seconds: f64) -> Micros {
-    (seconds.clamp(0.0, 1e9) * S) as Micros
+    (seconds.clamp(0.0, 1e9) * MICROS_PER_SECOND) as Micros
 }
 
 fn spec(args: &Args) -> TwoEndsSpec {
@@ -82,23 +83,23 @@
 pub async fn run(args: &Args) -> miette::Result<ExitCode> {
     let spec = spec(args);
     if let (Some(count), true) = (args.rounds, args.sockets) {
-        return on_sockets(args, count).await;
+        return run_on_sockets(args, count).await;
     }
     let two = TwoEnds::new(spec).map_err(|(group, error)| miette::miette!("trunk group {group}: {error}"))?;
-    let steps = args.rounds.unwrap_or(args.seconds.ceil() as u64);
-    let bar = ProgressBar::new(steps);
+    let step_count = args.rounds.unwrap_or(args.seconds.ceil() as u64);
+    let bar = ProgressBar::new(step_count);
     if let Ok(style) = ProgressStyle::with_template("{elapsed} [{bar:30}] {pos}/{len}, {eta} left") {
         bar.set_style(style);
     }
-    let (two, most) = if args.rounds.is_some() { play_rounds(two, &bar) } else { play(two, &bar) };
+    let (two, most_stuck) = if args.rounds.is_some() { run_rounds(two, &bar) } else { run_calls(two, &bar) };
     bar.finish_and_clear();
-    Ok(show(args, two, most))
+    Ok(print_summary(args, two, most_stuck))
 }
 
-/// How many times shorter Q.764's timers are on sockets.
-const HURRY: u64 = 50;
+/// Divisor of Q.764's timers on sockets.
+const TIMER_DIVISOR: u64 = 50;
 
-async fn on_sockets(args: &Args, count: u64) -> miette::Result<ExitCode> {
+async fn run_on_sockets(args: &Args, count: u64) -> miette::Result<ExitCode> {
     let bar = ProgressBar::new(count);
     if let Ok(style) = ProgressStyle::with_template("{elapsed} [{bar:30}] {pos}/{len} rounds, {eta} left") {
         bar.set_style(style);
@@ -110,7 +111,7 @@
         lost: args.lost.clamp(0.0, 1.0),
         doubled: args.doubled.clamp(0.0, 1.0),
         patience: Duration::from_millis(300),
-        hurry: HURRY,
+        hurry: TIMER_DIVISOR,
         seed: args.seed,
     };
     let tally = rounds(&spec, |round| bar.set_position(round)).await.into_diagnostic()?;
@@ -136,50 +137,51 @@
         sum(|c| c.queries)
     );
     match tally.idle_after {
-        Some(after) => {
-            println!("  every circuit idle at both ends {:.2} s after the last round", after.as_secs_f64())
+        Some(elapsed) => {
+            println!("  every circuit idle at both ends {:.2} s after the last round", elapsed.as_secs_f64())
         }
         None => println!("  circuits still busy: {:?}", tally.states.each_ref().map(|state| &state.usage)),
     }
-    tally.violations.iter().for_each(|what| println!("  NEVER: {what}"));
-    let kept = tally.violations.is_empty() && tally.idle_after.is_some();
-    Ok(if kept { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    tally.violations.iter().for_each(|violation| println!("  NEVER: {violation}"));
+    let passed = tally.violations.is_empty() && tally.idle_after.is_some();
+    Ok(if passed { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// Rounds in which both ends seize at the same moment; each ends before the next begins, or after a minute.
-fn play_rounds(mut two: TwoEnds, bar: &ProgressBar) -> (TwoEnds, usize) {
-    let mut most = 0;
+/// Runs rounds in which both exchanges seize at the same time. A round ends when all circuits are idle, or
+/// after a minute. Returns the most circuits that were still busy at the end of a round.
+fn run_rounds(mut two: TwoEnds, bar: &ProgressBar) -> (TwoEnds, usize) {
+    let mut most_stuck = 0;
     for _ in 0..bar.length().unwrap_or(0) {
         two.offer_both();
         let until = two.now() + micros(60.0);
         if two.run_until_idle(until).is_none() {
-            most = most.max(two.busy());
+            most_stuck = most_stuck.max(two.busy());
         }
         bar.inc(1);
     }
-    (two, most)
+    (two, most_stuck)
 }
 
-/// Callers at both ends; the most circuits that were stuck at the end of any minute.
-fn play(mut two: TwoEnds, bar: &ProgressBar) -> (TwoEnds, usize) {
+/// Offers random calls at both exchanges. Returns the most circuits that were stuck at the end of any minute.
+fn run_calls(mut two: TwoEnds, bar: &ProgressBar) -> (TwoEnds, usize) {
     two.begin();
-    let mut most = 0;
+    let mut most_stuck = 0;
     for second in 1..=bar.length().unwrap_or(0) {
         two.run_until(micros(second as f64));
         if second % 60 == 0 {
-            most = most.max(two.stuck_for(micros(10.0)));
+            most_stuck = most_stuck.max(two.stuck_for(micros(10.0)));
         }
         bar.inc(1);
     }
     two.close();
-    (two, most)
+    (two, most_stuck)
 }
 
-fn show(args: &Args, mut two: TwoEnds, most: usize) -> ExitCode {
+fn print_summary(args: &Args, mut two: TwoEnds, most_stuck: usize) -> ExitCode {
     let stuck = two.stuck_for(micros(10.0));
-    let closed = two.now();
-    // Calls that stand may end, and what is stuck be found.
-    let free = two.run_until_idle(closed + micros(1_800.0));
+    let offering_ended = two.now();
+    // Leaves time for established calls to end and for the audits to find stuck circuits.
+    let idle_at = two.run_until_idle(offering_ended + micros(1_800.0));
     let tally = two.tally();
     let counts = [two.counts(0), two.counts(1)];
     let sum = |of: fn(&baydrift_trunk::Counts) -> u64| of(&counts[0]) + of(&counts[1]);
@@ -207,13 +209,16 @@
         sum(|c| c.resets),
         tally.cut
     );
-    println!("  stuck for 10 s or more: {stuck} when calls ended, {most} at most");
-    match free {
-        Some(at) => println!("  every circuit idle at both ends {:.1} s later", (at - closed) as f64 / S),
+    println!("  stuck for 10 s or more: {stuck} when calls ended, {most_stuck} at most");
+    match idle_at {
+        Some(at) => println!(
+            "  every circuit idle at both ends {:.1} s later",
+            (at - offering_ended) as f64 / MICROS_PER_SECOND
+        ),
         None => println!("  {} circuits still busy half an hour later", two.busy()),
     }
-    tally.violations.iter().for_each(|what| println!("  NEVER: {what}"));
-    if tally.violations.is_empty() && free.is_some() {
+    tally.violations.iter().for_each(|violation| println!("  NEVER: {violation}"));
+    if tally.violations.is_empty() && idle_at.is_some() {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Twelve fronts as processes that tell each other who lives: killed, stopped, started again. What each believes is asked
-//! of it on its operators' socket until it is so.
+//! Membership of twelve fronts that run as processes and are killed, stopped and restarted. Each front's view
+//! is polled over its admin socket until it is correct.
 
 use std::collections::BTreeSet;
 use std::net::UdpSocket;
@@ -10,8 +10,8 @@
 use serde_json::Value;
 
 const FRONTS: usize = 12;
-/// Nothing here takes longer, unless it never comes.
-const LONG: Duration = Duration::from_secs(60);
+/// Timeout of everything that a test waits for.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 struct Fleet {
     folder: PathBuf,
@@ -21,7 +21,7 @@
 impl Drop for Fleet {
     fn drop(&mut self) {
         for child in self.running.iter_mut().flatten() {
-            // Only what was started here, by its handle; a stopped one dies of it too.
+            // SIGKILL also ends a process that is stopped.
             let _ = child.kill();
             let _ = child.wait();
         }
@@ -33,9 +33,9 @@
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(test);
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).expect("a folder");
-        // Ports that are free now; all are held until all are known.
-        let held: Vec<_> = (0..FRONTS).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a port")).collect();
-        let ports: Vec<_> = held.iter().map(|s| s.local_addr().expect("bound").port()).collect();
+        // Finds free ports; all sockets stay open until every port is chosen, so that none is chosen twice.
+        let sockets: Vec<_> = (0..FRONTS).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a port")).collect();
+        let ports: Vec<_> = sockets.iter().map(|socket| socket.local_addr().expect("bound").port()).collect();
         for n in 0..FRONTS {
             let others = ports.iter().enumerate().filter(|(other, _)| *other != n);
             let others: String = others
@@ -51,7 +51,7 @@
             );
             std::fs::write(folder.join(format!("f{n}.kdl")), text).expect("a configuration");
         }
-        drop(held);
+        drop(sockets);
         let mut fleet = Self { folder, running: (0..FRONTS).map(|_| None).collect() };
         (0..FRONTS).for_each(|n| fleet.run(n));
         fleet
@@ -71,40 +71,40 @@
     }
 
     fn kill(&mut self, n: usize) {
-        let mut child = self.running[n].take().expect("it runs");
-        child.kill().expect("it runs");
-        child.wait().expect("it ended");
+        let mut child = self.running[n].take().expect("running");
+        child.kill().expect("running");
+        child.wait().expect("exit status");
     }
 
     fn signal(&self, n: usize, signal: &str) {
-        let id = self.running[n].as_ref().expect("it runs").id().to_string();
+        let id = self.running[n].as_ref().expect("running").id().to_string();
         assert!(Command::new("kill").args([signal, &id]).status().is_ok_and(|status| status.success()));
     }
 
-    /// What a front says of the fleet; nothing while it starts.
-    fn asked(&self, n: usize) -> Option<Value> {
+    /// The membership view of a front; `None` while it starts.
+    fn view(&self, n: usize) -> Option<Value> {
         let output = Command::new(env!("CARGO_BIN_EXE_baydrift"))
             .arg("fleet")
             .arg(socket(&self.folder, n))
             .arg("--json")
             .output()
             .expect("the program");
-        let said: Value = serde_json::from_slice(&output.stdout).ok()?;
-        Some(said["lives"].clone())
+        let answer: Value = serde_json::from_slice(&output.stdout).ok()?;
+        Some(answer["lives"].clone())
     }
 
-    /// Waits until each of these believes those alive, itself aside, and no others.
-    fn until(&self, those: &[usize], alive: &BTreeSet<usize>) {
+    /// Waits until each observer believes exactly the fronts in `alive`, except itself, to be alive.
+    fn wait_for_views(&self, observers: &[usize], alive: &BTreeSet<usize>) {
         let begin = Instant::now();
-        for n in those {
-            let wanted: BTreeSet<_> = alive.iter().copied().filter(|other| other != n).collect();
+        for n in observers {
+            let expected: BTreeSet<_> = alive.iter().copied().filter(|other| other != n).collect();
             loop {
-                let said = self.asked(*n);
-                let believed = said.iter().flat_map(believed).collect::<BTreeSet<_>>();
-                if believed == wanted {
+                let view = self.view(*n);
+                let believed = view.iter().flat_map(believed_alive).collect::<BTreeSet<_>>();
+                if believed == expected {
                     break;
                 }
-                assert!(begin.elapsed() < LONG, "front {n}: {believed:?} instead of {wanted:?}");
+                assert!(begin.elapsed() < TEST_TIMEOUT, "front {n}: {believed:?} instead of {expected:?}");
                 std::thread::sleep(Duration::from_millis(50));
             }
         }
@@ -115,44 +115,45 @@
     folder.join(format!("{n}.sock"))
 }
 
-fn believed(lives: &Value) -> Vec<usize> {
-    let members = lives["members"].as_array().cloned().unwrap_or_default();
+fn believed_alive(view: &Value) -> Vec<usize> {
+    let members = view["members"].as_array().cloned().unwrap_or_default();
     let alive = members.iter().filter(|member| member["alive"] == true);
     alive.filter_map(|member| Some(member["ordinal"].as_u64()? as usize)).collect()
 }
 
-fn incarnation(lives: &Value, ordinal: usize) -> Option<u64> {
-    let members = lives["members"].as_array()?;
+fn incarnation(view: &Value, ordinal: usize) -> Option<u64> {
+    let members = view["members"].as_array()?;
     members.iter().find(|member| member["ordinal"] == ordinal)?["incarnation"].as_u64()
 }
 
 #[test]
-fn each_comes_to_believe_what_is_so_of_fronts_killed_stopped_and_started_again() {
+fn membership_converges_after_kills_stops_and_restarts() {
     let mut fleet = Fleet::start("fleet-lives");
     let all: Vec<_> = (0..FRONTS).collect();
-    let every: BTreeSet<_> = all.iter().copied().collect();
-    fleet.until(&all, &every);
-    let before = incarnation(&fleet.asked(0).expect("it serves"), 3).expect("it was heard of");
+    let all_alive: BTreeSet<_> = all.iter().copied().collect();
+    fleet.wait_for_views(&all, &all_alive);
+    let third_before = incarnation(&fleet.view(0).expect("the front answers"), 3).expect("known");
 
-    // Seven of twelve are killed at once: the others come to know, and of nobody else.
+    // Seven of twelve are killed at once: the others detect exactly those.
     (0..FRONTS).filter(|n| n % 12 < 7).for_each(|n| fleet.kill(n));
-    let left: BTreeSet<_> = (7..FRONTS).collect();
-    fleet.until(&left.iter().copied().collect::<Vec<_>>(), &left);
+    let survivors: BTreeSet<_> = (7..FRONTS).collect();
+    fleet.wait_for_views(&survivors.iter().copied().collect::<Vec<_>>(), &survivors);
 
-    // They come back, as other processes.
+    // They restart as new processes, with higher incarnations.
     (0..7).for_each(|n| fleet.run(n));
-    fleet.until(&all, &every);
-    let after = incarnation(&fleet.asked(0).expect("it serves"), 11).expect("it was heard of");
-    let third = incarnation(&fleet.asked(11).expect("it serves"), 3).expect("it was heard of");
-    assert!(third > before, "{third} after {before}");
-    assert!(after > 0);
-
-    // One that is stopped is down to others after a while. It wakes, and takes none of them for dead of its own standstill.
+    fleet.wait_for_views(&all, &all_alive);
+    let eleventh = incarnation(&fleet.view(0).expect("the front answers"), 11).expect("known");
+    let third = incarnation(&fleet.view(11).expect("the front answers"), 3).expect("known");
+    assert!(third > third_before, "{third} after {third_before}");
+    assert!(eleventh > 0);
+
+    // A stopped front is detected as down. After it resumes, it must not believe others down because of its
+    // own stall.
     fleet.signal(9, "-STOP");
-    let others: BTreeSet<_> = every.iter().copied().filter(|n| *n != 9).collect();
-    fleet.until(&others.iter().copied().collect::<Vec<_>>(), &others);
+    let running: BTreeSet<_> = all_alive.iter().copied().filter(|n| *n != 9).collect();
+    fleet.wait_for_views(&running.iter().copied().collect::<Vec<_>>(), &running);
     fleet.signal(9, "-CONT");
-    let said = fleet.asked(9).expect("it serves");
-    assert_eq!(believed(&said).len(), FRONTS - 1, "{said}");
-    fleet.until(&all, &every);
+    let view = fleet.view(9).expect("the front answers");
+    assert_eq!(believed_alive(&view).len(), FRONTS - 1, "{view}");
+    fleet.wait_for_views(&all, &all_alive);
 }
