--- a/crates/cli/src/day.rs
+++ b/crates/cli/src/day.rs
@@ -6,7 +6,7 @@
 use std::sync::{Mutex, PoisonError};
 
 use baydrift_audit::{read_record, rules, write_record, RuleLimits};
-use baydrift_day::{parse_troubles, schedule_text, Day, Outcome, Policy, Program, Shorten};
+use baydrift_day::{format_schedule, parse_schedule, Minimizer, Outcome, Policy, Program, Scenario};
 use indicatif::{ProgressBar, ProgressStyle};
 use miette::{IntoDiagnostic, WrapErr};
 
@@ -78,7 +78,7 @@
     fleet: bool,
 }
 
-fn load(args: &Args) -> miette::Result<Day> {
+fn load(args: &Args) -> miette::Result<Scenario> {
     let mut day = match (&args.script, &args.from_bench) {
         (Some(path), _) => baydrift_day::parse(&path.display().to_string(), &crate::read(path)?)?,
         (None, Some(path)) => {
@@ -91,10 +91,10 @@
     };
     day.seconds = args.seconds.unwrap_or(day.seconds);
     day.seed = args.seed.unwrap_or(day.seed);
-    day.heeds |= args.heeds;
-    day.text = args.text.unwrap_or(day.text).clamp(0.0, 1.0);
+    day.honours_overload_notices |= args.heeds;
+    day.text_share = args.text.unwrap_or(day.text_share).clamp(0.0, 1.0);
     if let Some(path) = &args.troubles {
-        day.troubles = parse_troubles(&path.display().to_string(), &crate::read(path)?, &day)?;
+        day.faults = parse_schedule(&path.display().to_string(), &crate::read(path)?, &day)?;
     }
     if args.round_robin {
         day.policy = Policy::RoundRobin;
@@ -103,17 +103,17 @@
 }
 
 /// The day that is played with a seed.
-fn of_seed(args: &Args, day: &Day, seed: u64) -> Day {
-    let day = Day { seed, ..day.clone() };
+fn of_seed(args: &Args, day: &Scenario, seed: u64) -> Scenario {
+    let day = Scenario { seed, ..day.clone() };
     match (args.drawn, args.processes || args.fleet) {
         (false, _) => day,
-        (true, false) => baydrift_day::drawn(&day),
-        (true, true) => baydrift_day::drawn_for_processes(&day),
+        (true, false) => baydrift_day::with_random_faults(&day),
+        (true, true) => baydrift_day::with_random_process_faults(&day),
     }
 }
 
 /// How to play a day again.
-fn again(args: &Args, day: &Day) -> String {
+fn again(args: &Args, day: &Scenario) -> String {
     let mut words = vec!["baydrift day".to_owned()];
     words.extend(args.script.iter().map(|path| path.display().to_string()));
     words.extend(args.from_bench.iter().map(|path| format!("--from-bench {}", path.display())));
@@ -139,7 +139,7 @@
 }
 
 /// Keeps the record where it was asked for, or where a rule broke; tells where, and how to play the day again.
-fn keep(args: &Args, day: &Day, outcome: &Outcome) -> miette::Result<()> {
+fn keep(args: &Args, day: &Scenario, outcome: &Outcome) -> miette::Result<()> {
     let kept = outcome.good();
     let path = match &args.record {
         Some(path) if args.seeds == 1 => path.clone(),
@@ -160,13 +160,13 @@
             path.display(),
             again(args, day)
         );
-        print!("{}", schedule_text(&day.troubles));
+        print!("{}", format_schedule(&day.faults));
     }
     Ok(())
 }
 
 /// Many seeds, each in virtual time; the worst is what counts.
-fn net(args: &Args, day: &Day) -> miette::Result<ExitCode> {
+fn net(args: &Args, day: &Scenario) -> miette::Result<ExitCode> {
     let bar = ProgressBar::new(args.seeds);
     if let Ok(style) = ProgressStyle::with_template("{elapsed} [{bar:30}] {pos}/{len} seeds, {eta} left") {
         bar.set_style(style);
@@ -250,7 +250,7 @@
     }
     let day = of_seed(&args, &day, day.seed);
     if args.schedule {
-        print!("{}", schedule_text(&day.troubles));
+        print!("{}", format_schedule(&day.faults));
         return Ok(ExitCode::SUCCESS);
     }
     let bar = ProgressBar::new(day.seconds.ceil() as u64);
@@ -305,7 +305,7 @@
 /// Plays a day as the arguments say.
 async fn play(
     args: &Args,
-    day: &Day,
+    day: &Scenario,
     logs: Option<&Path>,
     progress: impl FnMut(f64, &str),
 ) -> miette::Result<Outcome> {
@@ -328,15 +328,15 @@
 /// Cuts the schedule of a day that failed down to a shortest that fails in a way that this one did, and prints it.
 async fn shorten(
     args: &Args,
-    day: &Day,
+    day: &Scenario,
     outcome: &Outcome,
     times: u32,
     logs: Option<&Path>,
 ) -> miette::Result<()> {
     let ways = outcome.failures();
-    let mut cut = Shorten::new(day.troubles.clone());
+    let mut cut = Minimizer::new(day.faults.clone());
     while let Some(troubles) = cut.trial() {
-        let trial = Day { troubles, ..day.clone() };
+        let trial = Scenario { faults: troubles, ..day.clone() };
         let mut failed = false;
         for _ in 0..if args.in_virtual_time { 1 } else { times } {
             let played = play(args, &trial, logs, |_, _| {}).await?;
@@ -345,16 +345,16 @@
                 break;
             }
         }
-        cut.told(failed);
+        cut.record_trial(failed);
         eprintln!(
             "trial {}: {} of {} troubles still fail",
             cut.trials(),
-            cut.kept().len(),
-            day.troubles.len()
+            cut.minimal().len(),
+            day.faults.len()
         );
     }
     println!("  a shortest schedule that fails so ({}), after {} trials:", list(&ways), cut.trials());
-    print!("{}", schedule_text(cut.kept()));
+    print!("{}", format_schedule(cut.minimal()));
     Ok(())
 }
 
--- a/crates/day/src/baseline.rs
+++ b/crates/day/src/baseline.rs
@@ -1,4 +1,5 @@
-//! Plain round robin, for comparison only: each call to the next ready server, again elsewhere when it fails.
+//! Plain round robin, for comparison only: sends each call to the next ready server, and to another one if
+//! it fails.
 
 use std::collections::BTreeMap;
 
@@ -7,40 +8,45 @@
 };
 use baydrift_call::Policy;
 
-/// Answers are given so long before the caller's time is up.
-const MARGIN: Micros = 30_000;
+/// Time before the caller's timeout at which a call must be answered, in microseconds.
+const ANSWER_MARGIN: Micros = 30_000;
 
 #[derive(Debug)]
 struct Pending {
     answer_by: Micros,
     attempts: u32,
+    /// Earliest time of the next attempt.
     not_before: Micros,
-    out: Option<u16>,
+    /// Number of the in-flight attempt.
+    in_flight: Option<u16>,
 }
 
-/// The policy.
+/// The round-robin policy.
 #[derive(Debug)]
 pub struct RoundRobin {
     settings: Settings,
     servers: BTreeMap<ServerId, ServerState>,
+    /// Server of the latest attempt.
     last: ServerId,
     calls: BTreeMap<CallId, Pending>,
 }
 
 impl RoundRobin {
-    /// Knows no servers yet.
+    /// Starts without servers.
     pub fn new(settings: Settings) -> Self {
         Self { settings, servers: BTreeMap::new(), last: 0, calls: BTreeMap::new() }
     }
 
-    fn place(&mut self, now: Micros, id: CallId, actions: &mut Vec<Action>) {
+    fn send_next(&mut self, now: Micros, id: CallId, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.get_mut(&id) else { return };
-        let from_last = self.servers.range(self.last + 1..).chain(self.servers.range(..=self.last));
-        let next = from_last.filter(|(_, state)| **state == ServerState::Ready).map(|(id, _)| *id).next();
-        match next.filter(|_| call.attempts < self.settings.max_attempts && now + MARGIN < call.answer_by) {
+        let candidates = self.servers.range(self.last + 1..).chain(self.servers.range(..=self.last));
+        let next = candidates.filter(|(_, state)| **state == ServerState::Ready).map(|(id, _)| *id).next();
+        match next
+            .filter(|_| call.attempts < self.settings.max_attempts && now + ANSWER_MARGIN < call.answer_by)
+        {
             Some(server) => {
                 self.last = server;
-                call.out = Some(call.attempts as u16);
+                call.in_flight = Some(call.attempts as u16);
                 call.attempts += 1;
                 actions.push(Action::Send {
                     call: id,
@@ -56,11 +62,11 @@
         }
     }
 
-    fn taken(&mut self, now: Micros, call: &Call, actions: &mut Vec<Action>) {
-        let answer_by = now + call.caller_timeout.saturating_sub(MARGIN);
-        self.calls.insert(call.id, Pending { answer_by, attempts: 0, not_before: now, out: None });
+    fn accept(&mut self, now: Micros, call: &Call, actions: &mut Vec<Action>) {
+        let answer_by = now + call.caller_timeout.saturating_sub(ANSWER_MARGIN);
+        self.calls.insert(call.id, Pending { answer_by, attempts: 0, not_before: now, in_flight: None });
         actions.push(Action::Timer { at: answer_by, token: u64::from(call.id) });
-        self.place(now, call.id, actions);
+        self.send_next(now, call.id, actions);
     }
 }
 
@@ -73,13 +79,13 @@
                 }
                 self.servers.extend(entries.iter().map(|entry| (entry.server, entry.state)));
             }
-            Event::Call(call) => self.taken(now, &call, actions),
+            Event::Call(call) => self.accept(now, &call, actions),
             Event::Established { call, .. } | Event::Abandoned(call) => drop(self.calls.remove(&call)),
             Event::Ended { call, attempt, outcome, complete, note, .. } => {
-                let Some(pending) = self.calls.get_mut(&call).filter(|p| p.out == Some(attempt)) else {
+                let Some(pending) = self.calls.get_mut(&call).filter(|p| p.in_flight == Some(attempt)) else {
                     return;
                 };
-                pending.out = None;
+                pending.in_flight = None;
                 if complete || note == Note::NumberBusy {
                     self.calls.remove(&call);
                     if !complete {
@@ -90,20 +96,20 @@
                     pending.not_before = at;
                     actions.push(Action::Timer { at, token: u64::from(call) });
                 } else {
-                    self.place(now, call, actions);
+                    self.send_next(now, call, actions);
                 }
             }
             Event::Timer(token) => {
                 let id = token as CallId;
                 let Some(pending) = self.calls.get(&id) else { return };
                 if now >= pending.answer_by {
-                    if let Some(attempt) = pending.out {
+                    if let Some(attempt) = pending.in_flight {
                         actions.push(Action::Cancel { call: id, attempt });
                     }
                     self.calls.remove(&id);
                     actions.push(Action::Fail(id));
-                } else if pending.out.is_none() && now >= pending.not_before {
-                    self.place(now, id, actions);
+                } else if pending.in_flight.is_none() && now >= pending.not_before {
+                    self.send_next(now, id, actions);
                 }
             }
             Event::Probed { .. } | Event::PeerMessage { .. } | Event::BudgetShare { .. } => {}
--- a/crates/day/src/bench.rs
+++ b/crates/day/src/bench.rs
@@ -2,7 +2,7 @@
 
 use serde::Deserialize;
 
-use crate::script::{Class, Day, Policy, Publisher, Servers, Trouble, What};
+use crate::scenario::{Class, FaultKind, Policy, Publisher, Scenario, ScheduledFault, Servers};
 
 /// Why a day file cannot be played.
 #[derive(Debug, thiserror::Error)]
@@ -121,7 +121,7 @@
     text: &str,
     calls_per_s: Option<f64>,
     most_fronts: u32,
-) -> Result<(Day, Vec<String>), BenchError> {
+) -> Result<(Scenario, Vec<String>), BenchError> {
     let file: File = serde_json::from_str(text)?;
     let tier = file.tiers.first().ok_or(BenchError::Empty("tier"))?;
     let kind = tier.kinds.first().ok_or(BenchError::Empty("server kind"))?;
@@ -150,11 +150,11 @@
         hold: file.fam.hold.get(index).copied().unwrap_or(8e6) as u64,
         aim: class.aim as u64,
         deadline: class.deadline as u64,
-        gives_up: ((class.deadline * file.clients.try_share) as u64).max(200_000),
+        caller_timeout: ((class.deadline * file.clients.try_share) as u64).max(200_000),
         worth: class.worth,
         late_worth: class.late_worth,
     });
-    let day = Day {
+    let day = Scenario {
         seconds: file.length / 1e6,
         seed: file.noise % 100_000,
         fronts,
@@ -164,25 +164,25 @@
         calls_per_s: offered,
         redials: file.clients.retries,
         redial_wait: file.clients.backoff_us as u64,
-        again: 0.0,
-        text: 0.0,
+        retransmit_share: 0.0,
+        text_share: 0.0,
         datagrams_lost: 0.0,
-        heeds: false,
+        honours_overload_notices: false,
         net: baydrift_emulator::WaySpec::default(),
-        bounds: crate::script::Bounds::default(),
+        bounds: crate::scenario::Bounds::default(),
         servers: Servers {
             rates: file.servers.iter().map(|s| scale * s.speed / work_s).collect(),
             release,
             refusal: file.fam.reject,
-            most_wait: file.fam.queue as u64,
+            max_wait: file.fam.queue as u64,
             cold_from: kind.cold_from,
-            ramp: kind.cold as u64,
+            warm_up_time: kind.cold as u64,
             fall_multiple: 2.0,
             fall_time: 1_500_000,
             report_period: tier.report_period as u64,
             report_delay: tier.report_delay as u64,
             report_noise: tier.report_noise,
-            tells: vec!["wait".into()],
+            reported_values: vec!["wait".into()],
             link_delay: file.net.same as u64,
             ..Servers::default()
         },
@@ -192,53 +192,53 @@
             .iter()
             .map(|t| Publisher { name: t.name.clone(), share: t.traffic, quota: t.quota * offered })
             .collect(),
-        troubles: file
-            .troubles
-            .iter()
-            .flat_map(|t| trouble(t, &file, fronts as usize, &mut skipped))
-            .collect(),
+        faults: file.troubles.iter().flat_map(|t| trouble(t, &file, fronts as usize, &mut skipped)).collect(),
     };
     Ok((day, skipped))
 }
 
-fn trouble(from: &TroubleFile, file: &File, fronts: usize, skipped: &mut Vec<String>) -> Vec<Trouble> {
+fn trouble(from: &TroubleFile, file: &File, fronts: usize, skipped: &mut Vec<String>) -> Vec<ScheduledFault> {
     let (at, span) = (from.at as u64, from.len as u64);
-    let one = |what| vec![Trouble { at, span, what }];
-    let each = |make: &dyn Fn(usize) -> What| -> Vec<Trouble> {
+    let one = |what| vec![ScheduledFault { at, duration: span, kind: what }];
+    let each = |make: &dyn Fn(usize) -> FaultKind| -> Vec<ScheduledFault> {
         let known = from.on.iter().filter(|server| **server < file.servers.len());
-        known.map(|server| Trouble { at, span, what: make(*server) }).collect()
+        known.map(|server| ScheduledFault { at, duration: span, kind: make(*server) }).collect()
     };
     match from.kind.as_str() {
-        "burst" => one(What::Burst { factor: from.size.max(0.1) }),
-        "crash" => each(&|server| What::Die { server, back_after: Some(span.max(1_000_000)) }),
+        "burst" => one(FaultKind::Burst { factor: from.size.max(0.1) }),
+        "crash" => each(&|server| FaultKind::Die { server, back_after: Some(span.max(1_000_000)) }),
         "deploy" => {
             let step = span / from.on.len().max(1) as u64;
-            let mut all = each(&|server| What::Drain {
+            let mut all = each(&|server| FaultKind::Drain {
                 server,
                 by_list: true,
                 by_dpr: true,
                 back_after: Some(500_000),
             });
             for (place, trouble) in all.iter_mut().enumerate() {
-                (trouble.at, trouble.span) = (at + step * place as u64, step.clamp(1_500_000, 5_000_000));
+                (trouble.at, trouble.duration) = (at + step * place as u64, step.clamp(1_500_000, 5_000_000));
             }
             all
         }
-        "slow" | "ageing" => each(&|server| What::Slow { server, factor: from.size.max(1.0) }),
-        "pauses" => each(&|server| What::Pause { server }),
-        "peer_down" => one(What::MessagesLost { share: 1.0 }),
-        "answer_lost" => each(&|server| What::LoseAnswers { server, share: from.size.clamp(0.0, 1.0) }),
-        "hot_key" => one(What::Hot { share: from.size.clamp(0.0, 1.0) }),
-        "reconnect" => one(What::Cut { share: from.size.clamp(0.0, 1.0) }),
-        "retry_abuse" => one(What::Redials {
+        "slow" | "ageing" => each(&|server| FaultKind::Slow { server, factor: from.size.max(1.0) }),
+        "pauses" => each(&|server| FaultKind::Pause { server }),
+        "peer_down" => one(FaultKind::MessagesLost { share: 1.0 }),
+        "answer_lost" => each(&|server| FaultKind::LoseAnswers { server, share: from.size.clamp(0.0, 1.0) }),
+        "hot_key" => one(FaultKind::Hot { share: from.size.clamp(0.0, 1.0) }),
+        "reconnect" => one(FaultKind::Cut { share: from.size.clamp(0.0, 1.0) }),
+        "retry_abuse" => one(FaultKind::Redials {
             times: from.size.clamp(1.0, 20.0) as u32,
             wait: (from.extra * 1e6).clamp(50_000.0, 5e6) as u64,
         }),
-        "discovery_stale" => one(What::ListLag { lag: (from.size.max(1.0) * file.discovery.notice) as u64 }),
+        "discovery_stale" => {
+            one(FaultKind::ListLag { lag: (from.size.max(1.0) * file.discovery.notice) as u64 })
+        }
         "balancer_stall" => {
             let fronts = from.on.iter().filter(|front| **front < fronts);
             let span = span.min(2_000_000);
-            fronts.map(|front| Trouble { at, span, what: What::Stall { front: *front } }).collect()
+            fronts
+                .map(|front| ScheduledFault { at, duration: span, kind: FaultKind::Stall { front: *front } })
+                .collect()
         }
         other => {
             skipped.push(format!("{other} at {:.1} s is not played", from.at / 1e6));
--- a/crates/day/src/emulated.rs
+++ b/crates/day/src/emulated.rs
@@ -6,11 +6,14 @@
 use baydrift_emulator::{Command, Fault, Offers, Place, Roughness, World, WorldSpec};
 use baydrift_front::{FrontError, Snapshot};
 
-use crate::cast::{callers, config_of, far_ends, host_of, linked, server_spec, sessions, texts, usual};
-use crate::course::{Course, Hands, Listed, Pool, Process, SERVES_FOR};
-use crate::error::DayError;
+use crate::error::ScenarioError;
 use crate::run::{aftermath, outcome, policy_of, Outcome};
-use crate::script::{Day, Party, Policy};
+use crate::scenario::{Participant, Policy, Scenario};
+use crate::timeline::{FaultInjector, ListedState, Pool, ProcessFault, Timeline, CRASH_INTERVAL};
+use crate::topology::{
+    diameter_callers, diameter_server_count, far_end_specs, front_config, linked_servers, normal_load,
+    server_host, server_spec, text_callers,
+};
 
 /// Server links come up before the first call does.
 const WARM_UP: Micros = 200_000;
@@ -35,16 +38,16 @@
     }
 }
 
-impl Hands for Stage {
+impl FaultInjector for Stage {
     fn command(&mut self, server: usize, command: Command) {
         self.world.command(server, command);
     }
 
-    fn link(&mut self, server: usize, fault: Fault) {
+    fn set_link_fault(&mut self, server: usize, fault: Fault) {
         self.world.set_link(server, fault);
     }
 
-    fn offer(&mut self, front: usize, offers: &Offers) {
+    fn set_offered_load(&mut self, front: usize, offers: &Offers) {
         self.world.offer(Some(front), offers);
     }
 
@@ -56,14 +59,14 @@
         self.world.lose_messages(share);
     }
 
-    fn list(&mut self, due: Micros, pool: &Pool) {
+    fn publish_list(&mut self, due: Micros, pool: &Pool) {
         self.version += 1;
-        let entry = |(number, (state, started)): (usize, &(Listed, Option<Micros>))| PoolEntry {
-            host: host_of(number),
+        let entry = |(number, (state, started)): (usize, &(ListedState, Option<Micros>))| PoolEntry {
+            host: server_host(number),
             state: match *state {
-                Listed::Ready => ServerState::Ready,
-                Listed::Draining => ServerState::Draining,
-                Listed::Gone => ServerState::Gone,
+                ListedState::Ready => ServerState::Ready,
+                ListedState::Draining => ServerState::Draining,
+                ListedState::Gone => ServerState::Gone,
             },
             started_ago: started.map(|at| due.saturating_sub(at)),
         };
@@ -76,7 +79,7 @@
             let told = pool.iter().enumerate().map(|(server, (state, _))| RecordEvent::ReadinessReported {
                 server: server as u16,
                 front: front as u32,
-                ready: *state == Listed::Ready,
+                ready: *state == ListedState::Ready,
                 by_list: true,
             });
             self.world.push_list(due, front, list.clone(), told.collect());
@@ -87,28 +90,28 @@
         self.world.record(moment);
     }
 
-    fn process(&mut self, trouble: Process) {
+    fn apply_process_fault(&mut self, trouble: ProcessFault) {
         let place = |party| match party {
-            Party::Front(front) => Place::Front(front),
-            Party::Server(server) => Place::Server(server),
-            Party::List => Place::List,
+            Participant::Front(front) => Place::Front(front),
+            Participant::Server(server) => Place::Server(server),
+            Participant::List => Place::List,
         };
         match trouble {
             // In virtual time a process that is told to end is killed: an orderly stop is the coat's.
-            Process::Stop { front, back_after, start, .. } => {
+            ProcessFault::Stop { front, back_after, start, .. } => {
                 self.world.kill(front, back_after.map(|back| back + start.slow));
             }
             // A front in virtual time holds no descriptors, and its memory is the driver's.
-            Process::Starve { .. } => {}
-            Process::Crash { front, times } => {
+            ProcessFault::Starve { .. } => {}
+            ProcessFault::Crash { front, times } => {
                 self.crashes
-                    .extend((0..times).map(|n| (self.world.now() + u64::from(n) * SERVES_FOR, front)));
+                    .extend((0..times).map(|n| (self.world.now() + u64::from(n) * CRASH_INTERVAL, front)));
                 self.crashes.sort_unstable();
             }
             // It reads nothing either on processes; here it answers nothing.
-            Process::Freeze { server, frozen } => self.world.command(server, Command::Hang(frozen)),
-            Process::Sever { from, to, severed } => self.world.sever(place(from), place(to), severed),
-            Process::Reset { server } => self.world.reset(server),
+            ProcessFault::Freeze { server, frozen } => self.world.command(server, Command::Hang(frozen)),
+            ProcessFault::Sever { from, to, severed } => self.world.sever(place(from), place(to), severed),
+            ProcessFault::Reset { server } => self.world.reset(server),
         }
     }
 }
@@ -117,27 +120,27 @@
 ///
 /// # Errors
 /// Where the fronts' configuration cannot be made of the script.
-pub fn run_virtual(day: &Day, mut progress: impl FnMut(f64, &str)) -> Result<Outcome, DayError> {
+pub fn run_virtual(day: &Scenario, mut progress: impl FnMut(f64, &str)) -> Result<Outcome, ScenarioError> {
     if day.policy == Policy::RoundRobin {
-        day.without_processes()?;
+        day.reject_process_faults()?;
     }
     let addrs: Vec<_> = (0..day.servers.rates.len())
         .map(|number| std::net::SocketAddr::from(([127, 0, 0, 1], 20_000 + number as u16)))
         .collect();
     let mut fronts = Vec::new();
     for ordinal in 0..day.fronts {
-        let config = config_of(day, ordinal, &addrs)?;
+        let config = front_config(day, ordinal, &addrs)?;
         let policy = policy_of(day, &config);
         fronts.push((config, policy));
     }
     let world = World::new(WorldSpec {
         fronts,
-        servers: (0..sessions(day)).map(|number| server_spec(day, number)).collect(),
-        far_ends: far_ends(day),
-        callers: (0..day.fronts).map(|ordinal| callers(day, ordinal)).collect(),
-        texts: (0..day.fronts).flat_map(|ordinal| texts(day, ordinal)).collect(),
-        offers: usual(day),
-        linked: linked(day),
+        servers: (0..diameter_server_count(day)).map(|number| server_spec(day, number)).collect(),
+        far_ends: far_end_specs(day),
+        callers: (0..day.fronts).map(|ordinal| diameter_callers(day, ordinal)).collect(),
+        texts: (0..day.fronts).flat_map(|ordinal| text_callers(day, ordinal)).collect(),
+        offers: normal_load(day),
+        linked: linked_servers(day),
         link_delay: day.servers.link_delay,
         datagrams_lost: day.datagrams_lost,
         seed: day.seed,
@@ -147,13 +150,13 @@
     let mut stage = Stage { world, version: 0, fronts: day.fronts as usize, crashes: Vec::new() };
     stage.world.run_until(WARM_UP);
     stage.world.begin();
-    let mut course = Course::new(day, WARM_UP);
+    let mut course = Timeline::new(day, WARM_UP);
     while stage.world.now() < course.end() {
-        stage.run_until(course.next());
+        stage.run_until(course.next_due());
         let now = stage.world.now();
-        course.act(now, &mut stage, &mut progress);
+        course.apply_due(now, &mut stage, &mut progress);
     }
-    course.close(&mut stage);
+    course.stop_calls(&mut stage);
     let end = stage.world.now() + aftermath(day);
     stage.run_until(end);
     let snapshots = (0..stage.fronts).filter_map(|front| {
--- a/crates/day/src/error.rs
+++ b/crates/day/src/error.rs
@@ -1,12 +1,12 @@
-//! Why a day cannot be played.
+//! Errors of a run.
 
 use baydrift_config::ConfigError;
 use baydrift_front::FrontError;
 
-/// Why a day cannot be played.
+/// Reasons why a scenario cannot be run.
 #[derive(Debug, thiserror::Error)]
-pub enum DayError {
-    /// A front's configuration is not good: a fault of the script's figures.
+pub enum ScenarioError {
+    /// The configuration generated for a front is invalid, because of a value in the scenario.
     #[error("the fronts' configuration: {0}: {1}")]
     Config(Box<ConfigError>, String),
     /// A front cannot start.
@@ -15,18 +15,18 @@
     /// A stand-in cannot start.
     #[error("a stand-in: {0}")]
     Io(#[from] std::io::Error),
-    /// A front's thread ended by itself.
-    #[error("a front ended before its time")]
+    /// A front or another process ended before the end of the run.
+    #[error("a front ended before the end of the run")]
     Ended,
-    /// The script names a trouble that only processes can have.
-    #[error("{0:?} is a trouble of processes: play the day with --processes")]
-    NeedsProcesses(crate::script::What),
-    /// A process of the day did not start as it should: a fault of the driver or its surroundings, or of the program.
+    /// The scenario has a fault that needs separate processes.
+    #[error("{0:?} is a fault of processes: play the day with --processes")]
+    NeedsProcesses(crate::scenario::FaultKind),
+    /// A process did not start: a fault of the driver, of its environment or of the program.
     #[error("{name} did not start: {why}")]
     Start {
-        /// Which.
+        /// The process.
         name: String,
-        /// Why.
+        /// The reason.
         why: String,
     },
 }
--- a/crates/day/src/lib.rs
+++ b/crates/day/src/lib.rs
@@ -1,32 +1,33 @@
-//! Days: a script names fronts, servers, callers and troubles; [`run`] plays them on loopback sockets with real
-//! fronts, [`run_virtual`] plays the same without sockets, and [`Outcome`] is what the record shows.
+//! Scripted runs: a scenario defines fronts, servers, callers and scheduled faults. [`run`] plays it on
+//! loopback sockets with real fronts, [`run_processes`] with separate processes, [`run_virtual`] in virtual
+//! time without sockets; [`Outcome`] is the audit of the run's record.
 
 mod baseline;
 mod bench;
-mod cast;
-mod course;
-mod draw;
 mod emulated;
 mod error;
 mod processes;
+mod random;
 mod rounds;
 mod run;
+mod scenario;
 mod schedule;
-mod script;
 mod table;
+mod timeline;
+mod topology;
 
 pub use baseline::RoundRobin;
 pub use bench::{from_bench, BenchError};
-pub use cast::{config_text, config_text_at, Places};
-pub use draw::{drawn, drawn_for_processes};
 pub use emulated::run_virtual;
-pub use error::DayError;
+pub use error::ScenarioError;
 pub use processes::{play_role, run_processes, Program, RoleError};
+pub use random::{with_random_faults, with_random_process_faults};
 pub use rounds::{rounds, RoundsError, RoundsSpec, RoundsTally};
 pub use run::{run, Outcome};
-pub use schedule::{schedule_text, Shorten};
-pub use script::{
-    parse, parse_troubles, Bounds, Class, Day, Party, Policy, Publisher, Servers, Start, Starved, Trouble,
-    What,
+pub use scenario::{
+    parse, parse_schedule, Bounds, Class, FaultKind, Participant, Policy, Publisher, ResourceLimit, Scenario,
+    ScheduledFault, Servers, Start,
 };
+pub use schedule::{format_schedule, Minimizer};
 pub use table::{sums_table, table};
+pub use topology::{config_text, config_text_at, FrontAddrs};
--- a/crates/day/src/processes/child.rs
+++ b/crates/day/src/processes/child.rs
@@ -18,8 +18,8 @@
 use tokio::process::{ChildStdin, ChildStdout, Command};
 use tokio::sync::watch;
 
-use crate::error::DayError;
-use crate::script::Starved;
+use crate::error::ScenarioError;
+use crate::scenario::ResourceLimit;
 
 /// The program that plays all parts of a day.
 #[derive(Debug, Clone)]
@@ -58,8 +58,8 @@
 
 impl Child {
     /// Starts the program with these words.
-    pub(crate) fn start(program: &Program, name: &str, words: &[&str]) -> Result<Self, DayError> {
-        let failed = |why: String| DayError::Start { name: name.to_owned(), why };
+    pub(crate) fn start(program: &Program, name: &str, words: &[&str]) -> Result<Self, ScenarioError> {
+        let failed = |why: String| ScenarioError::Start { name: name.to_owned(), why };
         let log = program.logs.join(format!("{name}.log"));
         let file = std::fs::File::options().create(true).append(true).open(&log);
         let file = file.map_err(|e| failed(format!("{}: {e}", log.display())))?;
@@ -122,13 +122,13 @@
 
     /// It may hold no more than this from now on, or as much as it was started with. By its number, which is its own until
     /// it is reaped here.
-    pub(crate) fn limit(&self, of: Starved, starved: bool) -> std::io::Result<()> {
+    pub(crate) fn limit(&self, of: ResourceLimit, starved: bool) -> std::io::Result<()> {
         if !self.runs() {
             return Ok(());
         }
         let (resource, most) = match of {
-            Starved::Descriptors(most) => (Resource::Nofile, most),
-            Starved::Memory(more) => (Resource::Data, self.holds("VmData:").unwrap_or(0) + more),
+            ResourceLimit::Descriptors(most) => (Resource::Nofile, most),
+            ResourceLimit::Memory(more) => (Resource::Data, self.holds("VmData:").unwrap_or(0) + more),
         };
         // It was started with the driver's own limits; the hard one stays, since only root raises it again.
         let own = getrlimit(resource);
--- a/crates/day/src/processes/mod.rs
+++ b/crates/day/src/processes/mod.rs
@@ -22,10 +22,12 @@
 use self::net::{Between, Datagrams, Own, Streams};
 use self::role::{Hello, Role};
 use self::stage::{Actor, Front, Stage};
-use crate::cast::{callers, config_text_at, sessions, texts, usual, Places};
-use crate::error::DayError;
+use crate::error::ScenarioError;
 use crate::run::{aftermath, follow, outcome, Outcome};
-use crate::script::{Day, Start};
+use crate::scenario::{Scenario, Start};
+use crate::topology::{
+    config_text_at, diameter_callers, diameter_server_count, normal_load, text_callers, FrontAddrs,
+};
 
 /// A process that does not serve within this has not started.
 const STARTS_WITHIN: Duration = Duration::from_secs(30);
@@ -37,13 +39,13 @@
 /// What all processes of a day share.
 pub(crate) struct Cast {
     program: Program,
-    day: Day,
+    day: Scenario,
     recorder: Arc<Recorder>,
 }
 
 impl Cast {
     /// Starts a stand-in and hears where it listens.
-    async fn actor(&self, name: &str, role: Role) -> Result<(Actor, Option<SocketAddr>), DayError> {
+    async fn actor(&self, name: &str, role: Role) -> Result<(Actor, Option<SocketAddr>), ScenarioError> {
         let hello = Hello { origin: self.recorder.origin(), day: self.day.clone(), role };
         Actor::start(&self.program, name, &hello, self.recorder.clone()).await
     }
@@ -53,9 +55,9 @@
         &self,
         ordinal: u32,
         servers: &[SocketAddr],
-        places: &Places,
+        places: &FrontAddrs,
         start: Start,
-    ) -> Result<(Front, Places), DayError> {
+    ) -> Result<(Front, FrontAddrs), ScenarioError> {
         let text = config_text_at(&self.day, ordinal, servers, self.day.fronts > 1, places);
         let name = format!("front{ordinal}");
         let path = self.program.logs.join(format!("{name}.kdl"));
@@ -69,12 +71,12 @@
 /// # Errors
 /// Where something cannot start, or the script asks for what only other drivers have.
 pub async fn run_processes(
-    day: &Day,
+    day: &Scenario,
     program: Program,
     mut progress: impl FnMut(f64, &str),
-) -> Result<Outcome, DayError> {
+) -> Result<Outcome, ScenarioError> {
     if day.servers.trunked > 0 {
-        return Err(DayError::Start {
+        return Err(ScenarioError::Start {
             name: "far ends of trunk groups".to_owned(),
             why: "they are played on sockets and in virtual time, not as processes yet".to_owned(),
         });
@@ -84,10 +86,10 @@
     let cast = Arc::new(Cast { program, day: day.clone(), recorder: recorder.clone() });
     let mut servers = Vec::new();
     let mut server_addrs = Vec::new();
-    for number in 0..sessions(day) {
+    for number in 0..diameter_server_count(day) {
         let role = Role::Server { number, again: None };
         let (server, addr) = cast.actor(&format!("server{number}"), role).await?;
-        server_addrs.push(addr.ok_or(DayError::Ended)?);
+        server_addrs.push(addr.ok_or(ScenarioError::Ended)?);
         servers.push(server);
     }
     let salt = |kind: u64, a: usize, b: usize| day.seed ^ kind << 48 ^ (a as u64) << 24 ^ b as u64;
@@ -118,7 +120,8 @@
     let (mut fronts, mut lists) = (Vec::new(), Vec::new());
     for (ordinal, others) in others.into_iter().enumerate() {
         let addrs: Vec<_> = streams[ordinal].iter().map(|relay| relay.addr).collect();
-        let places = Places { others, ..Places::of_process(std::process::id(), ordinal as u32) };
+        let places =
+            FrontAddrs { peers: others, ..FrontAddrs::for_process(std::process::id(), ordinal as u32) };
         let (front, places) = cast.front(ordinal as u32, &addrs, &places, Start::default()).await?;
         let seed = salt(3, ordinal, 0);
         lists.push(Streams::start(places.pool, day.net, seed, None, recorder.clone(), own.clone()).await?);
@@ -134,14 +137,14 @@
     let (mut all, mut offers) = (Vec::new(), Vec::new());
     let mut text_all = Vec::new();
     for (ordinal, (_, places, _)) in fronts.iter().enumerate() {
-        let (tell, told) = watch::channel(usual(day));
-        for (spec, seed) in texts(day, ordinal as u32) {
+        let (tell, told) = watch::channel(normal_load(day));
+        for (spec, seed) in text_callers(day, ordinal as u32) {
             let relay = ClientNet::start(seed, None).await?;
             relay.to(places.text);
             let (told, recorder) = (told.clone(), recorder.clone());
             text_all.push((TextCaller::start(spec, relay.addr, told, recorder, seed).await?, relay));
         }
-        let (spec, seed) = callers(day, ordinal as u32);
+        let (spec, seed) = diameter_callers(day, ordinal as u32);
         all.push(Caller::start(spec, places.clients, told, recorder.clone(), seed));
         offers.push(tell);
     }
--- a/crates/day/src/processes/role.rs
+++ b/crates/day/src/processes/role.rs
@@ -15,10 +15,10 @@
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::sync::mpsc;
 
-use crate::cast::server_spec;
-use crate::course::Pool;
 use crate::run::list_service;
-use crate::script::Day;
+use crate::scenario::Scenario;
+use crate::timeline::Pool;
+use crate::topology::server_spec;
 
 /// Which part a process plays.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -34,7 +34,7 @@
 pub(crate) struct Hello {
     /// The record's begin, on the machine's clock.
     pub(crate) origin: u64,
-    pub(crate) day: Day,
+    pub(crate) day: Scenario,
     pub(crate) role: Role,
 }
 
--- a/crates/day/src/processes/stage.rs
+++ b/crates/day/src/processes/stage.rs
@@ -18,17 +18,17 @@
 use super::net::{Datagrams, Streams};
 use super::role::{Hello, Order, Role, Word};
 use super::{Cast, ENDS_WITHIN, STARTS_WITHIN};
-use crate::cast::Places;
-use crate::course::{Hands, Pool, Process, SERVES_FOR};
-use crate::error::DayError;
-use crate::script::{Party, Start as NextStart, Starved};
+use crate::error::ScenarioError;
+use crate::scenario::{Participant, ResourceLimit, Start as NextStart};
+use crate::timeline::{FaultInjector, Pool, ProcessFault, CRASH_INTERVAL};
+use crate::topology::FrontAddrs;
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-async fn next(lines: &mut Lines<BufReader<ChildStdout>>, child: &Child) -> Result<String, DayError> {
-    let failed = |why: String| DayError::Start { name: child.name.clone(), why };
+async fn next(lines: &mut Lines<BufReader<ChildStdout>>, child: &Child) -> Result<String, ScenarioError> {
+    let failed = |why: String| ScenarioError::Start { name: child.name.clone(), why };
     let line = tokio::time::timeout(STARTS_WITHIN, lines.next_line()).await;
     let line = line.map_err(|_| failed(format!("it said nothing for {} s", STARTS_WITHIN.as_secs())))??;
     if let Some(line) = line {
@@ -52,11 +52,11 @@
         name: &str,
         hello: &Hello,
         recorder: Arc<Recorder>,
-    ) -> Result<(Self, Option<SocketAddr>), DayError> {
-        let failed = |why: String| DayError::Start { name: name.to_owned(), why };
+    ) -> Result<(Self, Option<SocketAddr>), ScenarioError> {
+        let failed = |why: String| ScenarioError::Start { name: name.to_owned(), why };
         let mut child = Child::start(program, name, &["stand-in"])?;
-        let mut stdin = child.stdin.take().ok_or(DayError::Ended)?;
-        let mut lines = child.lines().ok_or(DayError::Ended)?;
+        let mut stdin = child.stdin.take().ok_or(ScenarioError::Ended)?;
+        let mut lines = child.lines().ok_or(ScenarioError::Ended)?;
         let mut text = serde_json::to_string(hello).map_err(|e| failed(e.to_string()))?;
         text.push('\n');
         stdin.write_all(text.as_bytes()).await?;
@@ -118,9 +118,9 @@
         name: &str,
         config: &Path,
         fleet: bool,
-        places: &Places,
+        places: &FrontAddrs,
         start: NextStart,
-    ) -> Result<(Self, Places), DayError> {
+    ) -> Result<(Self, FrontAddrs), ScenarioError> {
         let config = config.to_string_lossy();
         let off = start.clock_off.to_string();
         let other = program.fronts_by.as_deref().map(Path::to_string_lossy);
@@ -136,7 +136,7 @@
             tokio::time::sleep(Duration::from_micros(start.slow)).await;
             child.freeze(false);
         }
-        let mut lines = child.lines().ok_or(DayError::Ended)?;
+        let mut lines = child.lines().ok_or(ScenarioError::Ended)?;
         let mut places = places.clone();
         let mut missing = 3 + usize::from(fleet);
         while missing > 0 {
@@ -162,7 +162,7 @@
 struct Slot {
     ordinal: u32,
     now: Mutex<Option<Arc<Child>>>,
-    places: Places,
+    places: FrontAddrs,
     servers: Vec<SocketAddr>,
 }
 
@@ -198,7 +198,7 @@
         cast: Arc<Cast>,
         servers: Vec<Actor>,
         addrs: Vec<SocketAddr>,
-        fronts: Vec<(Front, Places, Vec<SocketAddr>)>,
+        fronts: Vec<(Front, FrontAddrs, Vec<SocketAddr>)>,
         list: Actor,
         streams: Vec<Vec<Streams>>,
         lists: Vec<Streams>,
@@ -207,7 +207,7 @@
     ) -> Self {
         let seat =
             |(actor, addr)| Arc::new(Seat { now: Mutex::new(Some(actor)), addr, state: Mutex::new(1) });
-        let slot = |(ordinal, (front, places, servers)): (usize, (Front, Places, Vec<SocketAddr>))| {
+        let slot = |(ordinal, (front, places, servers)): (usize, (Front, FrontAddrs, Vec<SocketAddr>))| {
             let now = Mutex::new(Some(front.child));
             Arc::new(Slot { ordinal: ordinal as u32, now, places, servers })
         };
@@ -286,7 +286,7 @@
     }
 
     /// A front's process runs short of something, or no more. One that ends of it ended by itself.
-    fn starve(&mut self, front: usize, of: Starved, starved: bool) {
+    fn starve(&mut self, front: usize, of: ResourceLimit, starved: bool) {
         let Some(child) = self.front(front) else { return };
         if let Err(error) = child.limit(of, starved) {
             lock(&self.faults).push(format!("{}: its limit cannot be set: {error}", child.name));
@@ -300,7 +300,7 @@
                 let Some(child) = lock(&slot.now).take() else { return };
                 end_front(&cast, &slot, child, true, &faults).await;
                 start_front(&cast, &slot, NextStart::default(), &faults).await;
-                tokio::time::sleep(Duration::from_micros(SERVES_FOR)).await;
+                tokio::time::sleep(Duration::from_micros(CRASH_INTERVAL)).await;
             }
         });
     }
@@ -329,12 +329,12 @@
         });
     }
 
-    fn sever(&mut self, from: Party, to: Party, severed: bool) {
+    fn sever(&mut self, from: Participant, to: Participant, severed: bool) {
         match (from, to) {
-            (Party::Front(front), Party::Server(server)) => {
+            (Participant::Front(front), Participant::Server(server)) => {
                 self.streams[front][server].shape(|shape| shape.there = severed);
             }
-            (Party::Server(server), Party::Front(front)) => {
+            (Participant::Server(server), Participant::Front(front)) => {
                 self.streams[front][server].shape(|shape| shape.back = severed);
                 let (server, front) = (server as u16, front as u32);
                 let moment = if severed {
@@ -344,9 +344,13 @@
                 };
                 self.cast.recorder.put(moment);
             }
-            (Party::List, Party::Front(front)) => self.lists[front].shape(|shape| shape.there = severed),
-            (Party::Front(front), Party::List) => self.lists[front].shape(|shape| shape.back = severed),
-            (Party::Front(a), Party::Front(b)) => {
+            (Participant::List, Participant::Front(front)) => {
+                self.lists[front].shape(|shape| shape.there = severed)
+            }
+            (Participant::Front(front), Participant::List) => {
+                self.lists[front].shape(|shape| shape.back = severed)
+            }
+            (Participant::Front(a), Participant::Front(b)) => {
                 for (first, second, relay) in &self.pairs {
                     if (*first, *second) == (a, b) {
                         relay.sever(0, severed);
@@ -393,7 +397,7 @@
     }
 }
 
-impl Hands for Stage {
+impl FaultInjector for Stage {
     fn command(&mut self, server: usize, command: Command) {
         if let Command::Die(back_after) = command {
             return self.die(server, back_after);
@@ -403,13 +407,13 @@
         }
     }
 
-    fn link(&mut self, server: usize, fault: Fault) {
+    fn set_link_fault(&mut self, server: usize, fault: Fault) {
         for front in &self.streams {
             front[server].shape(|shape| (shape.down, shape.back) = (fault.down, fault.stalled_back));
         }
     }
 
-    fn offer(&mut self, front: usize, offers: &Offers) {
+    fn set_offered_load(&mut self, front: usize, offers: &Offers) {
         self.offers[front].send_replace(offers.clone());
     }
 
@@ -428,7 +432,7 @@
         self.pairs.iter().for_each(|(.., relay)| relay.lose(share));
     }
 
-    fn list(&mut self, due: Micros, pool: &Pool) {
+    fn publish_list(&mut self, due: Micros, pool: &Pool) {
         self.list.order(Order::List { due, pool: pool.clone() });
     }
 
@@ -436,20 +440,20 @@
         self.cast.recorder.put(moment);
     }
 
-    fn process(&mut self, trouble: Process) {
+    fn apply_process_fault(&mut self, trouble: ProcessFault) {
         match trouble {
-            Process::Stop { front, kill, back_after, start } => {
+            ProcessFault::Stop { front, kill, back_after, start } => {
                 self.stop_front(front, kill, back_after, start);
             }
-            Process::Starve { front, of, starved } => self.starve(front, of, starved),
-            Process::Crash { front, times } => self.crash(front, times),
-            Process::Freeze { server, frozen } => {
+            ProcessFault::Starve { front, of, starved } => self.starve(front, of, starved),
+            ProcessFault::Crash { front, times } => self.crash(front, times),
+            ProcessFault::Freeze { server, frozen } => {
                 if let Some(actor) = &*lock(&self.servers[server].now) {
                     actor.child.freeze(frozen);
                 }
             }
-            Process::Sever { from, to, severed } => self.sever(from, to, severed),
-            Process::Reset { server } => {
+            ProcessFault::Sever { from, to, severed } => self.sever(from, to, severed),
+            ProcessFault::Reset { server } => {
                 self.streams.iter().for_each(|front| front[server].shape(|shape| shape.resets += 1));
             }
         }
--- a/crates/day/src/run.rs
+++ b/crates/day/src/run.rs
@@ -16,13 +16,13 @@
 use tokio::sync::{mpsc, oneshot, watch};
 
 use crate::baseline::RoundRobin;
-use crate::cast::{
-    callers, class_terms, config_of, far_ends, host_of, linked, server_spec, sessions, sum_terms, texts,
-    usual, TOKEN,
+use crate::error::ScenarioError;
+use crate::scenario::{Policy, Scenario};
+use crate::timeline::{FaultInjector, ListedState, Pool, Timeline};
+use crate::topology::{
+    class_configs, diameter_callers, diameter_server_count, far_end_specs, front_config, linked_servers,
+    normal_load, server_host, server_spec, sum_limits, text_callers, LIST_SERVICE_TOKEN,
 };
-use crate::course::{Course, Hands, Listed, Pool};
-use crate::error::DayError;
-use crate::script::{Day, Policy};
 
 /// What a day came to.
 #[derive(Debug)]
@@ -71,7 +71,7 @@
 
 type Fleet = (Vec<(u32, SocketAddr)>, Option<Box<dyn baydrift_call::Policy>>);
 
-fn front_thread(config: Config) -> Result<(FrontThread, oneshot::Sender<Fleet>), DayError> {
+fn front_thread(config: Config) -> Result<(FrontThread, oneshot::Sender<Fleet>), ScenarioError> {
     let (tell, told) = std::sync::mpsc::channel();
     let (start, started) = oneshot::channel::<Fleet>();
     let (stop, stopped) = oneshot::channel::<()>();
@@ -80,7 +80,7 @@
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = match runtime {
             Ok(runtime) => runtime,
-            Err(error) => return drop(tell.send(Err(DayError::Io(error)))),
+            Err(error) => return drop(tell.send(Err(ScenarioError::Io(error)))),
         };
         runtime.block_on(async move {
             let mut bound = match Bound::bind(config).await {
@@ -97,7 +97,7 @@
             let _ = end.send(snapshot);
         });
     });
-    let (addrs, runtime) = told.recv().map_err(|_| DayError::Ended)??;
+    let (addrs, runtime) = told.recv().map_err(|_| ScenarioError::Ended)??;
     Ok((FrontThread { addrs, runtime, stop: Some(stop), ended }, start))
 }
 
@@ -114,7 +114,7 @@
     lists: mpsc::UnboundedSender<(Micros, Pool)>,
 }
 
-impl Hands for Stage {
+impl FaultInjector for Stage {
     fn command(&mut self, server: usize, command: Command) {
         match server.checked_sub(self.servers.len()) {
             Some(far) => self.fars[far].0.command(command),
@@ -122,7 +122,7 @@
         }
     }
 
-    fn link(&mut self, server: usize, fault: Fault) {
+    fn set_link_fault(&mut self, server: usize, fault: Fault) {
         let far = server.checked_sub(self.servers.len()).and_then(|far| self.fars.get(far));
         let held = |held| far.map(|(_, client)| RecordEvent::Held { client: client.clone(), held });
         if fault.stalled_back {
@@ -134,7 +134,7 @@
         }
     }
 
-    fn offer(&mut self, front: usize, offers: &Offers) {
+    fn set_offered_load(&mut self, front: usize, offers: &Offers) {
         if front == 0 {
             self.fars.iter().for_each(|(far, _)| far.offer(offers.factor));
         }
@@ -154,7 +154,7 @@
         self.relays.iter().for_each(|relay| relay.lose(share));
     }
 
-    fn list(&mut self, due: Micros, pool: &Pool) {
+    fn publish_list(&mut self, due: Micros, pool: &Pool) {
         let _ = self.lists.send((due, pool.clone()));
     }
 
@@ -164,7 +164,7 @@
 }
 
 /// The policy of a front, where it is not the module.
-pub(crate) fn policy_of(day: &Day, config: &Config) -> Option<Box<dyn baydrift_call::Policy>> {
+pub(crate) fn policy_of(day: &Scenario, config: &Config) -> Option<Box<dyn baydrift_call::Policy>> {
     match day.policy {
         Policy::Baydrift => None,
         Policy::RoundRobin => Some(Box::new(RoundRobin::new(config.settings.clone()))),
@@ -172,13 +172,13 @@
 }
 
 /// What a record came to.
-pub(crate) fn outcome(day: &Day, lines: Vec<RecordEntry>, fronts: Vec<Snapshot>) -> Outcome {
+pub(crate) fn outcome(day: &Scenario, lines: Vec<RecordEntry>, fronts: Vec<Snapshot>) -> Outcome {
     let names: Vec<_> = day.publishers.iter().map(|p| p.name.clone()).collect();
     Outcome {
         verdict: rules(&lines, RuleLimits::default()),
-        service: service(&lines, &class_terms(day), &names),
+        service: service(&lines, &class_configs(day), &names),
         fronts,
-        sums: sums(&lines, &sum_terms(day)),
+        sums: sums(&lines, &sum_limits(day)),
         crashed: Vec::new(),
         driver: Vec::new(),
         lines,
@@ -186,47 +186,47 @@
 }
 
 /// How long after the last call its answer may still come.
-pub(crate) fn aftermath(day: &Day) -> Micros {
-    day.classes.iter().map(|class| class.gives_up).max().unwrap_or(0) + SECOND / 2
+pub(crate) fn aftermath(day: &Scenario) -> Micros {
+    day.classes.iter().map(|class| class.caller_timeout).max().unwrap_or(0) + SECOND / 2
 }
 
 /// Follows a day's course by the machine's clock until its callers stop; `progress` hears of each second and trouble.
 pub(crate) async fn follow(
-    day: &Day,
+    day: &Scenario,
     recorder: &Recorder,
-    hands: &mut impl Hands,
+    hands: &mut impl FaultInjector,
     progress: &mut impl FnMut(f64, &str),
 ) {
     let begin = recorder.now();
-    let mut course = Course::new(day, begin);
+    let mut course = Timeline::new(day, begin);
     let mut second = begin;
     while recorder.now() < course.end() {
-        let next = course.next().min(second);
+        let next = course.next_due().min(second);
         tokio::time::sleep(Duration::from_micros(next.saturating_sub(recorder.now()))).await;
         let now = recorder.now();
         if now >= second {
             progress((now - begin) as f64 / 1e6, "");
             second += SECOND;
         }
-        course.act(now, hands, progress);
+        course.apply_due(now, hands, progress);
     }
-    course.close(hands);
+    course.stop_calls(hands);
 }
 
 /// Plays a day; `progress` hears of each second and trouble.
 ///
 /// # Errors
 /// Where something cannot start.
-pub async fn run(day: &Day, mut progress: impl FnMut(f64, &str)) -> Result<Outcome, DayError> {
-    day.without_processes()?;
+pub async fn run(day: &Scenario, mut progress: impl FnMut(f64, &str)) -> Result<Outcome, ScenarioError> {
+    day.reject_process_faults()?;
     let recorder = Arc::new(Recorder::default());
     let mut servers = Vec::new();
-    for number in 0..sessions(day) {
+    for number in 0..diameter_server_count(day) {
         let seed = day.seed * 100 + number as u64;
         servers.push(Server::start(server_spec(day, number), recorder.clone(), seed).await?);
     }
     let mut fars = Vec::new();
-    for spec in far_ends(day) {
+    for spec in far_end_specs(day) {
         let (host, seed) = (spec.host.clone(), day.seed * 100 + u64::from(spec.number));
         fars.push((FarEnd::start(spec, recorder.clone(), seed).await?, host));
     }
@@ -235,7 +235,7 @@
         Some(far) => fars[far].0.addrs[&front],
         None => servers[number].addr,
     };
-    let (faulty, mut links) = (linked(day), BTreeMap::<usize, Vec<Link>>::new());
+    let (faulty, mut links) = (linked_servers(day), BTreeMap::<usize, Vec<Link>>::new());
     let mut addrs = vec![Vec::new(); day.fronts as usize];
     for number in 0..day.servers.rates.len() {
         for front in 0..day.fronts {
@@ -254,7 +254,7 @@
 
     let (mut fronts, mut starts) = (Vec::new(), Vec::new());
     for ordinal in 0..day.fronts {
-        let config = config_of(day, ordinal, &addrs[ordinal as usize])?;
+        let config = front_config(day, ordinal, &addrs[ordinal as usize])?;
         let policy = policy_of(day, &config);
         let (front, start) = front_thread(config)?;
         fronts.push(front);
@@ -284,10 +284,10 @@
     tokio::time::sleep(Duration::from_millis(200)).await;
     let (mut all, mut text_all, mut offers) = (Vec::new(), Vec::new(), Vec::new());
     for (ordinal, front) in fronts.iter().enumerate() {
-        let (tell, told) = watch::channel(usual(day));
+        let (tell, told) = watch::channel(normal_load(day));
         let text_addr = front.addrs.text_udp;
         for ((spec, seed), addr) in
-            texts(day, ordinal as u32).into_iter().filter_map(|spec| Some((spec, text_addr?)))
+            text_callers(day, ordinal as u32).into_iter().filter_map(|spec| Some((spec, text_addr?)))
         {
             // Text goes by a relay that loses datagrams; the front knows the client by the relay's address.
             let lossy = day.datagrams_lost > 0.0;
@@ -302,7 +302,7 @@
             let (told, recorder) = (told.clone(), recorder.clone());
             text_all.push((TextCaller::start(spec, relay.addr, told, recorder, seed).await?, relay));
         }
-        let (spec, seed) = callers(day, ordinal as u32);
+        let (spec, seed) = diameter_callers(day, ordinal as u32);
         all.push(Caller::start(spec, front.addrs.diameter, told, recorder.clone(), seed));
         offers.push(tell);
     }
@@ -319,7 +319,7 @@
         }
     }
     for front in stage.fronts {
-        snapshots.push(front.ended.await.ok().flatten().ok_or(DayError::Ended)?);
+        snapshots.push(front.ended.await.ok().flatten().ok_or(ScenarioError::Ended)?);
     }
     Ok(outcome(day, lines, snapshots))
 }
@@ -370,7 +370,7 @@
         .enumerate()
         .map(|(number, (state, started))| {
             let ago = started.map(|at| now.saturating_sub(at) / 1_000);
-            serde_json::json!({"host": host_of(number), "state": state, "started_ms_ago": ago})
+            serde_json::json!({"host": server_host(number), "state": state, "started_ms_ago": ago})
         })
         .collect();
     let list = serde_json::json!({"version": version, "full": true, "servers": servers});
@@ -380,7 +380,7 @@
         let last = taken.clone();
         tokio::spawn(async move {
             let begun = recorder.now();
-            if push(addr, TOKEN, &list).await == 200 {
+            if push(addr, LIST_SERVICE_TOKEN, &list).await == 200 {
                 let taken = recorder.now();
                 let mut last = last.lock().unwrap_or_else(PoisonError::into_inner);
                 let (newest, since) = last.get(&front).copied().unwrap_or_default();
@@ -391,7 +391,7 @@
                 last.insert(front, (version, taken));
                 let begun = begun.max(since);
                 for (server, (state, _)) in states.iter().enumerate() {
-                    let (server, front, ready) = (server as u16, front as u32, *state == Listed::Ready);
+                    let (server, front, ready) = (server as u16, front as u32, *state == ListedState::Ready);
                     // When within that time it was told nobody saw: what it must not do any more counts from the
                     // end, and what it may do again from the begin.
                     let at = if ready { begun } else { taken };
--- a/crates/day/src/table.rs
+++ b/crates/day/src/table.rs
@@ -1,10 +1,11 @@
-//! What a day came to, as a table.
+//! Text tables of the results of a run.
 
 use std::fmt::Write as _;
 
 use baydrift_audit::{Recovery, Service, Shares, Sums, Verdict};
 
-const RULES: [&str; 6] = [
+/// Name of each audit rule, by its number; 0 is the limit on attempts.
+const RULE_NAMES: [&str; 6] = [
     "at most 5 attempts",
     "1 one final answer in time, nothing after it",
     "2 never two attempts out",
@@ -13,24 +14,25 @@
     "5 no resend within 300 ms",
 ];
 
-/// Breaches of each rule that are shown.
-const TOLD: usize = 5;
+/// Maximum number of breaches shown per rule.
+const MAX_BREACHES_SHOWN: usize = 5;
 
 fn ms(us: Option<u64>) -> String {
     us.map_or("none".into(), |us| format!("{:.0} ms", us as f64 / 1e3))
 }
 
-/// What calls were excused for.
-fn why(verdict: &Verdict) -> String {
-    let all: Vec<_> = verdict.excused.iter().map(|(why, count)| format!("{count} {}", why.name())).collect();
-    if all.is_empty() {
+/// Number of excused calls by reason.
+fn excuse_counts(verdict: &Verdict) -> String {
+    let counts: Vec<_> =
+        verdict.excused.iter().map(|(why, count)| format!("{count} {}", why.name())).collect();
+    if counts.is_empty() {
         String::new()
     } else {
-        format!(" ({})", all.join(", "))
+        format!(" ({})", counts.join(", "))
     }
 }
 
-/// What all fronts did together, and what of it passed its bound.
+/// Totals over all fronts, recoveries from faults, and the limits that were exceeded.
 pub fn sums_table(sums: &Sums) -> String {
     let mut text = String::new();
     let _ = writeln!(
@@ -53,19 +55,20 @@
         });
         let _ = writeln!(text, "  over at {:5.1} s, service back after {back}: {what}", *over as f64 / 1e6);
     }
-    for passed in &sums.exceeded {
-        let _ = writeln!(text, "  PASSED A BOUND: {passed}");
+    for exceeded in &sums.exceeded {
+        let _ = writeln!(text, "  PASSED A BOUND: {exceeded}");
     }
     text
 }
 
-/// Rules, service by class and publisher, and latency percentiles.
+/// Audit rules, service by class, publisher and protocol, latency percentiles, and the first breaches of
+/// each rule.
 pub fn table(verdict: &Verdict, service: &Service) -> String {
     let mut text = String::new();
-    for (rule, name) in RULES.iter().enumerate() {
-        let broken = verdict.breaches_of(rule as u8);
-        let word = if broken == 0 { "kept".to_owned() } else { format!("BROKEN {broken} times") };
-        let _ = writeln!(text, "  {name:<46} {word}");
+    for (rule, name) in RULE_NAMES.iter().enumerate() {
+        let breaches = verdict.breaches_of(rule as u8);
+        let result = if breaches == 0 { "kept".to_owned() } else { format!("BROKEN {breaches} times") };
+        let _ = writeln!(text, "  {name:<46} {result}");
     }
     let _ = writeln!(
         text,
@@ -73,7 +76,7 @@
         verdict.calls,
         verdict.answered,
         verdict.excused(),
-        why(verdict),
+        excuse_counts(verdict),
         verdict.set_ups,
         ms(verdict.latest_after_drain),
         ms(verdict.shortest_holdoff)
@@ -92,18 +95,19 @@
     service.publishers.iter().for_each(|(name, shares)| row(&format!("publisher {name}"), shares));
     service.protocols.iter().for_each(|(name, shares)| row(name, shares));
     let _ = writeln!(text, "  {:<24} {:>8} {:>9.3}", "worst 10 s", "", service.worst_window);
-    let l = &service.latency;
+    let latency = &service.latency;
     let _ = writeln!(
         text,
         "\n  from offer to 'stands': p50 {}, p90 {}, p99 {}, longest {}",
-        ms(Some(l.p50)),
-        ms(Some(l.p90)),
-        ms(Some(l.p99)),
-        ms(Some(l.max))
+        ms(Some(latency.p50)),
+        ms(Some(latency.p90)),
+        ms(Some(latency.p99)),
+        ms(Some(latency.max))
     );
-    // A few of each rule: one cause often breaks one rule a hundred times.
-    let told = (0..=5).flat_map(|rule| verdict.breaches.iter().filter(move |b| b.rule == rule).take(TOLD));
-    for breach in told {
+    // Only a few breaches of each rule, since one cause often leads to many.
+    let shown = (0..=5)
+        .flat_map(|rule| verdict.breaches.iter().filter(move |b| b.rule == rule).take(MAX_BREACHES_SHOWN));
+    for breach in shown {
         let _ = writeln!(text, "  rule {} at {:.3} s: {}", breach.rule, breach.at as f64 / 1e6, breach.text);
     }
     text
--- a/crates/day/tests/emulated.rs
+++ b/crates/day/tests/emulated.rs
@@ -1,68 +1,71 @@
-//! Days in virtual time: they repeat, they keep the rules, and what breaks one shows.
+//! Runs in virtual time: they are reproducible, keep the audit rules, and a breach in their record is found.
 
-mod planting;
+mod injection;
 
 use baydrift_audit::{write_record, RecordEvent};
-use baydrift_day::{drawn, drawn_for_processes, parse, run_virtual, Day, Outcome};
+use baydrift_day::{parse, run_virtual, with_random_faults, with_random_process_faults, Outcome, Scenario};
 
-fn day(name: &str, text: &str, seed: u64) -> Day {
-    Day { seed, ..parse(name, text).expect("a script") }
+fn scenario(name: &str, text: &str, seed: u64) -> Scenario {
+    Scenario { seed, ..parse(name, text).expect("a valid scenario") }
 }
 
-fn short(seed: u64) -> Day {
-    day("short.kdl", include_str!("../../../days/short.kdl"), seed)
+fn short(seed: u64) -> Scenario {
+    scenario("short.kdl", include_str!("../../../days/short.kdl"), seed)
 }
 
-fn both(seed: u64) -> Day {
-    day("both.kdl", include_str!("../../../days/both.kdl"), seed)
+fn both(seed: u64) -> Scenario {
+    scenario("both.kdl", include_str!("../../../days/both.kdl"), seed)
 }
 
-fn play(day: &Day) -> Outcome {
-    run_virtual(day, |_, _| {}).expect("a day")
+fn play(scenario: &Scenario) -> Outcome {
+    run_virtual(scenario, |_, _| {}).expect("a run")
 }
 
 fn bytes(outcome: &Outcome) -> Vec<u8> {
     let mut bytes = Vec::new();
-    write_record(&outcome.lines, &mut bytes).expect("memory");
+    write_record(&outcome.lines, &mut bytes).expect("writing to memory");
     bytes
 }
 
 #[test]
-fn the_same_seed_gives_the_same_record_to_the_byte() {
+fn same_seed_gives_identical_record() {
     let record = |seed| bytes(&play(&both(seed)));
     assert_eq!(record(3), record(3));
     assert_ne!(record(3), record(4));
 }
 
 #[test]
-fn the_rules_hold_under_the_script_and_under_drawn_troubles() {
+fn rules_hold_under_scripted_and_random_faults() {
     for seed in 1..=3 {
-        for day in [short(seed), both(seed), drawn(&short(seed)), drawn(&both(seed))] {
-            let verdict = play(&day).verdict;
-            assert!(verdict.passed(), "seed {seed}, {:?}: {:?}", day.troubles, verdict.breaches);
+        for scenario in
+            [short(seed), both(seed), with_random_faults(&short(seed)), with_random_faults(&both(seed))]
+        {
+            let verdict = play(&scenario).verdict;
+            assert!(verdict.passed(), "seed {seed}, {:?}: {:?}", scenario.faults, verdict.breaches);
             assert!(verdict.calls > 500);
         }
     }
 }
 
-/// Fronts that are killed and start anew, ways that are severed, resets: by the seeds that broke a rule before the
-/// mends of `docs/notes/processes.md`.
+/// Killed and restarted fronts, partitions and resets. Each of the seeds broke a rule before the fixes
+/// described in `docs/notes/processes.md`.
 #[test]
-fn the_rules_hold_while_fronts_are_killed_and_cut_off() {
+fn rules_hold_while_fronts_are_killed_and_partitioned() {
     let text = include_str!("../../../days/fleet.kdl");
     for seed in [7, 37, 100, 258, 269] {
-        let day = drawn_for_processes(&day("fleet.kdl", text, seed));
-        let outcome = play(&day);
+        let scenario = with_random_process_faults(&scenario("fleet.kdl", text, seed));
+        let outcome = play(&scenario);
         assert!(outcome.good(), "seed {seed}: {:?} {:?}", outcome.verdict.breaches, outcome.sums.exceeded);
         assert!(outcome.lines.iter().any(|line| matches!(line.event, RecordEvent::FrontKilled { .. })));
-        assert_eq!(bytes(&outcome), bytes(&play(&day)));
+        assert_eq!(bytes(&outcome), bytes(&play(&scenario)));
     }
 }
 
-/// What made rule 2 break on sockets in one run of thirty: a server that hung and came back, a quiet spell hours
-/// later, and a watchdog counted as unanswered that was sent in the hang. By the seeds that show it.
+/// Guards against two concurrent attempts of a call (rule 2), seen on sockets in one run of thirty: a
+/// watchdog sent while a server hung was counted as unanswered long after the server had recovered, so an
+/// attempt was retried at another server without a release. The fault shows with these seeds.
 #[test]
-fn a_server_that_only_seems_dead_is_told_before_another_is_asked() {
+fn attempt_is_released_before_retry_when_server_seems_dead() {
     let text = "day seconds=9 fronts=1 watchdog=\"600ms\"\n\
                 servers count=2 rate=40 most-wait=\"2.5s\"\n\
                 calls per-second=12 redials=0\n\
@@ -71,18 +74,19 @@
                 hang at=\"3s\" server=1 for=\"1200ms\"\n\
                 link-stalled at=\"5s\" server=0 for=\"1500ms\"\n\
                 pause at=\"7s\" server=0 for=\"1300ms\"\n";
-    let (mut releases, mut mute) = (0, 0);
+    let (mut releases, mut unresponsive) = (0, 0);
     for seed in 1..=10 {
-        let outcome = play(&day("seems-dead.kdl", text, seed));
+        let outcome = play(&scenario("seems-dead.kdl", text, seed));
         assert!(outcome.verdict.passed(), "seed {seed}: {:?}", outcome.verdict.breaches);
         releases += outcome.lines.iter().filter(|l| matches!(l.event, RecordEvent::Release { .. })).count();
-        mute += outcome.lines.iter().filter(|l| matches!(l.event, RecordEvent::Unresponsive { .. })).count();
+        unresponsive +=
+            outcome.lines.iter().filter(|l| matches!(l.event, RecordEvent::Unresponsive { .. })).count();
     }
-    assert!(releases > 0 && mute > 0);
+    assert!(releases > 0 && unresponsive > 0);
 }
 
-/// In virtual time; `sockets.rs` plants the same in a record of sockets.
+/// `sockets.rs` checks the same on the record of a run on sockets.
 #[test]
-fn a_breach_planted_in_a_days_record_is_found() {
-    planting::every_planted_breach_is_found(play(&both(5)).lines);
+fn injected_breaches_are_found_in_virtual_time() {
+    injection::assert_injected_breaches_found(play(&both(5)).lines);
 }
--- a/crates/day/tests/rounds.rs
+++ b/crates/day/tests/rounds.rs
@@ -1,4 +1,4 @@
-//! Two exchanges on loopback that seize the same circuits at the same moments.
+//! Two exchanges on loopback that seize the same circuits at the same time.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use baydrift_trunk::rules::Selection;
 
 #[tokio::test]
-async fn two_exchanges_on_sockets_seize_the_same_circuits_and_every_one_comes_free() {
+async fn all_circuits_are_idle_after_dual_seizures() {
     let spec = RoundsSpec {
         rounds: 150,
         circuits: 3,
--- a/crates/day/tests/sockets.rs
+++ b/crates/day/tests/sockets.rs
@@ -1,10 +1,10 @@
-//! A short day on sockets, and breaches planted in its record.
+//! A short run on sockets, and breaches injected into its record.
 
-mod planting;
+mod injection;
 
 use baydrift_day::{parse, run};
 
-const DAY: &str = "day seconds=4 fronts=1 watchdog=\"400ms\" list-lag=\"300ms\"
+const SCENARIO: &str = "day seconds=4 fronts=1 watchdog=\"400ms\" list-lag=\"300ms\"
 servers count=2 rate=60 most-wait=\"2.5s\"
 calls per-second=60 redials=1 redial-wait=\"500ms\"
 class \"c\" hold=\"500ms\" aim=\"2s\" gives-up=\"3s\"
@@ -13,9 +13,9 @@
 ";
 
 #[tokio::test]
-async fn a_breach_planted_in_a_record_of_sockets_is_found() {
-    let day = parse("day.kdl", DAY).expect("a script");
-    let outcome = run(&day, |_, _| {}).await.expect("a day");
+async fn injected_breaches_are_found_on_sockets() {
+    let scenario = parse("day.kdl", SCENARIO).expect("a valid scenario");
+    let outcome = run(&scenario, |_, _| {}).await.expect("a run");
     assert!(outcome.verdict.passed(), "{:?}", outcome.verdict.breaches);
-    planting::every_planted_breach_is_found(outcome.lines);
+    injection::assert_injected_breaches_found(outcome.lines);
 }
