--- a/crates/day/tests/emulated.rs
+++ b/crates/day/tests/emulated.rs
@@ -61,9 +61,9 @@
     }
 }
 
-/// Guards against two concurrent attempts of a call (rule 2), seen on sockets in one run of thirty: a
-/// watchdog sent while a server hung was counted as unanswered long after the server had recovered, so an
-/// attempt was retried at another server without a release. The fault shows with these seeds.
+/// Guards against two concurrent attempts of a call (rule 2), seen on sockets in one run of thirty: a server
+/// hung and recovered, and in a quiet period much later a watchdog sent during the hang was counted as
+/// unanswered, so an attempt was retried at another server without a release. These seeds show the fault.
 #[test]
 fn attempt_is_released_before_retry_when_server_seems_dead() {
     let text = "day seconds=9 fronts=1 watchdog=\"600ms\"\n\
