--- a/crates/day/src/topology.rs
+++ b/crates/day/src/topology.rs
@@ -299,7 +299,7 @@
     let s = &scenario.servers;
     let has = |name: &str| s.reported_values.iter().any(|value| value == name);
     // One function per combination, since the reported values are fixed for a run.
-    let tells: fn(Report) -> Report = match (has("wait"), has("busy"), has("rate"), has("queue")) {
+    let report_filter: fn(Report) -> Report = match (has("wait"), has("busy"), has("rate"), has("queue")) {
         (true, ..) => |r| Report { wait_s: r.wait_s, ..Report::default() },
         (_, true, _, true) => |r| Report { busy: r.busy, queue: r.queue, ..Report::default() },
         (_, true, ..) => |r| Report { busy: r.busy, ..Report::default() },
@@ -325,7 +325,7 @@
         report_period: s.report_period,
         report_delay: s.report_delay,
         report_noise: s.report_noise,
-        tells,
+        tells: report_filter,
         connections: 1_024,
         watchdog: scenario.watchdog * 4,
         fronts: (0..scenario.fronts).map(|ordinal| (format!("front{ordinal}.edge.test"), ordinal)).collect(),
