--- a/crates/cli/src/day.rs
+++ b/crates/cli/src/day.rs
@@ -6,7 +6,7 @@
 use std::sync::{Mutex, PoisonError};
 
 use baydrift_audit::{read_record, rules, write_record, RuleLimits};
-use baydrift_day::{parse_troubles, schedule_text, Day, Outcome, Policy, Program, Shorten};
+use baydrift_day::{format_schedule, parse_schedule, Minimizer, Outcome, Policy, Program, Scenario};
 use indicatif::{ProgressBar, ProgressStyle};
 use miette::{IntoDiagnostic, WrapErr};
 
@@ -83,7 +83,7 @@
     fleet: bool,
 }
 
-fn load(args: &Args) -> miette::Result<Day> {
+fn load(args: &Args) -> miette::Result<Scenario> {
     let mut day = match (&args.script, &args.from_bench) {
         (Some(path), _) => baydrift_day::parse(&path.display().to_string(), &crate::read_file(path)?)?,
         (None, Some(path)) => {
@@ -97,10 +97,10 @@
     };
     day.seconds = args.seconds.unwrap_or(day.seconds);
     day.seed = args.seed.unwrap_or(day.seed);
-    day.heeds |= args.heeds;
-    day.text = args.text.unwrap_or(day.text).clamp(0.0, 1.0);
+    day.honours_overload_notices |= args.heeds;
+    day.text_share = args.text.unwrap_or(day.text_share).clamp(0.0, 1.0);
     if let Some(path) = &args.troubles {
-        day.troubles = parse_troubles(&path.display().to_string(), &crate::read_file(path)?, &day)?;
+        day.faults = parse_schedule(&path.display().to_string(), &crate::read_file(path)?, &day)?;
     }
     if args.round_robin {
         day.policy = Policy::RoundRobin;
@@ -109,17 +109,17 @@
 }
 
 /// The day to run with a seed: as given, or with faults drawn from the seed.
-fn day_for_seed(args: &Args, day: &Day, seed: u64) -> Day {
-    let day = Day { seed, ..day.clone() };
+fn day_for_seed(args: &Args, day: &Scenario, seed: u64) -> Scenario {
+    let day = Scenario { seed, ..day.clone() };
     match (args.drawn, args.processes || args.fleet) {
         (false, _) => day,
-        (true, false) => baydrift_day::drawn(&day),
-        (true, true) => baydrift_day::drawn_for_processes(&day),
+        (true, false) => baydrift_day::with_random_faults(&day),
+        (true, true) => baydrift_day::with_random_process_faults(&day),
     }
 }
 
 /// The command line that runs a day again.
-fn replay_command(args: &Args, day: &Day) -> String {
+fn replay_command(args: &Args, day: &Scenario) -> String {
     let mut command = vec!["baydrift day".to_owned()];
     command.extend(args.script.iter().map(|path| path.display().to_string()));
     command.extend(args.from_bench.iter().map(|path| format!("--from-bench {}", path.display())));
@@ -146,7 +146,7 @@
 
 /// Writes the record where `--record` asks for it, or where the day failed; then also prints its path, the
 /// command that runs the day again, and the fault schedule.
-fn save_record(args: &Args, day: &Day, outcome: &Outcome) -> miette::Result<()> {
+fn save_record(args: &Args, day: &Scenario, outcome: &Outcome) -> miette::Result<()> {
     let passed = outcome.good();
     let path = match &args.record {
         Some(path) if args.seeds == 1 => path.clone(),
@@ -167,13 +167,13 @@
             path.display(),
             replay_command(args, day)
         );
-        print!("{}", schedule_text(&day.troubles));
+        print!("{}", format_schedule(&day.faults));
     }
     Ok(())
 }
 
 /// Runs many seeds in virtual time on all cores; fails if any of them fails.
-fn run_seeds(args: &Args, day: &Day) -> miette::Result<ExitCode> {
+fn run_seeds(args: &Args, day: &Scenario) -> miette::Result<ExitCode> {
     let bar = ProgressBar::new(args.seeds);
     if let Ok(style) = ProgressStyle::with_template("{elapsed} [{bar:30}] {pos}/{len} seeds, {eta} left") {
         bar.set_style(style);
@@ -257,7 +257,7 @@
     }
     let day = day_for_seed(&args, &day, day.seed);
     if args.schedule {
-        print!("{}", schedule_text(&day.troubles));
+        print!("{}", format_schedule(&day.faults));
         return Ok(ExitCode::SUCCESS);
     }
     let bar = ProgressBar::new(day.seconds.ceil() as u64);
@@ -312,7 +312,7 @@
 /// Runs a day in virtual time, as processes or on loopback sockets, as the arguments select.
 async fn play(
     args: &Args,
-    day: &Day,
+    day: &Scenario,
     logs: Option<&Path>,
     progress: impl FnMut(f64, &str),
 ) -> miette::Result<Outcome> {
@@ -336,15 +336,15 @@
 /// and prints it.
 async fn shorten(
     args: &Args,
-    day: &Day,
+    day: &Scenario,
     outcome: &Outcome,
     times: u32,
     logs: Option<&Path>,
 ) -> miette::Result<()> {
     let failures = outcome.failures();
-    let mut shortening = Shorten::new(day.troubles.clone());
+    let mut shortening = Minimizer::new(day.faults.clone());
     while let Some(troubles) = shortening.trial() {
-        let trial = Day { troubles, ..day.clone() };
+        let trial = Scenario { faults: troubles, ..day.clone() };
         let mut failed = false;
         for _ in 0..if args.in_virtual_time { 1 } else { times } {
             let trial_outcome = play(args, &trial, logs, |_, _| {}).await?;
@@ -353,12 +353,12 @@
                 break;
             }
         }
-        shortening.told(failed);
+        shortening.record_trial(failed);
         eprintln!(
             "trial {}: {} of {} faults still fail",
             shortening.trials(),
-            shortening.kept().len(),
-            day.troubles.len()
+            shortening.minimal().len(),
+            day.faults.len()
         );
     }
     println!(
@@ -366,7 +366,7 @@
         join_failures(&failures),
         shortening.trials()
     );
-    print!("{}", schedule_text(shortening.kept()));
+    print!("{}", format_schedule(shortening.minimal()));
     Ok(())
 }
 
