--- a/crates/day/src/bench.rs
+++ b/crates/day/src/bench.rs
@@ -1,22 +1,22 @@
-//! The troubles of one of the operators' bench's day files, as a script.
+//! Converts a day file of the operators' bench to a scenario.
 
 use serde::Deserialize;
 
 use crate::script::{Class, Day, Policy, Publisher, Servers, Trouble, What};
 
-/// Why a day file cannot be played.
+/// A day file that cannot be converted.
 #[derive(Debug, thiserror::Error)]
 pub enum BenchError {
-    /// It is no day file.
+    /// It is not JSON, or does not have the layout of a day file.
     #[error("not a day file: {0}")]
     Json(#[from] serde_json::Error),
-    /// It has nothing to play.
+    /// A required list or sum of the file is empty.
     #[error("the day has no {0}")]
     Empty(&'static str),
 }
 
 #[derive(Deserialize)]
-struct File {
+struct DayFile {
     length: f64,
     noise: u64,
     traffic: Traffic,
@@ -27,8 +27,9 @@
     servers: Vec<ServerFile>,
     balancers: Vec<serde_json::Value>,
     tiers: Vec<Tier>,
-    troubles: Vec<TroubleFile>,
-    fam: Family,
+    troubles: Vec<FaultFile>,
+    #[serde(rename = "fam")]
+    family: Family,
     net: Net,
 }
 
@@ -100,7 +101,7 @@
 }
 
 #[derive(Deserialize)]
-struct TroubleFile {
+struct FaultFile {
     kind: String,
     at: f64,
     len: f64,
@@ -109,45 +110,47 @@
     on: Vec<usize>,
 }
 
-/// How busy servers are at the planned load.
-const PLANNED_BUSY: f64 = 0.8;
+/// Utilisation of the servers at the planned load.
+const PLANNED_UTILISATION: f64 = 0.8;
 
-/// A day of one bench file, with its calls and servers scaled together to so many calls a second (`None`: as in
-/// the file) and its fronts to at most so many. What cannot be said on sockets is named in the list beside it.
+/// Converts a bench file to a scenario. Calls and server rates are scaled together to `calls_per_s` (`None`:
+/// as in the file), and at most `max_fronts` fronts are used. The second element lists what the scenario does
+/// not reproduce.
 ///
 /// # Errors
-/// Where the file is none, or has nothing to play.
+/// If the text is not a day file, or lacks a tier, a server kind or server capacity.
 pub fn from_bench(
     text: &str,
     calls_per_s: Option<f64>,
-    most_fronts: u32,
+    max_fronts: u32,
 ) -> Result<(Day, Vec<String>), BenchError> {
-    let file: File = serde_json::from_str(text)?;
+    let file: DayFile = serde_json::from_str(text)?;
     let tier = file.tiers.first().ok_or(BenchError::Empty("tier"))?;
     let kind = tier.kinds.first().ok_or(BenchError::Empty("server kind"))?;
     let speeds: f64 = file.servers.iter().map(|server| server.speed).sum();
-    if speeds <= 0.0 || file.fam.capacity <= 0.0 {
+    if speeds <= 0.0 || file.family.capacity <= 0.0 {
         return Err(BenchError::Empty("server capacity"));
     }
     let mut skipped = Vec::new();
-    // The bench counts load against its servers' whole capacity, releases and all.
+    // The bench relates load to the whole capacity of its servers, including releases.
     let load = file.traffic.load.max(0.01);
-    let offered = calls_per_s.unwrap_or(file.fam.capacity * load);
+    let offered = calls_per_s.unwrap_or(file.family.capacity * load);
     let capacity = offered / load;
-    let fronts = (file.balancers.len() as u32).clamp(1, most_fronts.max(1));
+    let fronts = (file.balancers.len() as u32).clamp(1, max_fronts.max(1));
     if fronts < file.balancers.len() as u32 {
         skipped.push(format!("{} fronts of {} are played", fronts, file.balancers.len()));
     }
-    // A server's speed over the work of a set-up is what it can set up; the file does not tell what else a call
-    // costs, but servers are planned to be busy for 0.71 to 0.88 of their time: the middle of that gives it.
+    // A server's set-up rate is its speed divided by the work of a set-up. The file does not state the other
+    // costs of a call; they follow from the planned utilisation of servers, 0.71 to 0.88, of which the middle
+    // is used.
     let work_s = file.classes.first().map_or(0.002, |class| class.work / 1e6);
-    let set_ups: f64 = speeds / work_s;
-    let release = (PLANNED_BUSY * set_ups / file.fam.capacity - 1.0).max(0.0);
-    let scale = capacity / file.fam.capacity;
+    let set_up_rate: f64 = speeds / work_s;
+    let release = (PLANNED_UTILISATION * set_up_rate / file.family.capacity - 1.0).max(0.0);
+    let scale = capacity / file.family.capacity;
     let classes = file.classes.iter().enumerate().map(|(index, class)| Class {
         name: class.name.clone(),
         share: class.share,
-        hold: file.fam.hold.get(index).copied().unwrap_or(8e6) as u64,
+        hold: file.family.hold.get(index).copied().unwrap_or(8e6) as u64,
         aim: class.aim as u64,
         deadline: class.deadline as u64,
         gives_up: ((class.deadline * file.clients.try_share) as u64).max(200_000),
@@ -173,8 +176,8 @@
         servers: Servers {
             rates: file.servers.iter().map(|s| scale * s.speed / work_s).collect(),
             release,
-            refusal: file.fam.reject,
-            most_wait: file.fam.queue as u64,
+            refusal: file.family.reject,
+            most_wait: file.family.queue as u64,
             cold_from: kind.cold_from,
             ramp: kind.cold as u64,
             fall_multiple: 2.0,
@@ -195,21 +198,21 @@
         troubles: file
             .troubles
             .iter()
-            .flat_map(|t| trouble(t, &file, fronts as usize, &mut skipped))
+            .flat_map(|t| faults_of(t, &file, fronts as usize, &mut skipped))
             .collect(),
     };
     Ok((day, skipped))
 }
 
-fn trouble(from: &TroubleFile, file: &File, fronts: usize, skipped: &mut Vec<String>) -> Vec<Trouble> {
+fn faults_of(from: &FaultFile, file: &DayFile, fronts: usize, skipped: &mut Vec<String>) -> Vec<Trouble> {
     let (at, span) = (from.at as u64, from.len as u64);
-    let one = |what| vec![Trouble { at, span, what }];
+    let single = |what| vec![Trouble { at, span, what }];
     let each = |make: &dyn Fn(usize) -> What| -> Vec<Trouble> {
         let known = from.on.iter().filter(|server| **server < file.servers.len());
         known.map(|server| Trouble { at, span, what: make(*server) }).collect()
     };
     match from.kind.as_str() {
-        "burst" => one(What::Burst { factor: from.size.max(0.1) }),
+        "burst" => single(What::Burst { factor: from.size.max(0.1) }),
         "crash" => each(&|server| What::Die { server, back_after: Some(span.max(1_000_000)) }),
         "deploy" => {
             let step = span / from.on.len().max(1) as u64;
@@ -226,15 +229,17 @@
         }
         "slow" | "ageing" => each(&|server| What::Slow { server, factor: from.size.max(1.0) }),
         "pauses" => each(&|server| What::Pause { server }),
-        "peer_down" => one(What::MessagesLost { share: 1.0 }),
+        "peer_down" => single(What::MessagesLost { share: 1.0 }),
         "answer_lost" => each(&|server| What::LoseAnswers { server, share: from.size.clamp(0.0, 1.0) }),
-        "hot_key" => one(What::Hot { share: from.size.clamp(0.0, 1.0) }),
-        "reconnect" => one(What::Cut { share: from.size.clamp(0.0, 1.0) }),
-        "retry_abuse" => one(What::Redials {
+        "hot_key" => single(What::Hot { share: from.size.clamp(0.0, 1.0) }),
+        "reconnect" => single(What::Cut { share: from.size.clamp(0.0, 1.0) }),
+        "retry_abuse" => single(What::Redials {
             times: from.size.clamp(1.0, 20.0) as u32,
             wait: (from.extra * 1e6).clamp(50_000.0, 5e6) as u64,
         }),
-        "discovery_stale" => one(What::ListLag { lag: (from.size.max(1.0) * file.discovery.notice) as u64 }),
+        "discovery_stale" => {
+            single(What::ListLag { lag: (from.size.max(1.0) * file.discovery.notice) as u64 })
+        }
         "balancer_stall" => {
             let fronts = from.on.iter().filter(|front| **front < fronts);
             let span = span.min(2_000_000);
--- a/crates/day/src/emulated.rs
+++ b/crates/day/src/emulated.rs
@@ -1,4 +1,5 @@
-//! Plays a day in virtual time: the same script, desks, peers and models, without sockets.
+//! Runs a scenario in virtual time: the same scenario, session layers, peers and models as on sockets,
+//! without sockets.
 
 use baydrift::interface::{Micros, ServerState};
 use baydrift_audit::RecordEvent;
@@ -9,25 +10,26 @@
 use crate::cast::{callers, config_of, far_ends, host_of, linked, server_spec, sessions, texts, usual};
 use crate::course::{Course, Hands, Listed, Pool, Process, SERVES_FOR};
 use crate::error::DayError;
-use crate::run::{aftermath, outcome, policy_of, Outcome};
+use crate::run::{outcome, policy_of, settle_time, Outcome};
 use crate::script::{Day, Party, Policy};
 
-/// Server links come up before the first call does.
-const WARM_UP: Micros = 200_000;
+/// Virtual time before the first call, in which the links to servers come up.
+const LINK_SETUP_TIME: Micros = 200_000;
 
-struct Stage {
+/// A run in virtual time and the kills that are still due.
+struct VirtualRun {
     world: World,
     version: u64,
     fronts: usize,
-    /// Kills still to come, and of which front.
-    crashes: Vec<(Micros, usize)>,
+    /// Times of the kills still due, each with its front, in order.
+    pending_kills: Vec<(Micros, usize)>,
 }
 
-impl Stage {
-    /// Runs until a time, with the kills on the way.
+impl VirtualRun {
+    /// Advances to a time, executing the kills due on the way.
     fn run_until(&mut self, until: Micros) {
-        while let Some((at, front)) = self.crashes.first().copied().filter(|(at, _)| *at <= until) {
-            self.crashes.remove(0);
+        while let Some((at, front)) = self.pending_kills.first().copied().filter(|(at, _)| *at <= until) {
+            self.pending_kills.remove(0);
             self.world.run_until(at);
             self.world.kill(front, Some(0));
         }
@@ -35,7 +37,7 @@
     }
 }
 
-impl Hands for Stage {
+impl Hands for VirtualRun {
     fn command(&mut self, server: usize, command: Command) {
         self.world.command(server, command);
     }
@@ -73,39 +75,39 @@
             servers: pool.iter().enumerate().map(entry).collect(),
         };
         for front in 0..self.fronts {
-            let told = pool.iter().enumerate().map(|(server, (state, _))| RecordEvent::ReadinessReported {
+            let events = pool.iter().enumerate().map(|(server, (state, _))| RecordEvent::ReadinessReported {
                 server: server as u16,
                 front: front as u32,
                 ready: *state == Listed::Ready,
                 by_list: true,
             });
-            self.world.push_list(due, front, list.clone(), told.collect());
+            self.world.push_list(due, front, list.clone(), events.collect());
         }
     }
 
-    fn record(&mut self, moment: RecordEvent) {
-        self.world.record(moment);
+    fn record(&mut self, event: RecordEvent) {
+        self.world.record(event);
     }
 
-    fn process(&mut self, trouble: Process) {
+    fn process(&mut self, fault: Process) {
         let place = |party| match party {
             Party::Front(front) => Place::Front(front),
             Party::Server(server) => Place::Server(server),
             Party::List => Place::List,
         };
-        match trouble {
-            // In virtual time a process that is told to end is killed: an orderly stop is the coat's.
+        match fault {
+            // In virtual time an orderly stop is a kill: graceful shutdown belongs to the transport.
             Process::Stop { front, back_after, start, .. } => {
                 self.world.kill(front, back_after.map(|back| back + start.slow));
             }
-            // A front in virtual time holds no descriptors, and its memory is the driver's.
+            // A front in virtual time has no descriptors, and shares its memory with the driver.
             Process::Starve { .. } => {}
             Process::Crash { front, times } => {
-                self.crashes
+                self.pending_kills
                     .extend((0..times).map(|n| (self.world.now() + u64::from(n) * SERVES_FOR, front)));
-                self.crashes.sort_unstable();
+                self.pending_kills.sort_unstable();
             }
-            // It reads nothing either on processes; here it answers nothing.
+            // A stopped process reads nothing; in virtual time the server answers nothing instead.
             Process::Freeze { server, frozen } => self.world.command(server, Command::Hang(frozen)),
             Process::Sever { from, to, severed } => self.world.sever(place(from), place(to), severed),
             Process::Reset { server } => self.world.reset(server),
@@ -113,10 +115,11 @@
     }
 }
 
-/// Plays a day in virtual time; equal days give equal records, to the byte.
+/// Runs a scenario in virtual time; equal scenarios give byte-identical records. `progress` is called for
+/// each fault.
 ///
 /// # Errors
-/// Where the fronts' configuration cannot be made of the script.
+/// If the scenario does not give a valid configuration for the fronts.
 pub fn run_virtual(day: &Day, mut progress: impl FnMut(f64, &str)) -> Result<Outcome, DayError> {
     if day.policy == Policy::RoundRobin {
         day.without_processes()?;
@@ -144,20 +147,20 @@
         roughness: Roughness::default(),
     });
     let world = world.map_err(FrontError::Engine)?;
-    let mut stage = Stage { world, version: 0, fronts: day.fronts as usize, crashes: Vec::new() };
-    stage.world.run_until(WARM_UP);
-    stage.world.begin();
-    let mut course = Course::new(day, WARM_UP);
-    while stage.world.now() < course.end() {
-        stage.run_until(course.next());
-        let now = stage.world.now();
-        course.act(now, &mut stage, &mut progress);
+    let mut run = VirtualRun { world, version: 0, fronts: day.fronts as usize, pending_kills: Vec::new() };
+    run.world.run_until(LINK_SETUP_TIME);
+    run.world.begin();
+    let mut course = Course::new(day, LINK_SETUP_TIME);
+    while run.world.now() < course.end() {
+        run.run_until(course.next());
+        let now = run.world.now();
+        course.act(now, &mut run, &mut progress);
     }
-    course.close(&mut stage);
-    let end = stage.world.now() + aftermath(day);
-    stage.run_until(end);
-    let snapshots = (0..stage.fronts).filter_map(|front| {
-        let desk = stage.world.desk(front)?;
+    course.close(&mut run);
+    let end = run.world.now() + settle_time(day);
+    run.run_until(end);
+    let snapshots = (0..run.fronts).filter_map(|front| {
+        let desk = run.world.desk(front)?;
         Some(Snapshot {
             counts: desk.counts().clone(),
             held: desk.held(),
@@ -167,5 +170,5 @@
         })
     });
     let snapshots = snapshots.collect();
-    Ok(outcome(day, stage.world.into_lines(), snapshots))
+    Ok(outcome(day, run.world.into_lines(), snapshots))
 }
--- a/crates/day/src/processes/role.rs
+++ b/crates/day/src/processes/role.rs
@@ -1,7 +1,8 @@
-//! What a stand-in's process is told and tells: lines of JSON on its standard input and output.
+//! The protocol between the driver and a stand-in's process, as lines of JSON on the process's standard input
+//! and output, and the main loop of that process.
 //!
-//! It ends when its input does. Each moment of the record is written out before what it tells of goes on, so that a
-//! process which is killed takes nothing of the record with it.
+//! The process exits when its standard input ends. Each event of the record is written before its effects can
+//! be observed, so that killing the process loses no event.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -20,109 +21,121 @@
 use crate::run::list_service;
 use crate::script::Day;
 
-/// Which part a process plays.
+/// The stand-in that a process runs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Role {
-    /// A session server; `again` for a later process of it: where it listens, and its origin state.
-    Server { number: usize, again: Option<(SocketAddr, u32)> },
-    /// The list service, which pushes to fronts' listeners.
+    /// A session server; `restart` has the listening address and Origin-State-Id of a restarted server
+    /// process.
+    Server {
+        number: usize,
+        #[serde(rename = "again")]
+        restart: Option<(SocketAddr, u32)>,
+    },
+    /// The list service, which pushes pool lists to the fronts' listeners.
     List { fronts: Vec<SocketAddr> },
 }
 
-/// The first line that it is told.
+/// The first line on standard input.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Hello {
-    /// The record's begin, on the machine's clock.
+pub(crate) struct StandInSpec {
+    /// Start of the record on the monotonic clock of the machine, which all processes share.
     pub(crate) origin: u64,
     pub(crate) day: Day,
     pub(crate) role: Role,
 }
 
-/// Every later line.
+/// Every further line on standard input.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub(crate) enum Order {
-    /// A server's trouble.
+pub(crate) enum DriverCommand {
+    /// A fault for a server to apply.
     Command(Command),
-    /// The list service pushes this list at a time.
+    /// A list for the list service to push at the time `due`.
     List { due: Micros, pool: Pool },
 }
 
-/// What it tells.
+/// A line on standard output.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub(crate) enum Word {
-    /// It serves: where, if anywhere.
+pub(crate) enum StandInMessage {
+    /// The stand-in has started; the address where it listens, if it listens.
     Ready(Option<SocketAddr>),
-    /// A line of the record.
-    Line(RecordEntry),
+    /// An entry of the record.
+    #[serde(rename = "Line")]
+    Record(RecordEntry),
 }
 
-/// Why a stand-in's process ends.
+/// A fatal error of a stand-in's process.
 #[derive(Debug, thiserror::Error)]
 pub enum StandInError {
-    /// A line that it was told is none of its words.
+    /// A line on standard input is not a valid message.
     #[error("standard input, line {line}: {error}")]
-    Told {
-        /// From 1.
+    InvalidLine {
+        /// Line number, from 1.
         line: usize,
-        /// Why.
+        /// The parse error.
         error: serde_json::Error,
     },
-    /// Nothing was told at all.
-    #[error("standard input ended before it said what to play")]
-    Nothing,
-    /// It cannot listen, or standard input cannot be read.
+    /// Standard input ended before the first line.
+    #[error("standard input ended before the stand-in's specification (line 1)")]
+    MissingSpec,
+    /// A socket cannot be bound, or standard input cannot be read.
     #[error(transparent)]
     Io(#[from] std::io::Error),
 }
 
-fn say(word: &Word) {
+fn send(message: &StandInMessage) {
     let mut out = std::io::stdout().lock();
-    // A driver that is gone reads nothing more; this process ends with its input.
-    let _ = serde_json::to_writer(&mut out, word).map_err(std::io::Error::from).and_then(|()| {
+    // Ignores write errors: if the driver has exited, standard input ends and so does this process.
+    let _ = serde_json::to_writer(&mut out, message).map_err(std::io::Error::from).and_then(|()| {
         out.write_all(b"\n")?;
         out.flush()
     });
 }
 
-enum Part {
+/// The stand-in running in this process.
+enum RunningStandIn {
     Server(Server),
     List(mpsc::UnboundedSender<(Micros, Pool)>),
 }
 
-/// Plays one part of a day until standard input ends.
+/// Runs the stand-in given by the first line on standard input until standard input ends.
 ///
 /// # Errors
-/// The first line that cannot be read, or a socket that cannot be had.
+/// If a line cannot be parsed, a socket cannot be bound, or standard input cannot be read.
 pub async fn run_stand_in() -> Result<(), StandInError> {
     let mut lines = BufReader::new(tokio::io::stdin()).lines();
-    let first = lines.next_line().await?.ok_or(StandInError::Nothing)?;
-    let hello: Hello = serde_json::from_str(&first).map_err(|error| StandInError::Told { line: 1, error })?;
-    let recorder = Arc::new(Recorder::forwarding(hello.origin, |line| say(&Word::Line(line.clone()))));
-    let part = match hello.role {
-        Role::Server { number, again } => {
-            let spec = server_spec(&hello.day, number);
-            let state_id = again.map_or(1, |(_, state_id)| state_id);
-            let seed = hello.day.seed * 100 + number as u64 + 1_000_003 * u64::from(state_id - 1);
-            let again = again.map(|(addr, state_id)| Restart { addr, state_id });
-            let server = Server::start_at(spec, recorder, seed, again).await?;
-            say(&Word::Ready(Some(server.addr)));
-            Part::Server(server)
+    let first = lines.next_line().await?.ok_or(StandInError::MissingSpec)?;
+    let spec: StandInSpec =
+        serde_json::from_str(&first).map_err(|error| StandInError::InvalidLine { line: 1, error })?;
+    let recorder =
+        Arc::new(Recorder::forwarding(spec.origin, |entry| send(&StandInMessage::Record(entry.clone()))));
+    let stand_in = match spec.role {
+        Role::Server { number, restart } => {
+            let server_spec = server_spec(&spec.day, number);
+            let state_id = restart.map_or(1, |(_, state_id)| state_id);
+            let seed = spec.day.seed * 100 + number as u64 + 1_000_003 * u64::from(state_id - 1);
+            let restart = restart.map(|(addr, state_id)| Restart { addr, state_id });
+            let server = Server::start_at(server_spec, recorder, seed, restart).await?;
+            send(&StandInMessage::Ready(Some(server.addr)));
+            RunningStandIn::Server(server)
         }
         Role::List { fronts } => {
-            let (lists, pushed) = mpsc::unbounded_channel();
-            tokio::spawn(list_service(recorder, fronts.into_iter().map(Some).collect(), pushed));
-            say(&Word::Ready(None));
-            Part::List(lists)
+            let (lists, pending_lists) = mpsc::unbounded_channel();
+            tokio::spawn(list_service(recorder, fronts.into_iter().map(Some).collect(), pending_lists));
+            send(&StandInMessage::Ready(None));
+            RunningStandIn::List(lists)
         }
     };
-    let mut count = 1;
+    let mut line_number = 1;
     while let Some(text) = lines.next_line().await? {
-        count += 1;
-        let order = serde_json::from_str(&text).map_err(|error| StandInError::Told { line: count, error })?;
-        match (order, &part) {
-            (Order::Command(command), Part::Server(server)) => server.command(command),
-            (Order::List { due, pool }, Part::List(lists)) => drop(lists.send((due, pool))),
-            (order, _) => tracing::warn!(?order, "an order for another part"),
+        line_number += 1;
+        let command = serde_json::from_str(&text)
+            .map_err(|error| StandInError::InvalidLine { line: line_number, error })?;
+        match (command, &stand_in) {
+            (DriverCommand::Command(command), RunningStandIn::Server(server)) => server.command(command),
+            (DriverCommand::List { due, pool }, RunningStandIn::List(lists)) => drop(lists.send((due, pool))),
+            (command, _) => {
+                tracing::warn!(order = ?command, "ignored a command for another kind of stand-in")
+            }
         }
     }
     Ok(())
--- a/crates/day/src/rounds.rs
+++ b/crates/day/src/rounds.rs
@@ -1,4 +1,5 @@
-//! Two exchanges on loopback that seize at the same moment, round after round, over a link that loses and doubles.
+//! Dual seizure on loopback: in each round two exchanges seize a circuit of the same group at the same
+//! moment, over a link that loses and duplicates packets.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -12,73 +13,77 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
-/// What is played.
+/// Parameters of a dual-seizure run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RoundsSpec {
-    /// Rounds.
+    /// Number of rounds.
     pub rounds: u64,
-    /// Circuits of the one group.
+    /// Number of circuits in the trunk group.
     pub circuits: u16,
-    /// How both ends choose.
+    /// Circuit selection method of both ends.
     pub selection: Selection,
-    /// Share of packets lost, each way.
+    /// Share of packets lost in each direction.
     pub lost: f64,
-    /// Share that comes twice.
+    /// Share of packets duplicated in each direction.
     pub duplicated: f64,
-    /// A caller gives up after this.
+    /// Time after which a caller abandons its call.
     pub caller_timeout: Duration,
-    /// Q.764's timers are this many times shorter than its least.
+    /// Divisor by which the minimum Q.764 timers are shortened.
     pub timer_divisor: u64,
-    /// Seed of what is lost.
+    /// Seed for packet loss and duplication.
     pub seed: u64,
 }
 
-/// What came of it.
+/// Results of a dual-seizure run.
 #[derive(Debug, Clone, Default)]
 pub struct RoundsTally {
-    /// Calls that stood, of each end.
+    /// Answered calls, by calling end.
     pub answered: [u64; 2],
-    /// Calls that ended otherwise, by how.
+    /// Calls that ended without an answer, by reason.
     pub ended: BTreeMap<String, u64>,
-    /// Callers that gave up.
+    /// Calls abandoned after the caller time-out.
     pub timed_out: u64,
-    /// What must never happen.
+    /// Violated invariants.
     pub violations: Vec<String>,
-    /// Both ends, at last.
+    /// Final state of both exchanges.
     pub states: [ExchangeState; 2],
-    /// How long after the last round the last circuit was idle; `None` if it never was.
+    /// Time from the end of the last round until all circuits were idle; `None` if they never were.
     pub idle_after: Option<Duration>,
-    /// Longest round.
+    /// Duration of the longest round.
     pub longest_round: Duration,
 }
 
-/// Why it cannot be played.
+/// An error that prevents a dual-seizure run.
 #[derive(Debug, thiserror::Error)]
 pub enum RoundsError {
-    /// A socket.
+    /// A socket cannot be bound.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// The group.
+    /// The trunk group is not valid.
     #[error("trunk group: {0}")]
     Group(baydrift_trunk::SpecError),
-    /// An exchange ended by itself.
-    #[error("an exchange ended before its time")]
+    /// An exchange stopped during the run.
+    #[error("an exchange stopped before the run was over")]
     Ended,
 }
 
-fn office(spec: &RoundsSpec, own_point: u32, far_point: u32) -> Result<SignallingPoint, RoundsError> {
+fn signalling_point(
+    spec: &RoundsSpec,
+    own_point: u32,
+    far_point: u32,
+) -> Result<SignallingPoint, RoundsError> {
     let timer_divisor = spec.timer_divisor.max(1);
-    let all = TimerSettings::default();
+    let defaults = TimerSettings::default();
     let timers = TimerSettings {
-        t1: all.t1 / timer_divisor,
-        t5: all.t5 / timer_divisor,
-        t7: all.t7 / timer_divisor,
-        t9: all.t9 / timer_divisor,
-        t12: all.t12 / timer_divisor,
-        t13: all.t13 / timer_divisor,
-        t16: all.t16 / timer_divisor,
-        t17: all.t17 / timer_divisor,
-        t28: all.t28 / timer_divisor,
+        t1: defaults.t1 / timer_divisor,
+        t5: defaults.t5 / timer_divisor,
+        t7: defaults.t7 / timer_divisor,
+        t9: defaults.t9 / timer_divisor,
+        t12: defaults.t12 / timer_divisor,
+        t13: defaults.t13 / timer_divisor,
+        t16: defaults.t16 / timer_divisor,
+        t17: defaults.t17 / timer_divisor,
+        t28: defaults.t28 / timer_divisor,
     };
     let audit = AuditSettings::default();
     let audit = AuditSettings {
@@ -91,71 +96,73 @@
     Ok(SignallingPoint::new(own_point, vec![(far_point, 1..1 + circuits)], trunks))
 }
 
-/// One end as the players see it.
-struct Player {
+/// One exchange and the callers and callees behind it.
+struct Endpoint {
     exchange: Exchange,
     events: mpsc::Receiver<Output>,
-    /// Its own call of this round, until it is over; and whether it stands.
-    own: Option<(CallKey, bool)>,
+    /// Its outgoing call of this round until it ends, and whether it was answered.
+    outgoing: Option<(CallKey, bool)>,
     incoming: BTreeSet<CallKey>,
-    /// Calls that it was told are over: each once.
-    over: BTreeSet<CallKey>,
+    /// Calls reported as ended; each may be reported once.
+    ended: BTreeSet<CallKey>,
 }
 
-const EVENTS: usize = 4_096;
-const CAUSE: u8 = 16;
+/// Capacity of the channel of events from an exchange.
+const EVENT_CAPACITY: usize = 4_096;
+/// Q.850 cause 16, normal call clearing.
+const CAUSE_NORMAL_CLEARING: u8 = 16;
 
-/// Plays all rounds; `progress` hears of each.
+/// Runs all rounds; `progress` is called with the number of completed rounds.
 ///
 /// # Errors
-/// Where something cannot start, or an exchange ends.
+/// If a socket or exchange cannot start, or an exchange stops.
 pub async fn run_rounds(
     spec: &RoundsSpec,
     mut progress: impl FnMut(u64),
 ) -> Result<RoundsTally, RoundsError> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let relay = PacketRelay::start(listener.local_addr()?, spec.lost, spec.duplicated, spec.seed).await?;
-    let start = |office, far, role| {
-        let (tell, events) = mpsc::channel(EVENTS);
-        let exchange = Exchange::start(office, far, role, tell);
-        Player { exchange, events, own: None, incoming: BTreeSet::new(), over: BTreeSet::new() }
+    let start = |signalling_point, far, role| {
+        let (events_tx, events) = mpsc::channel(EVENT_CAPACITY);
+        let exchange = Exchange::start(signalling_point, far, role, events_tx);
+        Endpoint { exchange, events, outgoing: None, incoming: BTreeSet::new(), ended: BTreeSet::new() }
     };
-    let mut players = [
-        start(office(spec, 2, 1)?, 1, SignallingRole::Listen(listener)),
-        start(office(spec, 1, 2)?, 2, SignallingRole::Connect(relay.addr)),
+    let mut endpoints = [
+        start(signalling_point(spec, 2, 1)?, 1, SignallingRole::Listen(listener)),
+        start(signalling_point(spec, 1, 2)?, 2, SignallingRole::Connect(relay.addr)),
     ];
     let mut tally = RoundsTally::default();
     let mut next = 1;
-    link_up(&mut players, &mut next).await?;
+    wait_for_link(&mut endpoints, &mut next).await?;
     for round in 0..spec.rounds {
         let began = Instant::now();
-        for player in &mut players {
-            player.offer(&mut next).await?;
+        for endpoint in &mut endpoints {
+            endpoint.offer(&mut next).await?;
         }
-        while players.iter().any(|player| player.own.is_some() || !player.incoming.is_empty()) {
-            let [one, two] = &mut players;
+        while endpoints.iter().any(|endpoint| endpoint.outgoing.is_some() || !endpoint.incoming.is_empty()) {
+            let [one, two] = &mut endpoints;
             let left = spec.caller_timeout.saturating_sub(began.elapsed());
-            let heard = tokio::select! {
+            let received = tokio::select! {
                 event = one.events.recv() => (0, event.ok_or(RoundsError::Ended)?),
                 event = two.events.recv() => (1, event.ok_or(RoundsError::Ended)?),
                 () = tokio::time::sleep(left) => break,
             };
-            players[heard.0].take(heard.0, heard.1, &mut tally).await?;
+            endpoints[received.0].handle(received.0, received.1, &mut tally).await?;
         }
-        for player in &mut players {
-            player.give_up(&mut tally).await?;
+        for endpoint in &mut endpoints {
+            endpoint.abandon(&mut tally).await?;
         }
         tally.longest_round = tally.longest_round.max(began.elapsed());
         progress(round + 1);
     }
     let closed = Instant::now();
-    let most = Duration::from_secs(1_800 / spec.timer_divisor.max(1) + 5);
-    while closed.elapsed() < most {
-        for (end, player) in players.iter_mut().enumerate() {
-            while let Ok(event) = player.events.try_recv() {
-                player.take(end, event, &mut tally).await?;
+    let idle_timeout = Duration::from_secs(1_800 / spec.timer_divisor.max(1) + 5);
+    while closed.elapsed() < idle_timeout {
+        for (end, endpoint) in endpoints.iter_mut().enumerate() {
+            while let Ok(event) = endpoint.events.try_recv() {
+                endpoint.handle(end, event, &mut tally).await?;
             }
-            tally.states[end] = player.exchange.state().await.ok_or(RoundsError::Ended)?;
+            tally.states[end] = endpoint.exchange.state().await.ok_or(RoundsError::Ended)?;
         }
         let idle = |state: &ExchangeState| {
             state.usage.iter().all(|usage| usage.outgoing + usage.incoming + usage.clearing == 0)
@@ -169,61 +176,66 @@
     Ok(tally)
 }
 
-/// Waits until calls find a circuit at both ends.
-async fn link_up(players: &mut [Player; 2], next: &mut u64) -> Result<(), RoundsError> {
-    for player in players {
+/// Waits until both exchanges can seize a circuit.
+async fn wait_for_link(endpoints: &mut [Endpoint; 2], next: &mut u64) -> Result<(), RoundsError> {
+    for endpoint in endpoints {
         loop {
-            player.offer(next).await?;
-            // One that has a circuit says nothing until the far end answers, which nobody there does yet.
-            let event = tokio::time::timeout(Duration::from_millis(50), player.events.recv()).await;
-            let Some((call, _)) = player.own.take() else { continue };
+            endpoint.offer(next).await?;
+            // A call with a circuit gets no event, since nobody handles the incoming call at the far end yet.
+            let event = tokio::time::timeout(Duration::from_millis(50), endpoint.events.recv()).await;
+            let Some((call, _)) = endpoint.outgoing.take() else { continue };
             if event == Ok(Some(Output::Ended(call, End::Unreachable))) {
                 tokio::time::sleep(Duration::from_millis(20)).await;
                 continue;
             }
-            player.exchange.send(ExchangeCommand::Release(call, CAUSE)).await;
+            endpoint.exchange.send(ExchangeCommand::Release(call, CAUSE_NORMAL_CLEARING)).await;
             break;
         }
     }
     Ok(())
 }
 
-impl Player {
+impl Endpoint {
     async fn offer(&mut self, next: &mut u64) -> Result<(), RoundsError> {
         let call = CallKey(*next);
         *next += 1;
-        self.own = Some((call, false));
+        self.outgoing = Some((call, false));
         let setup = Setup { number: Arc::from([5u8, 5, 5]), reference: Arc::from(call.0.to_be_bytes()) };
-        self.tell(ExchangeCommand::Seize(call, GroupId(0), setup, RouteChoice::First)).await
+        self.send(ExchangeCommand::Seize(call, GroupId(0), setup, RouteChoice::First)).await
     }
 
-    async fn tell(&self, what: ExchangeCommand) -> Result<(), RoundsError> {
-        self.exchange.send(what).await.then_some(()).ok_or(RoundsError::Ended)
+    async fn send(&self, command: ExchangeCommand) -> Result<(), RoundsError> {
+        self.exchange.send(command).await.then_some(()).ok_or(RoundsError::Ended)
     }
 
-    async fn take(&mut self, end: usize, event: Output, tally: &mut RoundsTally) -> Result<(), RoundsError> {
+    async fn handle(
+        &mut self,
+        end: usize,
+        event: Output,
+        tally: &mut RoundsTally,
+    ) -> Result<(), RoundsError> {
         match event {
             Output::Incoming { call, .. } => {
                 self.incoming.insert(call);
-                self.tell(ExchangeCommand::Accept(call)).await?;
-                self.tell(ExchangeCommand::Answer(call)).await?;
+                self.send(ExchangeCommand::Accept(call)).await?;
+                self.send(ExchangeCommand::Answer(call)).await?;
             }
-            Output::Answered(call) => match self.own {
+            Output::Answered(call) => match self.outgoing {
                 Some((own, false)) if own == call => {
                     tally.answered[end] += 1;
-                    self.own = None;
-                    self.tell(ExchangeCommand::Release(call, CAUSE)).await?;
+                    self.outgoing = None;
+                    self.send(ExchangeCommand::Release(call, CAUSE_NORMAL_CLEARING)).await?;
                 }
-                // It stood just when its caller gave up: the release is on its way.
+                // Answered just after the caller abandoned the call: the release has already been sent.
                 _ => {}
             },
-            Output::Ended(call, how) => {
-                if self.own.take_if(|(own, _)| *own == call).is_some() {
-                    *tally.ended.entry(format!("{how:?}")).or_default() += 1;
+            Output::Ended(call, reason) => {
+                if self.outgoing.take_if(|(own, _)| *own == call).is_some() {
+                    *tally.ended.entry(format!("{reason:?}")).or_default() += 1;
                 }
                 self.incoming.remove(&call);
-                if !self.over.insert(call) {
-                    tally.violations.push(format!("call {} ends twice: {how:?}", call.0));
+                if !self.ended.insert(call) {
+                    tally.violations.push(format!("call {} ends twice: {reason:?}", call.0));
                 }
             }
             Output::Accepted(_) | Output::Send { .. } | Output::Report { .. } => {}
@@ -231,11 +243,12 @@
         Ok(())
     }
 
-    /// Patience is over: the own call is released; what came in ends when its caller's release comes.
-    async fn give_up(&mut self, tally: &mut RoundsTally) -> Result<(), RoundsError> {
-        if let Some((call, _)) = self.own.take() {
+    /// After the caller time-out: releases the outgoing call. Incoming calls end with the release of their
+    /// caller.
+    async fn abandon(&mut self, tally: &mut RoundsTally) -> Result<(), RoundsError> {
+        if let Some((call, _)) = self.outgoing.take() {
             tally.timed_out += 1;
-            self.tell(ExchangeCommand::Release(call, CAUSE)).await?;
+            self.send(ExchangeCommand::Release(call, CAUSE_NORMAL_CLEARING)).await?;
         }
         Ok(())
     }
--- a/crates/day/src/run.rs
+++ b/crates/day/src/run.rs
@@ -1,4 +1,4 @@
-//! Plays a day on sockets.
+//! Runs a scenario on loopback sockets, and the outcome of a run, which all drivers share.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -17,51 +17,53 @@
 
 use crate::baseline::RoundRobin;
 use crate::cast::{
-    callers, class_terms, config_of, far_ends, host_of, linked, server_spec, sessions, sum_terms, texts,
-    usual, TOKEN,
+    callers, class_terms, config_of, host_of, linked, server_spec, sessions, sum_terms, texts, usual, TOKEN,
 };
 use crate::course::{Course, Hands, Listed, Pool};
 use crate::error::DayError;
 use crate::script::{Day, Policy};
 
-/// What a day came to.
+/// The result of a run.
 #[derive(Debug)]
 pub struct Outcome {
-    /// The record.
+    /// The entries of the record.
     pub lines: Vec<RecordEntry>,
-    /// The rules.
+    /// The verdict of the audit rules on the record.
     pub verdict: Verdict,
-    /// Service.
+    /// Service levels, in total, by class and by publisher.
     pub service: Service,
-    /// What all fronts did together.
+    /// Sums over all fronts, and the bounds that they exceeded.
     pub sums: Sums,
-    /// What each front counted, for comparison; nothing above rests on it.
+    /// Each front's own counters, for comparison only; no verdict depends on them.
     pub fronts: Vec<Snapshot>,
-    /// What went wrong with processes: ended unasked, or stayed behind. Empty where all ran as they should.
+    /// Processes that exited by themselves, or did not exit when asked to. Empty if there were none.
     pub process_faults: Vec<String>,
-    /// What the driver of processes says of itself: its own faults, and what crossed its net. No fault of the program.
+    /// Notes of the process driver: traffic, resource usage and its own faults, which are not faults of the
+    /// program.
     pub driver_notes: Vec<String>,
 }
 
 impl Outcome {
-    /// In which ways it failed, as one day's failure is told from another's: the rules that broke, a bound, an end
-    /// that nobody asked for.
+    /// The kinds of failure, for comparing the failures of two runs: broken rules, an exceeded bound, a
+    /// faulty process.
     pub fn failures(&self) -> BTreeSet<String> {
         let rules = self.verdict.breaches.iter().map(|breach| format!("{:?}", breach.rule));
         let bound = (!self.sums.exceeded.is_empty()).then(|| "a bound".to_owned());
-        let crashed = (!self.process_faults.is_empty()).then(|| "a process".to_owned());
-        rules.chain(bound).chain(crashed).collect()
+        let process_faults = (!self.process_faults.is_empty()).then(|| "a process".to_owned());
+        rules.chain(bound).chain(process_faults).collect()
     }
 
-    /// Whether no rule broke, no bound was passed and no process did what nobody asked of it.
+    /// Whether no rule broke, no bound was exceeded and no process was faulty.
     pub fn passed(&self) -> bool {
         self.verdict.passed() && self.sums.exceeded.is_empty() && self.process_faults.is_empty()
     }
 }
 
 const SECOND: Micros = 1_000_000;
+/// Wait before the first call, in which the links to servers come up.
+const LINK_SETUP_TIME: Duration = Duration::from_millis(200);
 
-/// A front on a thread and runtime of its own, so that it can stand still alone.
+/// A front on its own thread and runtime, so that it can be stalled alone.
 struct FrontThread {
     addrs: Addrs,
     runtime: tokio::runtime::Handle,
@@ -69,27 +71,29 @@
     ended: oneshot::Receiver<Option<Snapshot>>,
 }
 
-type Fleet = (Vec<(u32, SocketAddr)>, Option<Box<dyn baydrift_call::Policy>>);
+/// Addresses of the other fronts by ordinal, and the policy that replaces the router, if any.
+type StartOptions = (Vec<(u32, SocketAddr)>, Option<Box<dyn baydrift_call::Policy>>);
 
-fn front_thread(config: Config) -> Result<(FrontThread, oneshot::Sender<Fleet>), DayError> {
-    let (tell, told) = std::sync::mpsc::channel();
-    let (start, started) = oneshot::channel::<Fleet>();
+/// Starts a front's thread and binds its listeners; the returned sender starts the front itself.
+fn front_thread(config: Config) -> Result<(FrontThread, oneshot::Sender<StartOptions>), DayError> {
+    let (bound_tx, bound_rx) = std::sync::mpsc::channel();
+    let (start, started) = oneshot::channel::<StartOptions>();
     let (stop, stopped) = oneshot::channel::<()>();
     let (end, ended) = oneshot::channel();
     std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = match runtime {
             Ok(runtime) => runtime,
-            Err(error) => return drop(tell.send(Err(DayError::Io(error)))),
+            Err(error) => return drop(bound_tx.send(Err(DayError::Io(error)))),
         };
         runtime.block_on(async move {
             let mut bound = match Bound::bind(config).await {
                 Ok(bound) => bound,
-                Err(error) => return drop(tell.send(Err(error.into()))),
+                Err(error) => return drop(bound_tx.send(Err(error.into()))),
             };
-            let _ = tell.send(Ok((bound.addrs(), tokio::runtime::Handle::current())));
-            let Ok((fleet, policy)) = started.await else { return };
-            bound.set_fleet_addrs(fleet);
+            let _ = bound_tx.send(Ok((bound.addrs(), tokio::runtime::Handle::current())));
+            let Ok((peer_addrs, policy)) = started.await else { return };
+            bound.set_fleet_addrs(peer_addrs);
             let Ok(front) = bound.start_with_policy(policy) else { return };
             let _ = stopped.await;
             let snapshot = front.snapshot().await;
@@ -97,16 +101,17 @@
             let _ = end.send(snapshot);
         });
     });
-    let (addrs, runtime) = told.recv().map_err(|_| DayError::Ended)??;
+    let (addrs, runtime) = bound_rx.recv().map_err(|_| DayError::Ended)??;
     Ok((FrontThread { addrs, runtime, stop: Some(stop), ended }, start))
 }
 
-struct Stage {
+/// The participants of a run on sockets.
+struct SocketRun {
     recorder: Arc<Recorder>,
     servers: Vec<Server>,
-    /// Far ends, whose places come after the servers', and their names.
-    fars: Vec<(FarEnd, String)>,
-    /// By place; one for each front to a far end.
+    /// Far ends of trunk groups and their names; their numbers follow those of `servers`.
+    far_ends: Vec<(FarEnd, String)>,
+    /// Links with faults, by server number; to a far end there is one for each front.
     links: BTreeMap<usize, Vec<Link>>,
     fronts: Vec<FrontThread>,
     offers: Vec<watch::Sender<Offers>>,
@@ -114,29 +119,29 @@
     lists: mpsc::UnboundedSender<(Micros, Pool)>,
 }
 
-impl Hands for Stage {
+impl Hands for SocketRun {
     fn command(&mut self, server: usize, command: Command) {
         match server.checked_sub(self.servers.len()) {
-            Some(far) => self.fars[far].0.command(command),
+            Some(far) => self.far_ends[far].0.command(command),
             None => self.servers[server].command(command),
         }
     }
 
     fn link(&mut self, server: usize, fault: Fault) {
-        let far = server.checked_sub(self.servers.len()).and_then(|far| self.fars.get(far));
+        let far = server.checked_sub(self.servers.len()).and_then(|far| self.far_ends.get(far));
         let held = |held| far.map(|(_, client)| RecordEvent::Held { client: client.clone(), held });
         if fault.stalled_back {
-            held(true).into_iter().for_each(|moment| self.recorder.put(moment));
+            held(true).into_iter().for_each(|event| self.recorder.put(event));
         }
         self.links.get(&server).into_iter().flatten().for_each(|link| link.set(fault));
         if !fault.stalled_back {
-            held(false).into_iter().for_each(|moment| self.recorder.put(moment));
+            held(false).into_iter().for_each(|event| self.recorder.put(event));
         }
     }
 
     fn offer(&mut self, front: usize, offers: &Offers) {
         if front == 0 {
-            self.fars.iter().for_each(|(far, _)| far.offer(offers.factor));
+            self.far_ends.iter().for_each(|(far, _)| far.offer(offers.factor));
         }
         self.offers[front].send_replace(offers.clone());
     }
@@ -145,7 +150,7 @@
         let (recorder, ordinal) = (self.recorder.clone(), front as u32);
         self.fronts[front].runtime.spawn(async move {
             recorder.put(RecordEvent::Stall { front: ordinal, us: span });
-            // The whole thread of this front stands still, as a stopped process does.
+            // Blocks the whole thread of this front, like a stopped process.
             std::thread::sleep(Duration::from_micros(span));
         });
     }
@@ -158,12 +163,12 @@
         let _ = self.lists.send((due, pool.clone()));
     }
 
-    fn record(&mut self, moment: RecordEvent) {
-        self.recorder.put(moment);
+    fn record(&mut self, event: RecordEvent) {
+        self.recorder.put(event);
     }
 }
 
-/// The policy of a front, where it is not the module.
+/// The policy of a front, if it is not the router under test.
 pub(crate) fn policy_of(day: &Day, config: &Config) -> Option<Box<dyn baydrift_call::Policy>> {
     match day.policy {
         Policy::Baydrift => None,
@@ -171,7 +176,7 @@
     }
 }
 
-/// What a record came to.
+/// Evaluates a record.
 pub(crate) fn outcome(day: &Day, lines: Vec<RecordEntry>, fronts: Vec<Snapshot>) -> Outcome {
     let names: Vec<_> = day.publishers.iter().map(|p| p.name.clone()).collect();
     Outcome {
@@ -185,13 +190,14 @@
     }
 }
 
-/// How long after the last call its answer may still come.
-pub(crate) fn aftermath(day: &Day) -> Micros {
+/// How long to wait after the last call for outstanding answers: the longest caller time-out and a margin.
+pub(crate) fn settle_time(day: &Day) -> Micros {
     day.classes.iter().map(|class| class.gives_up).max().unwrap_or(0) + SECOND / 2
 }
 
-/// Follows a day's course by the machine's clock until its callers stop; `progress` hears of each second and trouble.
-pub(crate) async fn follow(
+/// Executes the schedule of a run in real time until its callers stop; `progress` is called once a second and
+/// for each fault.
+pub(crate) async fn drive_schedule(
     day: &Day,
     recorder: &Recorder,
     hands: &mut impl Hands,
@@ -213,10 +219,10 @@
     course.close(hands);
 }
 
-/// Plays a day; `progress` hears of each second and trouble.
+/// Runs a scenario on loopback sockets; `progress` is called once a second and for each fault.
 ///
 /// # Errors
-/// Where something cannot start.
+/// If a participant cannot start, or the scenario needs processes.
 pub async fn run_on_sockets(day: &Day, mut progress: impl FnMut(f64, &str)) -> Result<Outcome, DayError> {
     day.without_processes()?;
     let recorder = Arc::new(Recorder::default());
@@ -225,28 +231,28 @@
         let seed = day.seed * 100 + number as u64;
         servers.push(Server::start(server_spec(day, number), recorder.clone(), seed).await?);
     }
-    let mut fars = Vec::new();
-    for spec in far_ends(day) {
+    let mut far_ends = Vec::new();
+    for spec in crate::cast::far_ends(day) {
         let (host, seed) = (spec.host.clone(), day.seed * 100 + u64::from(spec.number));
-        fars.push((FarEnd::start(spec, recorder.clone(), seed).await?, host));
+        far_ends.push((FarEnd::start(spec, recorder.clone(), seed).await?, host));
     }
-    // Where each front finds each server: at the server, or at a link with faults before it.
-    let there = |number: usize, front: u32| match number.checked_sub(servers.len()) {
-        Some(far) => fars[far].0.addrs[&front],
+    // The address at which each front reaches each server: its own, or that of a link with faults in between.
+    let server_addr = |number: usize, front: u32| match number.checked_sub(servers.len()) {
+        Some(far) => far_ends[far].0.addrs[&front],
         None => servers[number].addr,
     };
-    let (faulty, mut links) = (linked(day), BTreeMap::<usize, Vec<Link>>::new());
+    let (linked_servers, mut links) = (linked(day), BTreeMap::<usize, Vec<Link>>::new());
     let mut addrs = vec![Vec::new(); day.fronts as usize];
     for number in 0..day.servers.rates.len() {
         for front in 0..day.fronts {
-            let mut addr = there(number, front);
-            if faulty.contains(&number) {
-                let of_it = links.entry(number).or_default();
-                if of_it.is_empty() || number >= servers.len() {
+            let mut addr = server_addr(number, front);
+            if linked_servers.contains(&number) {
+                let server_links = links.entry(number).or_default();
+                if server_links.is_empty() || number >= servers.len() {
                     let fault = Fault { delay: day.servers.link_delay, ..Fault::default() };
-                    of_it.push(Link::start(addr, fault).await?);
+                    server_links.push(Link::start(addr, fault).await?);
                 }
-                addr = of_it[of_it.len() - 1].addr;
+                addr = server_links[server_links.len() - 1].addr;
             }
             addrs[front as usize].push(addr);
         }
@@ -260,7 +266,7 @@
         fronts.push(front);
         starts.push((start, policy));
     }
-    // Each pair of fronts speaks over a relay that can lose what they say.
+    // Each pair of fronts communicates over a relay that can lose datagrams.
     let fleet: Vec<_> =
         fronts.iter().enumerate().filter_map(|(i, f)| f.addrs.fleet.map(|addr| (i as u32, addr))).collect();
     let (mut relays, mut others) = (Vec::new(), vec![Vec::new(); fronts.len()]);
@@ -276,59 +282,60 @@
     for ((start, policy), others) in starts.into_iter().zip(others) {
         let _ = start.send((others, policy));
     }
-    let (lists, pushed) = mpsc::unbounded_channel();
+    let (lists, pending_lists) = mpsc::unbounded_channel();
     let pools: Vec<_> = fronts.iter().map(|front| front.addrs.pool).collect();
-    tokio::spawn(list_service(recorder.clone(), pools, pushed));
+    tokio::spawn(list_service(recorder.clone(), pools, pending_lists));
 
-    // Server links come up before the first call does.
-    tokio::time::sleep(Duration::from_millis(200)).await;
-    let (mut all, mut text_all, mut offers) = (Vec::new(), Vec::new(), Vec::new());
+    tokio::time::sleep(LINK_SETUP_TIME).await;
+    let (mut session_callers, mut text_callers, mut offers) = (Vec::new(), Vec::new(), Vec::new());
     for (ordinal, front) in fronts.iter().enumerate() {
-        let (tell, told) = watch::channel(usual(day));
+        let (offers_tx, offers_rx) = watch::channel(usual(day));
         let text_addr = front.addrs.text_udp;
         for ((spec, seed), addr) in
             texts(day, ordinal as u32).into_iter().filter_map(|spec| Some((spec, text_addr?)))
         {
-            // Text goes by a relay that loses datagrams; the front knows the client by the relay's address.
+            // Text clients use a relay that can lose datagrams; the front sees the relay's address as the
+            // client's.
             let lossy = day.datagrams_lost > 0.0;
-            let watched =
+            let recorded =
                 lossy.then(|| RecordedClient { client: spec.mid.clone(), recorder: recorder.clone() });
-            let relay = DatagramRelay::start(seed, watched).await?;
+            let relay = DatagramRelay::start(seed, recorded).await?;
             relay.to(addr);
             relay.lose(day.datagrams_lost);
             if lossy {
                 recorder.put(RecordEvent::Lossy { client: spec.mid.clone() });
             }
-            let (told, recorder) = (told.clone(), recorder.clone());
-            text_all.push((TextCaller::start(spec, relay.addr, told, recorder, seed).await?, relay));
+            let (offers_rx, recorder) = (offers_rx.clone(), recorder.clone());
+            text_callers.push((TextCaller::start(spec, relay.addr, offers_rx, recorder, seed).await?, relay));
         }
         let (spec, seed) = callers(day, ordinal as u32);
-        all.push(Caller::start(spec, front.addrs.diameter, told, recorder.clone(), seed));
-        offers.push(tell);
+        session_callers.push(Caller::start(spec, front.addrs.diameter, offers_rx, recorder.clone(), seed));
+        offers.push(offers_tx);
     }
-    let mut stage = Stage { recorder: recorder.clone(), servers, fars, links, fronts, offers, relays, lists };
-    stage.fars.iter().for_each(|(far, _)| far.offer(1.0));
-    follow(day, &recorder, &mut stage, &mut progress).await;
-    tokio::time::sleep(Duration::from_micros(aftermath(day))).await;
+    let mut run =
+        SocketRun { recorder: recorder.clone(), servers, far_ends, links, fronts, offers, relays, lists };
+    run.far_ends.iter().for_each(|(far, _)| far.offer(1.0));
+    drive_schedule(day, &recorder, &mut run, &mut progress).await;
+    tokio::time::sleep(Duration::from_micros(settle_time(day))).await;
     let lines = recorder.lines();
-    drop((all, text_all));
+    drop((session_callers, text_callers));
     let mut snapshots = Vec::new();
-    for front in &mut stage.fronts {
+    for front in &mut run.fronts {
         if let Some(stop) = front.stop.take() {
             let _ = stop.send(());
         }
     }
-    for front in stage.fronts {
+    for front in run.fronts {
         snapshots.push(front.ended.await.ok().flatten().ok_or(DayError::Ended)?);
     }
     Ok(outcome(day, lines, snapshots))
 }
 
-/// The list is pushed again so often to whoever may have missed it, a front that has started anew above all; one that
-/// has it turns it down.
-const PUSHED_AGAIN: Duration = Duration::from_millis(400);
+/// Interval at which the current list is pushed again, for fronts that missed it, such as a restarted one; a
+/// front that has it already rejects it.
+const REPUSH_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Pushes each list to every front when its time has come, and the last one again and again.
+/// Pushes each list to every front when it is due, and repeats the latest one periodically.
 pub(crate) async fn list_service(
     recorder: Arc<Recorder>,
     fronts: Vec<Option<SocketAddr>>,
@@ -336,33 +343,34 @@
 ) {
     let mut version = 0u64;
     let mut last: Option<Pool> = None;
-    let taken: Taken = Arc::default();
+    let accepted: Accepted = Arc::default();
     loop {
         let next = tokio::select! {
             next = lists.recv() => next,
-            () = tokio::time::sleep(PUSHED_AGAIN), if last.is_some() => {
-                last.iter().for_each(|pool| push_to_all(&recorder, &fronts, version, pool, &taken));
+            () = tokio::time::sleep(REPUSH_INTERVAL), if last.is_some() => {
+                last.iter().for_each(|pool| push_to_all(&recorder, &fronts, version, pool, &accepted));
                 continue;
             }
         };
         let Some((due, pool)) = next else { return };
         tokio::time::sleep(Duration::from_micros(due.saturating_sub(recorder.now()))).await;
         version += 1;
-        push_to_all(&recorder, &fronts, version, &pool, &taken);
+        push_to_all(&recorder, &fronts, version, &pool, &accepted);
         last = Some(pool);
     }
 }
 
-/// By front: the newest list that it is known to have taken, and when that was heard.
-type Taken = Arc<Mutex<BTreeMap<usize, (u64, Micros)>>>;
+/// By front: the newest list version that it is known to have accepted, and when the acceptance was received.
+type Accepted = Arc<Mutex<BTreeMap<usize, (u64, Micros)>>>;
 
-/// Each front is pushed to by itself; who takes the list was told, and when is on record.
+/// Pushes a list to each front independently and records the readiness reported to each front that accepts
+/// it.
 fn push_to_all(
     recorder: &Arc<Recorder>,
     fronts: &[Option<SocketAddr>],
     version: u64,
     pool: &Pool,
-    taken: &Taken,
+    accepted: &Accepted,
 ) {
     let now = recorder.now();
     let servers: Vec<_> = pool
@@ -377,24 +385,25 @@
     for (front, addr) in fronts.iter().enumerate() {
         let Some(addr) = addr else { continue };
         let (recorder, states, list, addr) = (recorder.clone(), pool.clone(), list.clone(), *addr);
-        let last = taken.clone();
+        let last = accepted.clone();
         tokio::spawn(async move {
             let begun = recorder.now();
             if push(addr, TOKEN, &list).await == 200 {
-                let taken = recorder.now();
+                let accepted = recorder.now();
                 let mut last = last.lock().unwrap_or_else(PoisonError::into_inner);
                 let (newest, since) = last.get(&front).copied().unwrap_or_default();
                 if version < newest {
-                    // Heard of only after a newer one, which the front took later.
+                    // This acceptance arrived after that of a newer list.
                     return;
                 }
-                last.insert(front, (version, taken));
+                last.insert(front, (version, accepted));
                 let begun = begun.max(since);
                 for (server, (state, _)) in states.iter().enumerate() {
                     let (server, front, ready) = (server as u16, front as u32, *state == Listed::Ready);
-                    // When within that time it was told nobody saw: what it must not do any more counts from the
-                    // end, and what it may do again from the begin.
-                    let at = if ready { begun } else { taken };
+                    // The front received the list at an unknown time between `begun` and `accepted`: a
+                    // withdrawal takes effect for the audit at the end of that interval, a readiness at its
+                    // start.
+                    let at = if ready { begun } else { accepted };
                     recorder.add(RecordEntry {
                         at,
                         event: RecordEvent::ReadinessReported { server, front, ready, by_list: true },
