--- a/crates/cli/src/day.rs
+++ b/crates/cli/src/day.rs
@@ -147,7 +147,7 @@
 /// Writes the record where `--record` asks for it, or where the day failed; then also prints its path, the
 /// command that runs the day again, and the fault schedule.
 fn save_record(args: &Args, day: &Scenario, outcome: &Outcome) -> miette::Result<()> {
-    let passed = outcome.good();
+    let passed = outcome.passed();
     let path = match &args.record {
         Some(path) if args.seeds == 1 => path.clone(),
         _ if passed => return Ok(()),
@@ -185,7 +185,7 @@
         let outcome = baydrift_day::run_virtual(&day, |_, _| {}).into_diagnostic()?;
         let mut summary = summary.lock().unwrap_or_else(PoisonError::into_inner);
         summary.add(&outcome);
-        if !outcome.good() {
+        if !outcome.passed() {
             save_record(args, &day, &outcome)?;
             print!("{}", baydrift_day::table(&outcome.verdict, &outcome.service));
         }
@@ -217,7 +217,7 @@
     fn add(&mut self, outcome: &Outcome) {
         let verdict = &outcome.verdict;
         self.days += 1;
-        self.failed += u64::from(!outcome.good());
+        self.failed += u64::from(!outcome.passed());
         self.calls += verdict.calls;
         self.answered += verdict.answered;
         self.set_ups += verdict.set_ups;
@@ -295,9 +295,9 @@
             println!("  front {front} held back {held:?}");
         }
     }
-    outcome.driver.iter().for_each(|fault| println!("  the driver: {fault}"));
-    outcome.crashed.iter().for_each(|crash| println!("  {crash}"));
-    let good = outcome.good();
+    outcome.driver_notes.iter().for_each(|fault| println!("  the driver: {fault}"));
+    outcome.process_faults.iter().for_each(|crash| println!("  {crash}"));
+    let good = outcome.passed();
     if let Some(times) = args.shorten.filter(|_| !good) {
         shorten(&args, &day, &outcome, times, logs.as_deref()).await?;
     }
@@ -321,13 +321,13 @@
     } else if let Some(logs) = logs {
         let program = Program {
             path: std::env::current_exe().into_diagnostic()?,
-            fronts_by: args.fronts_by.clone(),
-            logs: logs.to_owned(),
+            front_program: args.fronts_by.clone(),
+            log_dir: logs.to_owned(),
             log_level: "warn".to_owned(),
         };
         baydrift_day::run_processes(day, program, progress).await
     } else {
-        baydrift_day::run(day, progress).await
+        baydrift_day::run_on_sockets(day, progress).await
     };
     outcome.into_diagnostic()
 }
@@ -387,7 +387,7 @@
 
 /// Runs one participant of a day in this process; the driver sends its role on standard input.
 pub async fn stand_in() -> miette::Result<ExitCode> {
-    Ok(match baydrift_day::play_role().await {
+    Ok(match baydrift_day::run_stand_in().await {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("baydrift stand-in: {error}");
--- a/crates/day/src/bench.rs
+++ b/crates/day/src/bench.rs
@@ -1,22 +1,22 @@
-//! The troubles of one of the operators' bench's day files, as a script.
+//! Converts a day file of the operators' bench to a scenario.
 
 use serde::Deserialize;
 
 use crate::scenario::{Class, FaultKind, Policy, Publisher, Scenario, ScheduledFault, Servers};
 
-/// Why a day file cannot be played.
+/// A day file that cannot be converted.
 #[derive(Debug, thiserror::Error)]
 pub enum BenchError {
-    /// It is no day file.
+    /// It is not JSON, or does not have the layout of a day file.
     #[error("not a day file: {0}")]
     Json(#[from] serde_json::Error),
-    /// It has nothing to play.
+    /// A required list or sum of the file is empty.
     #[error("the day has no {0}")]
     Empty(&'static str),
 }
 
 #[derive(Deserialize)]
-struct File {
+struct DayFile {
     length: f64,
     noise: u64,
     traffic: Traffic,
@@ -27,8 +27,9 @@
     servers: Vec<ServerFile>,
     balancers: Vec<serde_json::Value>,
     tiers: Vec<Tier>,
-    troubles: Vec<TroubleFile>,
-    fam: Family,
+    troubles: Vec<FaultFile>,
+    #[serde(rename = "fam")]
+    family: Family,
     net: Net,
 }
 
@@ -100,7 +101,7 @@
 }
 
 #[derive(Deserialize)]
-struct TroubleFile {
+struct FaultFile {
     kind: String,
     at: f64,
     len: f64,
@@ -109,45 +110,47 @@
     on: Vec<usize>,
 }
 
-/// How busy servers are at the planned load.
-const PLANNED_BUSY: f64 = 0.8;
+/// Utilisation of the servers at the planned load.
+const PLANNED_UTILISATION: f64 = 0.8;
 
-/// A day of one bench file, with its calls and servers scaled together to so many calls a second (`None`: as in
-/// the file) and its fronts to at most so many. What cannot be said on sockets is named in the list beside it.
+/// Converts a bench file to a scenario. Calls and server rates are scaled together to `calls_per_s` (`None`:
+/// as in the file), and at most `max_fronts` fronts are used. The second element lists what the scenario does
+/// not reproduce.
 ///
 /// # Errors
-/// Where the file is none, or has nothing to play.
+/// If the text is not a day file, or lacks a tier, a server kind or server capacity.
 pub fn from_bench(
     text: &str,
     calls_per_s: Option<f64>,
-    most_fronts: u32,
+    max_fronts: u32,
 ) -> Result<(Scenario, Vec<String>), BenchError> {
-    let file: File = serde_json::from_str(text)?;
+    let file: DayFile = serde_json::from_str(text)?;
     let tier = file.tiers.first().ok_or(BenchError::Empty("tier"))?;
     let kind = tier.kinds.first().ok_or(BenchError::Empty("server kind"))?;
     let speeds: f64 = file.servers.iter().map(|server| server.speed).sum();
-    if speeds <= 0.0 || file.fam.capacity <= 0.0 {
+    if speeds <= 0.0 || file.family.capacity <= 0.0 {
         return Err(BenchError::Empty("server capacity"));
     }
     let mut skipped = Vec::new();
-    // The bench counts load against its servers' whole capacity, releases and all.
+    // The bench relates load to the whole capacity of its servers, including releases.
     let load = file.traffic.load.max(0.01);
-    let offered = calls_per_s.unwrap_or(file.fam.capacity * load);
+    let offered = calls_per_s.unwrap_or(file.family.capacity * load);
     let capacity = offered / load;
-    let fronts = (file.balancers.len() as u32).clamp(1, most_fronts.max(1));
+    let fronts = (file.balancers.len() as u32).clamp(1, max_fronts.max(1));
     if fronts < file.balancers.len() as u32 {
         skipped.push(format!("{} fronts of {} are played", fronts, file.balancers.len()));
     }
-    // A server's speed over the work of a set-up is what it can set up; the file does not tell what else a call
-    // costs, but servers are planned to be busy for 0.71 to 0.88 of their time: the middle of that gives it.
+    // A server's set-up rate is its speed divided by the work of a set-up. The file does not state the other
+    // costs of a call; they follow from the planned utilisation of servers, 0.71 to 0.88, of which the middle
+    // is used.
     let work_s = file.classes.first().map_or(0.002, |class| class.work / 1e6);
-    let set_ups: f64 = speeds / work_s;
-    let release = (PLANNED_BUSY * set_ups / file.fam.capacity - 1.0).max(0.0);
-    let scale = capacity / file.fam.capacity;
+    let set_up_rate: f64 = speeds / work_s;
+    let release = (PLANNED_UTILISATION * set_up_rate / file.family.capacity - 1.0).max(0.0);
+    let scale = capacity / file.family.capacity;
     let classes = file.classes.iter().enumerate().map(|(index, class)| Class {
         name: class.name.clone(),
         share: class.share,
-        hold: file.fam.hold.get(index).copied().unwrap_or(8e6) as u64,
+        hold: file.family.hold.get(index).copied().unwrap_or(8e6) as u64,
         aim: class.aim as u64,
         deadline: class.deadline as u64,
         caller_timeout: ((class.deadline * file.clients.try_share) as u64).max(200_000),
@@ -173,8 +176,8 @@
         servers: Servers {
             rates: file.servers.iter().map(|s| scale * s.speed / work_s).collect(),
             release,
-            refusal: file.fam.reject,
-            max_wait: file.fam.queue as u64,
+            refusal: file.family.reject,
+            max_wait: file.family.queue as u64,
             cold_from: kind.cold_from,
             warm_up_time: kind.cold as u64,
             fall_multiple: 2.0,
@@ -192,20 +195,29 @@
             .iter()
             .map(|t| Publisher { name: t.name.clone(), share: t.traffic, quota: t.quota * offered })
             .collect(),
-        faults: file.troubles.iter().flat_map(|t| trouble(t, &file, fronts as usize, &mut skipped)).collect(),
+        faults: file
+            .troubles
+            .iter()
+            .flat_map(|t| faults_of(t, &file, fronts as usize, &mut skipped))
+            .collect(),
     };
     Ok((day, skipped))
 }
 
-fn trouble(from: &TroubleFile, file: &File, fronts: usize, skipped: &mut Vec<String>) -> Vec<ScheduledFault> {
+fn faults_of(
+    from: &FaultFile,
+    file: &DayFile,
+    fronts: usize,
+    skipped: &mut Vec<String>,
+) -> Vec<ScheduledFault> {
     let (at, span) = (from.at as u64, from.len as u64);
-    let one = |what| vec![ScheduledFault { at, duration: span, kind: what }];
+    let single = |what| vec![ScheduledFault { at, duration: span, kind: what }];
     let each = |make: &dyn Fn(usize) -> FaultKind| -> Vec<ScheduledFault> {
         let known = from.on.iter().filter(|server| **server < file.servers.len());
         known.map(|server| ScheduledFault { at, duration: span, kind: make(*server) }).collect()
     };
     match from.kind.as_str() {
-        "burst" => one(FaultKind::Burst { factor: from.size.max(0.1) }),
+        "burst" => single(FaultKind::Burst { factor: from.size.max(0.1) }),
         "crash" => each(&|server| FaultKind::Die { server, back_after: Some(span.max(1_000_000)) }),
         "deploy" => {
             let step = span / from.on.len().max(1) as u64;
@@ -222,16 +234,16 @@
         }
         "slow" | "ageing" => each(&|server| FaultKind::Slow { server, factor: from.size.max(1.0) }),
         "pauses" => each(&|server| FaultKind::Pause { server }),
-        "peer_down" => one(FaultKind::MessagesLost { share: 1.0 }),
+        "peer_down" => single(FaultKind::MessagesLost { share: 1.0 }),
         "answer_lost" => each(&|server| FaultKind::LoseAnswers { server, share: from.size.clamp(0.0, 1.0) }),
-        "hot_key" => one(FaultKind::Hot { share: from.size.clamp(0.0, 1.0) }),
-        "reconnect" => one(FaultKind::Cut { share: from.size.clamp(0.0, 1.0) }),
-        "retry_abuse" => one(FaultKind::Redials {
+        "hot_key" => single(FaultKind::Hot { share: from.size.clamp(0.0, 1.0) }),
+        "reconnect" => single(FaultKind::Cut { share: from.size.clamp(0.0, 1.0) }),
+        "retry_abuse" => single(FaultKind::Redials {
             times: from.size.clamp(1.0, 20.0) as u32,
             wait: (from.extra * 1e6).clamp(50_000.0, 5e6) as u64,
         }),
         "discovery_stale" => {
-            one(FaultKind::ListLag { lag: (from.size.max(1.0) * file.discovery.notice) as u64 })
+            single(FaultKind::ListLag { lag: (from.size.max(1.0) * file.discovery.notice) as u64 })
         }
         "balancer_stall" => {
             let fronts = from.on.iter().filter(|front| **front < fronts);
--- a/crates/day/src/lib.rs
+++ b/crates/day/src/lib.rs
@@ -1,4 +1,4 @@
-//! Scripted runs: a scenario defines fronts, servers, callers and scheduled faults. [`run`] plays it on
+//! Scripted runs: a scenario defines fronts, servers, callers and scheduled faults. [`run_on_sockets`] plays it on
 //! loopback sockets with real fronts, [`run_processes`] with separate processes, [`run_virtual`] in virtual
 //! time without sockets; [`Outcome`] is the audit of the run's record.
 
@@ -20,10 +20,10 @@
 pub use bench::{from_bench, BenchError};
 pub use emulated::run_virtual;
 pub use error::ScenarioError;
-pub use processes::{play_role, run_processes, Program, RoleError};
+pub use processes::{run_processes, run_stand_in, Program, StandInError};
 pub use random::{with_random_faults, with_random_process_faults};
-pub use rounds::{rounds, RoundsError, RoundsSpec, RoundsTally};
-pub use run::{run, Outcome};
+pub use rounds::{run_rounds, RoundsError, RoundsSpec, RoundsTally};
+pub use run::{run_on_sockets, Outcome};
 pub use scenario::{
     parse, parse_schedule, Bounds, Class, FaultKind, Participant, Policy, Publisher, ResourceLimit, Scenario,
     ScheduledFault, Servers, Start,
--- a/crates/day/tests/emulated.rs
+++ b/crates/day/tests/emulated.rs
@@ -55,7 +55,7 @@
     for seed in [7, 37, 100, 258, 269] {
         let scenario = with_random_process_faults(&scenario("fleet.kdl", text, seed));
         let outcome = play(&scenario);
-        assert!(outcome.good(), "seed {seed}: {:?} {:?}", outcome.verdict.breaches, outcome.sums.exceeded);
+        assert!(outcome.passed(), "seed {seed}: {:?} {:?}", outcome.verdict.breaches, outcome.sums.exceeded);
         assert!(outcome.lines.iter().any(|line| matches!(line.event, RecordEvent::FrontKilled { .. })));
         assert_eq!(bytes(&outcome), bytes(&play(&scenario)));
     }
--- a/crates/day/tests/trunks.rs
+++ b/crates/day/tests/trunks.rs
@@ -3,7 +3,7 @@
 mod injection;
 
 use baydrift_audit::{Excuse, RecordEvent};
-use baydrift_day::{parse, run, run_virtual, with_random_faults, Outcome, Scenario};
+use baydrift_day::{parse, run_on_sockets, run_virtual, with_random_faults, Outcome, Scenario};
 
 fn scenario(seed: u64) -> Scenario {
     Scenario {
@@ -68,7 +68,9 @@
                 class \"c\" hold=\"400ms\" aim=\"2s\" gives-up=\"3s\"\npublisher \"p\"\n\
                 link-down at=\"1s\" server=1 for=\"400ms\"\n\
                 die at=\"2s\" server=2 back-after=\"300ms\"\n";
-    let outcome = run(&parse("trunks.kdl", text).expect("a valid scenario"), |_, _| {}).await.expect("a run");
+    let outcome = run_on_sockets(&parse("trunks.kdl", text).expect("a valid scenario"), |_, _| {})
+        .await
+        .expect("a run");
     assert!(outcome.verdict.passed(), "{:?}", outcome.verdict.breaches);
     let over_trunk = |event: &RecordEvent| matches!(event, RecordEvent::SetUp { server: 1 | 2, .. });
     assert!(outcome.lines.iter().filter(|line| over_trunk(&line.event)).count() > 20);
