--- a/crates/cli/src/trunks.rs
+++ b/crates/cli/src/trunks.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use baydrift::interface::Micros;
-use baydrift_day::{run_rounds, RoundsSpec};
+use baydrift_day::RoundsSpec;
 use baydrift_emulator::{TwoEnds, TwoEndsSpec};
 use baydrift_trunk::rules::Selection;
 use baydrift_trunk::AuditSettings;
@@ -114,7 +114,7 @@
         timer_divisor: TIMER_DIVISOR,
         seed: args.seed,
     };
-    let tally = run_rounds(&spec, |round| bar.set_position(round)).await.into_diagnostic()?;
+    let tally = baydrift_day::run_rounds(&spec, |round| bar.set_position(round)).await.into_diagnostic()?;
     bar.finish_and_clear();
     let counts = [tally.states[0].counts, tally.states[1].counts];
     let sum = |of: fn(&baydrift_trunk::Counts) -> u64| of(&counts[0]) + of(&counts[1]);
--- a/crates/day/src/emulated.rs
+++ b/crates/day/src/emulated.rs
@@ -13,7 +13,7 @@
 use crate::timeline::{FaultInjector, ListedState, Pool, ProcessFault, Timeline, CRASH_INTERVAL};
 use crate::topology::{
     diameter_callers, diameter_server_count, far_end_specs, front_config, linked_servers, normal_load,
-    server_host, server_spec, text_callers,
+    server_host, server_spec, text_caller_specs,
 };
 
 /// Virtual time before the first call, in which the links to servers come up.
@@ -141,7 +141,7 @@
         servers: (0..diameter_server_count(day)).map(|number| server_spec(day, number)).collect(),
         far_ends: far_end_specs(day),
         callers: (0..day.fronts).map(|ordinal| diameter_callers(day, ordinal)).collect(),
-        texts: (0..day.fronts).flat_map(|ordinal| text_callers(day, ordinal)).collect(),
+        texts: (0..day.fronts).flat_map(|ordinal| text_caller_specs(day, ordinal)).collect(),
         offers: normal_load(day),
         linked: linked_servers(day),
         link_delay: day.servers.link_delay,
--- a/crates/day/src/processes/mod.rs
+++ b/crates/day/src/processes/mod.rs
@@ -27,7 +27,7 @@
 use crate::run::{drive_schedule, outcome, settle_time, Outcome};
 use crate::scenario::{Scenario, Start};
 use crate::topology::{
-    config_text_at, diameter_callers, diameter_server_count, normal_load, text_callers, FrontAddrs,
+    config_text_at, diameter_callers, diameter_server_count, normal_load, text_caller_specs, FrontAddrs,
 };
 
 /// A process that is not ready within this time has failed to start.
@@ -153,7 +153,7 @@
     let mut text_callers = Vec::new();
     for (ordinal, (_, places, _)) in fronts.iter().enumerate() {
         let (offers_tx, offers_rx) = watch::channel(normal_load(day));
-        for (spec, seed) in text_callers(day, ordinal as u32) {
+        for (spec, seed) in text_caller_specs(day, ordinal as u32) {
             let relay = ClientRelay::start(seed, None).await?;
             relay.to(places.text);
             let (offers_rx, recorder) = (offers_rx.clone(), recorder.clone());
--- a/crates/day/src/run.rs
+++ b/crates/day/src/run.rs
@@ -21,7 +21,7 @@
 use crate::timeline::{FaultInjector, ListedState, Pool, Timeline};
 use crate::topology::{
     class_configs, diameter_callers, diameter_server_count, front_config, linked_servers, normal_load,
-    server_host, server_spec, sum_limits, text_callers, LIST_SERVICE_TOKEN,
+    server_host, server_spec, sum_limits, text_caller_specs, LIST_SERVICE_TOKEN,
 };
 
 /// The result of a run.
@@ -236,7 +236,7 @@
         servers.push(Server::start(server_spec(day, number), recorder.clone(), seed).await?);
     }
     let mut far_ends = Vec::new();
-    for spec in crate::topology::far_ends(day) {
+    for spec in crate::topology::far_end_specs(day) {
         let (host, seed) = (spec.host.clone(), day.seed * 100 + u64::from(spec.number));
         far_ends.push((FarEnd::start(spec, recorder.clone(), seed).await?, host));
     }
@@ -296,7 +296,7 @@
         let (offers_tx, offers_rx) = watch::channel(normal_load(day));
         let text_addr = front.addrs.text_udp;
         for ((spec, seed), addr) in
-            text_callers(day, ordinal as u32).into_iter().filter_map(|spec| Some((spec, text_addr?)))
+            text_caller_specs(day, ordinal as u32).into_iter().filter_map(|spec| Some((spec, text_addr?)))
         {
             // Text clients use a relay that can lose datagrams; the front sees the relay's address as the
             // client's.
--- a/crates/day/src/topology.rs
+++ b/crates/day/src/topology.rs
@@ -240,7 +240,7 @@
 }
 
 /// The text callers of a front, one client per publisher, and their seeds.
-pub(crate) fn text_callers(scenario: &Scenario, ordinal: u32) -> Vec<(TextSpec, u64)> {
+pub(crate) fn text_caller_specs(scenario: &Scenario, ordinal: u32) -> Vec<(TextSpec, u64)> {
     let spec = caller_spec(scenario, ordinal);
     let publishers = if scenario.text_share > 0.0 { scenario.publishers.len() } else { 0 };
     let seed = scenario.seed * 10_000 + u64::from(ordinal) + 5_000;
