--- a/crates/cli/src/budgets.rs
+++ b/crates/cli/src/budgets.rs
@@ -5,7 +5,7 @@
 
 use baydrift_budget::{BorrowerConfig, EscrowConfig};
 use baydrift_emulator::{
-    drawn_troubles, share_budget, BudgetSharing, BudgetSpec, BudgetTally, BudgetTrouble, WaySpec,
+    drawn_troubles, share_budget, BudgetSharing, BudgetSpec, BudgetTally, BudgetTrouble, NetworkPathSpec,
 };
 
 use crate::seeds::on_all_cores;
@@ -69,7 +69,7 @@
         units: args.units,
         terms: terms(args),
         seeking: BorrowerConfig::default(),
-        way: WaySpec {
+        way: NetworkPathSpec {
             delay: 2_000,
             jitter: 3_000,
             lost: args.lost,
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -9,7 +9,7 @@
 use baydrift_audit::{rules, service, ClassConfig, Recorder, RuleLimits};
 use baydrift_front::Bound;
 use baydrift_standin::{
-    Caller, CallerSpec, Flow, Offers, ProcessorSpec, Server, ServerSpec, TextCaller, TextSpec,
+    Caller, CallerSpec, Flow, OfferedLoad, ProcessorSpec, Server, ServerSpec, TextCaller, TextSpec,
 };
 use miette::IntoDiagnostic;
 use tokio::sync::watch;
@@ -50,7 +50,7 @@
     let addrs = bound.addrs();
     let front = bound.start().into_diagnostic()?;
 
-    let (offers, told) = watch::channel(Offers::default());
+    let (offers, told) = watch::channel(OfferedLoad::default());
     let flow = |class: usize, context: &str, share: f64| Flow {
         class,
         publisher: 0,
@@ -59,13 +59,13 @@
         // Half of the calls come by each protocol.
         rate: args.calls_per_second * share / 2.0,
         hold: 3_000_000,
-        patience: 3_000_000,
+        caller_timeout: 3_000_000,
     };
     let callers = CallerSpec {
         host: "callers.demo.test".into(),
         realm: "demo.test".into(),
         front: (0, config.host.clone(), config.realm.clone()),
-        to_realm: config.realm.clone(),
+        destination_realm: config.realm.clone(),
         servers: (0..SERVERS).map(|n| (format!("s{n}.demo.test"), 1.0)).collect(),
         flows: vec![flow(0, "lookup@demo.test", 0.8), flow(1, "check@demo.test", 0.2)],
         watchdog: 6_000_000,
@@ -124,19 +124,19 @@
         number,
         processor: ProcessorSpec {
             rate: 40.0,
-            release: 0.12,
-            refusal: 0.23,
-            most_wait: 2_500_000,
+            release_work: 0.12,
+            rejection_work: 0.23,
+            max_wait: 2_500_000,
             cold_from: 0.35,
-            ramp: 12_000_000,
+            warm_up_time: 12_000_000,
             fall_multiple: 2.0,
             fall_time: 1_500_000,
         },
         report_period: 300_000,
         report_delay: 100_000,
         report_noise: 0.1,
-        tells: |report| Report { wait_s: report.wait_s, ..Report::default() },
-        connections: 64,
+        reported_values: |report| Report { wait_s: report.wait_s, ..Report::default() },
+        max_connections: 64,
         watchdog: 6_000_000,
         fronts: BTreeMap::from([("front.demo.test".to_owned(), 0)]),
     }
--- a/crates/cli/src/lives.rs
+++ b/crates/cli/src/lives.rs
@@ -3,7 +3,7 @@
 use std::process::ExitCode;
 use std::sync::{Mutex, PoisonError};
 
-use baydrift_emulator::{drawn_lives, who_lives, LivesSpec, LivesTally, LivesTrouble, WaySpec};
+use baydrift_emulator::{drawn_lives, who_lives, LivesSpec, LivesTally, LivesTrouble, NetworkPathSpec};
 use baydrift_fleet::MembershipConfig;
 
 use crate::seeds::on_all_cores;
@@ -40,7 +40,7 @@
     LivesSpec {
         fronts: args.fronts,
         terms: MembershipConfig::default(),
-        way: WaySpec {
+        way: NetworkPathSpec {
             delay: 2_000,
             jitter: 10_000,
             lost: args.lost,
--- a/crates/day/src/bench.rs
+++ b/crates/day/src/bench.rs
@@ -168,7 +168,7 @@
         text: 0.0,
         datagrams_lost: 0.0,
         heeds: false,
-        net: baydrift_emulator::WaySpec::default(),
+        net: baydrift_emulator::NetworkPathSpec::default(),
         bounds: crate::script::Bounds::default(),
         servers: Servers {
             rates: file.servers.iter().map(|s| scale * s.speed / work_s).collect(),
--- a/crates/day/src/cast.rs
+++ b/crates/day/src/cast.rs
@@ -6,7 +6,7 @@
 use baydrift::interface::Report;
 use baydrift_audit::{ClassConfig, ServerCapacity, SumLimits};
 use baydrift_config::Config;
-use baydrift_emulator::{CallerSpec, FarEndSpec, Flow, Offers, ProcessorSpec, ServerSpec, TextSpec};
+use baydrift_emulator::{CallerSpec, FarEndSpec, Flow, OfferedLoad, ProcessorSpec, ServerSpec, TextSpec};
 
 use crate::error::DayError;
 use crate::script::{Bounds, Day, What};
@@ -213,13 +213,13 @@
 }
 
 /// What callers offer when there is no trouble.
-pub(crate) fn usual(day: &Day) -> Offers {
-    Offers {
+pub(crate) fn usual(day: &Day) -> OfferedLoad {
+    OfferedLoad {
         redials: day.redials,
         redial_wait: day.redial_wait,
-        again: day.again,
-        heeds: day.heeds,
-        ..Offers::default()
+        retransmit_share: day.again,
+        honours_overload_notices: day.heeds,
+        ..OfferedLoad::default()
     }
 }
 
@@ -305,19 +305,19 @@
         number: number as u16,
         processor: ProcessorSpec {
             rate: s.rates[number],
-            release: s.release,
-            refusal: s.refusal,
-            most_wait: s.most_wait,
+            release_work: s.release,
+            rejection_work: s.refusal,
+            max_wait: s.most_wait,
             cold_from: s.cold_from,
-            ramp: s.ramp,
+            warm_up_time: s.ramp,
             fall_multiple: s.fall_multiple,
             fall_time: s.fall_time,
         },
         report_period: s.report_period,
         report_delay: s.report_delay,
         report_noise: s.report_noise,
-        tells,
-        connections: 1_024,
+        reported_values: tells,
+        max_connections: 1_024,
         watchdog: day.watchdog * 4,
         fronts: (0..day.fronts).map(|o| (format!("front{o}.edge.test"), o)).collect(),
     }
@@ -338,7 +338,7 @@
                 subscription: format!("{}:caller", p.name),
                 rate: day.calls_per_s * share,
                 hold: c.hold,
-                patience: c.gives_up,
+                caller_timeout: c.gives_up,
             });
         }
     }
@@ -346,7 +346,7 @@
         host: format!("callers{ordinal}.test"),
         realm: "test".into(),
         front: (ordinal, format!("front{ordinal}.edge.test"), "edge.test".into()),
-        to_realm: "core.test".into(),
+        destination_realm: "core.test".into(),
         // A call's first choice follows what servers can do, as routes are planned.
         servers: day
             .servers
--- a/crates/day/src/course.rs
+++ b/crates/day/src/course.rs
@@ -4,7 +4,7 @@
 
 use baydrift::interface::Micros;
 use baydrift_audit::RecordEvent;
-use baydrift_emulator::{Command, Fault, Offers};
+use baydrift_emulator::{Command, LinkFault, OfferedLoad};
 use serde::{Deserialize, Serialize};
 
 use crate::cast::usual;
@@ -27,9 +27,9 @@
     /// A trouble of a server.
     fn command(&mut self, server: usize, command: Command);
     /// A server's link does this from now on.
-    fn link(&mut self, server: usize, fault: Fault);
+    fn link(&mut self, server: usize, fault: LinkFault);
     /// One front's callers offer this from now on.
-    fn offer(&mut self, front: usize, offers: &Offers);
+    fn offer(&mut self, front: usize, offers: &OfferedLoad);
     /// A front's process stands still.
     fn stall(&mut self, front: usize, span: Micros);
     /// So many messages between fronts are lost.
@@ -80,8 +80,8 @@
     pool: Pool,
     lag: Micros,
     link_delay: Micros,
-    usual: Offers,
-    offers: Vec<Offers>,
+    usual: OfferedLoad,
+    offers: Vec<OfferedLoad>,
     /// How many troubles sever a way now.
     severed: BTreeMap<(Party, Party), usize>,
 }
@@ -180,15 +180,18 @@
                 (0..self.pool.len()).for_each(|server| hands.command(server, Command::Cut(*share)));
             }
             What::LinkDown { server } => {
-                hands.link(*server, Fault { down: true, delay: self.link_delay, ..Fault::default() });
+                hands.link(*server, LinkFault { down: true, delay: self.link_delay, ..LinkFault::default() });
             }
             // Only the way back: what the front sent is then timed at the server as it was sent.
             What::LinkStalled { server } => {
-                hands.link(*server, Fault { stalled_back: true, delay: self.link_delay, ..Fault::default() });
+                hands.link(
+                    *server,
+                    LinkFault { stalled_back: true, delay: self.link_delay, ..LinkFault::default() },
+                );
                 self.each_front(hands, |front| RecordEvent::Unresponsive { server: *server as u16, front });
             }
             What::Burst { factor } => self.offers(hands, |offers| offers.factor = *factor),
-            What::Hot { share } => self.offers(hands, |offers| offers.hot = *share),
+            What::Hot { share } => self.offers(hands, |offers| offers.hot_number_share = *share),
             What::Redials { times, wait } => {
                 self.offers(hands, |offers| (offers.redials, offers.redial_wait) = (*times, *wait));
             }
@@ -224,14 +227,14 @@
             What::Slow { server, .. } => hands.command(*server, Command::Slow(1.0)),
             What::LoseAnswers { server, .. } => hands.command(*server, Command::LoseAnswers(0.0)),
             What::LinkDown { server } => {
-                hands.link(*server, Fault { delay: self.link_delay, ..Fault::default() });
+                hands.link(*server, LinkFault { delay: self.link_delay, ..LinkFault::default() });
             }
             What::LinkStalled { server } => {
-                hands.link(*server, Fault { delay: self.link_delay, ..Fault::default() });
+                hands.link(*server, LinkFault { delay: self.link_delay, ..LinkFault::default() });
                 self.each_front(hands, |front| RecordEvent::Responsive { server: *server as u16, front });
             }
             What::Burst { .. } => self.offers(hands, |offers| offers.factor = 1.0),
-            What::Hot { .. } => self.offers(hands, |offers| offers.hot = 0.0),
+            What::Hot { .. } => self.offers(hands, |offers| offers.hot_number_share = 0.0),
             What::Flood { .. } => self.offers(hands, |offers| offers.flood = None),
             What::MessagesLost { .. } => hands.lose_messages(0.0),
             What::Starve { front, of } => {
@@ -265,7 +268,7 @@
         (0..self.offers.len() as u32).for_each(|front| hands.record(moment(front)));
     }
 
-    fn offers(&mut self, hands: &mut impl Hands, change: impl Fn(&mut Offers)) {
+    fn offers(&mut self, hands: &mut impl Hands, change: impl Fn(&mut OfferedLoad)) {
         for (front, offers) in self.offers.iter_mut().enumerate() {
             change(offers);
             hands.offer(front, offers);
--- a/crates/day/src/emulated.rs
+++ b/crates/day/src/emulated.rs
@@ -3,7 +3,7 @@
 use baydrift::interface::{Micros, ServerState};
 use baydrift_audit::RecordEvent;
 use baydrift_desk::{PoolEntry, PoolList};
-use baydrift_emulator::{Command, Fault, Offers, Place, Roughness, World, WorldSpec};
+use baydrift_emulator::{Command, DelayModel, LinkFault, OfferedLoad, ProcessId, World, WorldSpec};
 use baydrift_front::{FrontError, Snapshot};
 
 use crate::cast::{callers, config_of, far_ends, host_of, linked, server_spec, sessions, texts, usual};
@@ -29,7 +29,7 @@
         while let Some((at, front)) = self.crashes.first().copied().filter(|(at, _)| *at <= until) {
             self.crashes.remove(0);
             self.world.run_until(at);
-            self.world.kill(front, Some(0));
+            self.world.kill_front(front, Some(0));
         }
         self.world.run_until(until);
     }
@@ -40,20 +40,20 @@
         self.world.command(server, command);
     }
 
-    fn link(&mut self, server: usize, fault: Fault) {
-        self.world.set_link(server, fault);
+    fn link(&mut self, server: usize, fault: LinkFault) {
+        self.world.set_link_fault(server, fault);
     }
 
-    fn offer(&mut self, front: usize, offers: &Offers) {
-        self.world.offer(Some(front), offers);
+    fn offer(&mut self, front: usize, offers: &OfferedLoad) {
+        self.world.set_offered_load(Some(front), offers);
     }
 
     fn stall(&mut self, front: usize, span: Micros) {
-        self.world.stall(front, span);
+        self.world.stall_front(front, span);
     }
 
     fn lose_messages(&mut self, share: f64) {
-        self.world.lose_messages(share);
+        self.world.set_gossip_loss(share);
     }
 
     fn list(&mut self, due: Micros, pool: &Pool) {
@@ -89,14 +89,14 @@
 
     fn process(&mut self, trouble: Process) {
         let place = |party| match party {
-            Party::Front(front) => Place::Front(front),
-            Party::Server(server) => Place::Server(server),
-            Party::List => Place::List,
+            Party::Front(front) => ProcessId::Front(front),
+            Party::Server(server) => ProcessId::Server(server),
+            Party::List => ProcessId::List,
         };
         match trouble {
             // In virtual time a process that is told to end is killed: an orderly stop is the coat's.
             Process::Stop { front, back_after, start, .. } => {
-                self.world.kill(front, back_after.map(|back| back + start.slow));
+                self.world.kill_front(front, back_after.map(|back| back + start.slow));
             }
             // A front in virtual time holds no descriptors, and its memory is the driver's.
             Process::Starve { .. } => {}
@@ -107,8 +107,8 @@
             }
             // It reads nothing either on processes; here it answers nothing.
             Process::Freeze { server, frozen } => self.world.command(server, Command::Hang(frozen)),
-            Process::Sever { from, to, severed } => self.world.sever(place(from), place(to), severed),
-            Process::Reset { server } => self.world.reset(server),
+            Process::Sever { from, to, severed } => self.world.set_blocked(place(from), place(to), severed),
+            Process::Reset { server } => self.world.reset_connections(server),
         }
     }
 }
@@ -135,18 +135,18 @@
         servers: (0..sessions(day)).map(|number| server_spec(day, number)).collect(),
         far_ends: far_ends(day),
         callers: (0..day.fronts).map(|ordinal| callers(day, ordinal)).collect(),
-        texts: (0..day.fronts).flat_map(|ordinal| texts(day, ordinal)).collect(),
-        offers: usual(day),
-        linked: linked(day),
+        text_callers: (0..day.fronts).flat_map(|ordinal| texts(day, ordinal)).collect(),
+        offered_load: usual(day),
+        faulty_links: linked(day),
         link_delay: day.servers.link_delay,
-        datagrams_lost: day.datagrams_lost,
+        datagram_loss: day.datagrams_lost,
         seed: day.seed,
-        roughness: Roughness::default(),
+        delays: DelayModel::default(),
     });
     let world = world.map_err(FrontError::Engine)?;
     let mut stage = Stage { world, version: 0, fronts: day.fronts as usize, crashes: Vec::new() };
     stage.world.run_until(WARM_UP);
-    stage.world.begin();
+    stage.world.start_callers();
     let mut course = Course::new(day, WARM_UP);
     while stage.world.now() < course.end() {
         stage.run_until(course.next());
@@ -157,7 +157,7 @@
     let end = stage.world.now() + aftermath(day);
     stage.run_until(end);
     let snapshots = (0..stage.fronts).filter_map(|front| {
-        let desk = stage.world.desk(front)?;
+        let desk = stage.world.session_layer(front)?;
         Some(Snapshot {
             counts: desk.counts().clone(),
             held: desk.held(),
@@ -167,5 +167,5 @@
         })
     });
     let snapshots = snapshots.collect();
-    Ok(outcome(day, stage.world.into_lines(), snapshots))
+    Ok(outcome(day, stage.world.into_record(), snapshots))
 }
--- a/crates/day/src/processes/net.rs
+++ b/crates/day/src/processes/net.rs
@@ -2,7 +2,7 @@
 //! datagrams, with each direction's faults its own.
 //!
 //! A process knows another one by the address of its own relay to it. What a way does to what crosses it is decided by
-//! [`Way`]; a way that is severed holds what a stream carries, as a net does whose packets are lost until it heals, and
+//! [`NetworkPath`]; a way that is severed holds what a stream carries, as a net does whose packets are lost until it heals, and
 //! loses datagrams. New connections hang on a severed way: its listener takes none and its queue is full, so that the
 //! first packets of others are dropped and sent again later.
 
@@ -16,7 +16,7 @@
 use baydrift_audit::{RecordEvent, Recorder};
 use baydrift_diameter::credit::{Ccr, RequestType};
 use baydrift_diameter::{dict, Codec, Frame};
-use baydrift_emulator::{Way, WaySpec};
+use baydrift_emulator::{NetworkPath, NetworkPathSpec};
 use bytes::BytesMut;
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::sync::{mpsc, watch};
@@ -86,7 +86,7 @@
 /// What all connections of a relay share.
 struct Inside {
     to: SocketAddr,
-    spec: WaySpec,
+    spec: NetworkPathSpec,
     seed: u64,
     shape: watch::Receiver<Shape>,
     recorder: Arc<Recorder>,
@@ -106,7 +106,7 @@
 impl Streams {
     pub(crate) async fn start(
         to: SocketAddr,
-        spec: WaySpec,
+        spec: NetworkPathSpec,
         seed: u64,
         between: Option<Between>,
         recorder: Arc<Recorder>,
@@ -182,7 +182,7 @@
     if let Some(Between { front, server }) = inside.between {
         inside.recorder.put(RecordEvent::LinkUp { server, front });
     }
-    let way = |salt: u64| Way::new(inside.spec, inside.seed ^ count.rotate_left(20) ^ salt);
+    let way = |salt: u64| NetworkPath::new(inside.spec, inside.seed ^ count.rotate_left(20) ^ salt);
     let tap = inside.between.map(|between| Tap { between, codec: Codec::default(), bytes: BytesMut::new() });
     let mut broken = shape.clone();
     let there = pump(&near, &far, way(1), &inside, |shape| shape.there, tap);
@@ -226,7 +226,7 @@
 async fn pump(
     from: &TcpStream,
     to: &TcpStream,
-    mut way: Way,
+    mut way: NetworkPath,
     inside: &Inside,
     severed: fn(&Shape) -> bool,
     mut tap: Option<Tap>,
@@ -343,7 +343,7 @@
 
 impl Datagrams {
     pub(crate) async fn start(
-        spec: WaySpec,
+        spec: NetworkPathSpec,
         seed: u64,
         fronts: [u32; 2],
         recorder: Arc<Recorder>,
@@ -358,8 +358,8 @@
         let counts = carried.clone();
         tokio::spawn(async move {
             // By direction: from the first end, from the second; with what the day's troubles lose on top.
-            let mut ways = [Way::new(spec, seed), Way::new(spec, seed ^ 0x5eed)];
-            let mut losing = Way::new(WaySpec::default(), seed);
+            let mut ways = [NetworkPath::new(spec, seed), NetworkPath::new(spec, seed ^ 0x5eed)];
+            let mut losing = NetworkPath::new(NetworkPathSpec::default(), seed);
             let mut lost_now = 0.0;
             let mut held: BTreeMap<(Micros, u64), (SocketAddr, Vec<u8>)> = BTreeMap::new();
             let (mut buffer, mut order) = (vec![0u8; 65_536], 0);
@@ -375,7 +375,7 @@
                         recorder.put(RecordEvent::GossipSent { from: fronts[side], to: fronts[1 - side], bytes: size });
                         if *share.borrow() != lost_now {
                             lost_now = *share.borrow();
-                            losing = Way::new(WaySpec { lost: lost_now, ..WaySpec::default() }, seed ^ order);
+                            losing = NetworkPath::new(NetworkPathSpec { lost: lost_now, ..NetworkPathSpec::default() }, seed ^ order);
                         }
                         let now = recorder.now();
                         if cut.borrow()[side] || losing.datagram(now, size).is_empty() {
--- a/crates/day/src/processes/stage.rs
+++ b/crates/day/src/processes/stage.rs
@@ -7,7 +7,7 @@
 
 use baydrift::interface::Micros;
 use baydrift_audit::{RecordEvent, Recorder};
-use baydrift_emulator::{Command, Fault, Offers};
+use baydrift_emulator::{Command, LinkFault, OfferedLoad};
 use serde_json::Value;
 use tokio::io::{AsyncWriteExt, BufReader, Lines};
 use tokio::process::ChildStdout;
@@ -186,7 +186,7 @@
     lists: Vec<Streams>,
     /// Between two fronts.
     pairs: Vec<(usize, usize, Datagrams)>,
-    offers: Vec<watch::Sender<Offers>>,
+    offers: Vec<watch::Sender<OfferedLoad>>,
     /// What goes on beside the course.
     tasks: JoinSet<()>,
     faults: Arc<Mutex<Vec<String>>>,
@@ -203,7 +203,7 @@
         streams: Vec<Vec<Streams>>,
         lists: Vec<Streams>,
         pairs: Vec<(usize, usize, Datagrams)>,
-        offers: Vec<watch::Sender<Offers>>,
+        offers: Vec<watch::Sender<OfferedLoad>>,
     ) -> Self {
         let seat =
             |(actor, addr)| Arc::new(Seat { now: Mutex::new(Some(actor)), addr, state: Mutex::new(1) });
@@ -403,13 +403,13 @@
         }
     }
 
-    fn link(&mut self, server: usize, fault: Fault) {
+    fn link(&mut self, server: usize, fault: LinkFault) {
         for front in &self.streams {
             front[server].shape(|shape| (shape.down, shape.back) = (fault.down, fault.stalled_back));
         }
     }
 
-    fn offer(&mut self, front: usize, offers: &Offers) {
+    fn offer(&mut self, front: usize, offers: &OfferedLoad) {
         self.offers[front].send_replace(offers.clone());
     }
 
--- a/crates/day/src/run.rs
+++ b/crates/day/src/run.rs
@@ -10,7 +10,7 @@
     rules, service, sums, RecordEntry, RecordEvent, Recorder, RuleLimits, Service, Sums, Verdict,
 };
 use baydrift_config::Config;
-use baydrift_emulator::{Command, Fault, Offers};
+use baydrift_emulator::{Command, LinkFault, OfferedLoad};
 use baydrift_front::{Addrs, Bound, Snapshot};
 use baydrift_standin::{push, Caller, DatagramRelay, FarEnd, Link, RecordedClient, Server, TextCaller};
 use tokio::sync::{mpsc, oneshot, watch};
@@ -109,7 +109,7 @@
     /// By place; one for each front to a far end.
     links: BTreeMap<usize, Vec<Link>>,
     fronts: Vec<FrontThread>,
-    offers: Vec<watch::Sender<Offers>>,
+    offers: Vec<watch::Sender<OfferedLoad>>,
     relays: Vec<DatagramRelay>,
     lists: mpsc::UnboundedSender<(Micros, Pool)>,
 }
@@ -122,7 +122,7 @@
         }
     }
 
-    fn link(&mut self, server: usize, fault: Fault) {
+    fn link(&mut self, server: usize, fault: LinkFault) {
         let far = server.checked_sub(self.servers.len()).and_then(|far| self.fars.get(far));
         let held = |held| far.map(|(_, client)| RecordEvent::Held { client: client.clone(), held });
         if fault.stalled_back {
@@ -134,7 +134,7 @@
         }
     }
 
-    fn offer(&mut self, front: usize, offers: &Offers) {
+    fn offer(&mut self, front: usize, offers: &OfferedLoad) {
         if front == 0 {
             self.fars.iter().for_each(|(far, _)| far.offer(offers.factor));
         }
@@ -243,7 +243,7 @@
             if faulty.contains(&number) {
                 let of_it = links.entry(number).or_default();
                 if of_it.is_empty() || number >= servers.len() {
-                    let fault = Fault { delay: day.servers.link_delay, ..Fault::default() };
+                    let fault = LinkFault { delay: day.servers.link_delay, ..LinkFault::default() };
                     of_it.push(Link::start(addr, fault).await?);
                 }
                 addr = of_it[of_it.len() - 1].addr;
--- a/crates/day/src/script.rs
+++ b/crates/day/src/script.rs
@@ -2,7 +2,7 @@
 
 use baydrift::interface::Micros;
 use baydrift_config::{parse_document, ConfigError, Node, Problems};
-use baydrift_emulator::WaySpec;
+use baydrift_emulator::NetworkPathSpec;
 use serde::{Deserialize, Serialize};
 
 use crate::error::DayError;
@@ -52,7 +52,7 @@
     /// Whether text clients heed notices of overload.
     pub heeds: bool,
     /// What each way between processes does, troubles apart.
-    pub net: WaySpec,
+    pub net: NetworkPathSpec,
     /// Servers.
     pub servers: Servers,
     /// Classes.
@@ -371,7 +371,7 @@
         text: 0.0,
         datagrams_lost: 0.0,
         heeds: false,
-        net: WaySpec::default(),
+        net: NetworkPathSpec::default(),
         servers: Servers::default(),
         classes: Vec::new(),
         publishers: Vec::new(),
@@ -583,9 +583,9 @@
     day.datagrams_lost = node.number("datagrams-lost", 0.0..=0.9).unwrap_or(day.datagrams_lost);
 }
 
-fn read_net(node: &Node<'_>) -> WaySpec {
+fn read_net(node: &Node<'_>) -> NetworkPathSpec {
     let share = |key| node.number(key, 0.0..=0.9).unwrap_or(0.0);
-    WaySpec {
+    NetworkPathSpec {
         delay: node.time("delay", 0..=10 * S).unwrap_or(0),
         jitter: node.time("jitter", 0..=10 * S).unwrap_or(0),
         lost: share("lost"),
--- a/crates/emulator/src/budgets.rs
+++ b/crates/emulator/src/budgets.rs
@@ -9,8 +9,8 @@
 use rand_distr::{Distribution, Exp};
 use rand_pcg::Pcg64Mcg;
 
-use crate::queue::Queue;
-use crate::way::{Way, WaySpec};
+use crate::event_queue::EventQueue;
+use crate::network_path::{NetworkPath, NetworkPathSpec};
 
 /// How the budget is shared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -52,7 +52,7 @@
     /// How a front seeks units.
     pub seeking: BorrowerConfig,
     /// Ways between fronts.
-    pub way: WaySpec,
+    pub way: NetworkPathSpec,
     /// How it is shared.
     pub sharing: BudgetSharing,
     /// Units wanted a second, by front.
@@ -128,9 +128,9 @@
 struct Fleet<'a> {
     spec: &'a BudgetSpec,
     share: Share,
-    queue: Queue<Event>,
+    queue: EventQueue<Event>,
     rng: Pcg64Mcg,
-    ways: Vec<Way>,
+    ways: Vec<NetworkPath>,
     fronts: Vec<Front>,
     /// When units were spent, within the window.
     window: VecDeque<Micros>,
@@ -161,11 +161,11 @@
         heard: vec![0; spec.fronts as usize],
     };
     let fronts: Vec<_> = (0..spec.fronts).map(|_| front(&mut rng)).collect();
-    let ways = (0..spec.fronts).map(|n| Way::new(spec.way, spec.seed ^ u64::from(n) << 20)).collect();
+    let ways = (0..spec.fronts).map(|n| NetworkPath::new(spec.way, spec.seed ^ u64::from(n) << 20)).collect();
     let mut fleet = Fleet {
         spec,
         share: Share::new(BUDGET, spec.units, spec.fronts),
-        queue: Queue::default(),
+        queue: EventQueue::default(),
         rng,
         ways,
         fronts,
@@ -175,13 +175,13 @@
     };
     for front in 0..spec.fronts {
         let heard = fleet.rng.random_range(0..=spec.heard_within);
-        fleet.queue.at(heard, Event::Hears(front));
+        fleet.queue.schedule(heard, Event::Hears(front));
         fleet.wants(front, 0);
     }
     for (at, front, trouble) in &spec.troubles {
-        fleet.queue.at(*at, Event::Trouble(*front, *trouble));
+        fleet.queue.schedule(*at, Event::Trouble(*front, *trouble));
     }
-    while let Some(event) = fleet.queue.next(spec.span) {
+    while let Some(event) = fleet.queue.pop_until(spec.span) {
         fleet.take(event);
     }
     fleet.tally.used = fleet.used();
@@ -201,7 +201,7 @@
         let Ok(gap) = Exp::new(rate / 1e6) else { return };
         if rate > 0.0 {
             let at = self.queue.now() + gap.sample(&mut self.rng) as Micros;
-            self.queue.at(at, Event::Wants(front, process));
+            self.queue.schedule(at, Event::Wants(front, process));
         }
     }
 
@@ -224,7 +224,7 @@
         if now < at.stopped_until {
             // What waits is found on waking, before anything else is done or after it.
             let later = at.stopped_until + self.rng.random_range(0..500);
-            return self.queue.at(later, event);
+            return self.queue.schedule(later, event);
         }
         match event {
             Event::Hears(front) => self.hears(front),
@@ -234,7 +234,7 @@
             }
             Event::Wakes(front, process) => {
                 self.wakes(front);
-                self.queue.at(now + BEAT, Event::Wakes(front, process));
+                self.queue.schedule(now + BEAT, Event::Wakes(front, process));
             }
             Event::Arrives(from, to, said) => self.arrives(from, to, &said),
             Event::Trouble(..) | Event::Starts(_) => {}
@@ -253,7 +253,7 @@
         at.hand = Some((hand, Borrower::new(spec.seeking, share, front)));
         let process = at.process;
         let beat = self.rng.random_range(0..BEAT);
-        self.queue.at(self.queue.now() + beat, Event::Wakes(front, process));
+        self.queue.schedule(self.queue.now() + beat, Event::Wakes(front, process));
     }
 
     fn starts(&mut self, front: u32) {
@@ -263,7 +263,7 @@
         at.heard.fill(0);
         let process = at.process;
         let heard = self.queue.now() + self.rng.random_range(0..=self.spec.heard_within);
-        self.queue.at(heard, Event::Hears(front));
+        self.queue.schedule(heard, Event::Hears(front));
         self.wants(front, process);
     }
 
@@ -279,7 +279,7 @@
                 (at.down, at.hand, at.stopped_until) = (true, None, 0);
                 at.part.clear();
                 if let Some(back) = back {
-                    self.queue.at(now + back, Event::Starts(front));
+                    self.queue.schedule(now + back, Event::Starts(front));
                 }
             }
             BudgetTrouble::Stops(span) => at.stopped_until = at.stopped_until.max(now + span),
@@ -386,7 +386,7 @@
             return;
         }
         for at in self.ways[from as usize].datagram(now, size) {
-            self.queue.at(at, Event::Arrives(from, to, said.clone()));
+            self.queue.schedule(at, Event::Arrives(from, to, said.clone()));
         }
     }
 
--- a/crates/emulator/src/caller.rs
+++ b/crates/emulator/src/caller.rs
@@ -12,8 +12,8 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::agenda::{choice, drawn, Agenda};
-use crate::offers::{Flow, Offers};
+use crate::call_schedule::{choose_weighted, sample_exponential, CallSchedule};
+use crate::offered_load::{Flow, OfferedLoad};
 
 /// One client's callers.
 #[derive(Debug, Clone)]
@@ -25,7 +25,7 @@
     /// The front: ordinal, Origin-Host and Origin-Realm.
     pub front: (u32, String, String),
     /// Destination-Realm of calls.
-    pub to_realm: String,
+    pub destination_realm: String,
     /// Servers by number, to name as first choice, each as often as its weight says.
     pub servers: Vec<(String, f64)>,
     /// Calls.
@@ -105,9 +105,9 @@
 pub struct Callers {
     spec: CallerSpec,
     local: Arc<Local>,
-    offers: Offers,
+    offers: OfferedLoad,
     rng: Pcg64Mcg,
-    agenda: Agenda<Due>,
+    schedule: CallSchedule<Due>,
     calls: BTreeMap<String, Call>,
     by_id: BTreeMap<u32, String>,
     count: u64,
@@ -127,7 +127,7 @@
 
 impl Callers {
     /// Callers that begin with their first [`CallerInput::Tick`]; `seed` draws everything.
-    pub fn new(spec: CallerSpec, offers: Offers, seed: u64) -> Self {
+    pub fn new(spec: CallerSpec, offers: OfferedLoad, seed: u64) -> Self {
         let local = Local {
             host: spec.host.clone(),
             realm: spec.realm.clone(),
@@ -140,7 +140,7 @@
         };
         Self {
             local: Arc::new(local),
-            agenda: Agenda::new(spec.flows.len()),
+            schedule: CallSchedule::new(spec.flows.len()),
             spec,
             offers,
             rng: Pcg64Mcg::seed_from_u64(seed),
@@ -154,12 +154,12 @@
     }
 
     /// What is offered from now on.
-    pub fn offer_so(&mut self, offers: Offers) {
+    pub fn set_offered_load(&mut self, offers: OfferedLoad) {
         self.offers = offers;
     }
 
     /// Whether all calls are over and none will come.
-    pub fn is_over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         matches!(self.line, Line::Over)
     }
 
@@ -174,7 +174,7 @@
             Line::Down(at) => *at,
             Line::Connecting | Line::Over => Micros::MAX,
             Line::Open(peer, up) => {
-                let calls = if *up { self.agenda.wake() } else { Micros::MAX };
+                let calls = if *up { self.schedule.next_due() } else { Micros::MAX };
                 peer.due().min(calls).min(now.saturating_add(LOOK))
             }
         }
@@ -215,7 +215,7 @@
             let (front, client) = (self.spec.front.0, self.spec.host.clone());
             out.push(CallerOutput::Record(RecordEvent::ClientDisconnected { front, client }));
         }
-        if !self.is_over() {
+        if !self.is_finished() {
             self.line = if self.no_more() { Line::Over } else { Line::Down(now + RETRY) };
         }
     }
@@ -299,7 +299,7 @@
         }
         let first = message.number(dict::CC_REQUEST_TYPE) == Some(RequestType::Initial.value());
         out.push(CallerOutput::Send(message.clone()));
-        if first && self.rng.random::<f64>() < self.offers.again {
+        if first && self.rng.random::<f64>() < self.offers.retransmit_share {
             message.header.flags.retransmitted = true;
             let (front, call) = (self.spec.front.0, self.name(&name));
             out.push(CallerOutput::Record(RecordEvent::Retransmit { front, call }));
@@ -320,13 +320,13 @@
         let front = self.spec.front.0;
         for flow in 0..self.spec.flows.len() {
             let rate = self.spec.flows[flow].rate * self.offers.factor;
-            for _ in 0..self.agenda.calls(now, flow, rate, &mut self.rng) {
-                let choice = choice(&mut self.rng, &self.spec.servers);
-                let hot = self.rng.random::<f64>() < self.offers.hot;
+            for _ in 0..self.schedule.arrivals(now, flow, rate, &mut self.rng) {
+                let choice = choose_weighted(&mut self.rng, &self.spec.servers);
+                let hot = self.rng.random::<f64>() < self.offers.hot_number_share;
                 messages.push(self.offer(now, flow, None, 0, hot, choice, out));
             }
         }
-        while let Some(due) = self.agenda.take(now) {
+        while let Some(due) = self.schedule.pop_due(now) {
             match due {
                 Due::GiveUp(name) if self.is(&name, State::Asked) => {
                     out.push(CallerOutput::Record(RecordEvent::CallerTimeout {
@@ -335,12 +335,12 @@
                     }));
                     messages.extend(self.end(&name));
                     self.redial(now, &name);
-                    self.agenda.at(now + LINGER, Due::Forget(name));
+                    self.schedule.add(now + LINGER, Due::Forget(name));
                 }
                 Due::Hangup(name) if self.is(&name, State::Stands) => {
                     out.push(CallerOutput::Record(RecordEvent::Hangup { front, call: self.name(&name) }));
                     messages.extend(self.end(&name));
-                    self.agenda.at(now + LINGER, Due::Forget(name));
+                    self.schedule.add(now + LINGER, Due::Forget(name));
                 }
                 Due::Redial { flow, first, tries, hot, choice } if self.offers.factor > 0.0 => {
                     messages.push(self.offer(now, flow, Some(first), tries, hot, choice, out));
@@ -371,11 +371,12 @@
     ) -> Message {
         self.count += 1;
         let session = format!("{};{};{}", self.spec.host, self.local.state_id, self.count);
-        let Flow { class, publisher, context, subscription, patience, .. } = self.spec.flows[flow].clone();
+        let Flow { class, publisher, context, subscription, caller_timeout: patience, .. } =
+            self.spec.flows[flow].clone();
         let ends = Endpoints {
             origin_host: &self.spec.host,
             origin_realm: &self.spec.realm,
-            destination_realm: &self.spec.to_realm,
+            destination_realm: &self.spec.destination_realm,
             destination_host: self.spec.servers.get(choice).map(|(host, _)| host.as_str()),
         };
         let number =
@@ -398,7 +399,7 @@
             hot,
             caller_timeout_us: patience,
         }));
-        self.agenda.at(now + patience, Due::GiveUp(session.clone()));
+        self.schedule.add(now + patience, Due::GiveUp(session.clone()));
         let (state, answered, copy) = (State::Asked, false, request.clone());
         let call = Call { flow, first, tries, state, answered, hot, choice, request: copy };
         self.calls.insert(session, call);
@@ -413,7 +414,7 @@
         let ends = Endpoints {
             origin_host: &self.spec.host,
             origin_realm: &self.spec.realm,
-            destination_realm: &self.spec.to_realm,
+            destination_realm: &self.spec.destination_realm,
             destination_host: None,
         };
         Some(credit::request(ends, name, context, RequestType::Termination, 1))
@@ -434,23 +435,23 @@
         if code == result::SUCCESS {
             call.state = State::Stands;
             let hold = self.spec.flows[call.flow].hold as f64;
-            let hold = drawn(&mut self.rng, hold);
-            self.agenda.at(now + hold, Due::Hangup(name));
+            let hold = sample_exponential(&mut self.rng, hold);
+            self.schedule.add(now + hold, Due::Hangup(name));
         } else {
             call.state = State::Over;
             let advice = load::read_retry_after(message).unwrap_or(0);
             self.redial(now + advice, &name);
-            self.agenda.at(now + LINGER, Due::Forget(name));
+            self.schedule.add(now + LINGER, Due::Forget(name));
         }
     }
 
     fn redial(&mut self, now: Micros, name: &str) {
-        let wait = drawn(&mut self.rng, self.offers.redial_wait as f64);
+        let wait = sample_exponential(&mut self.rng, self.offers.redial_wait as f64);
         let Some(call) = self.calls.get(name) else { return };
         if call.tries < self.offers.redials {
             let first = call.first.clone().unwrap_or_else(|| self.name(name));
             let (flow, tries, hot, choice) = (call.flow, call.tries + 1, call.hot, call.choice);
-            self.agenda.at(now + wait, Due::Redial { flow, first, tries, hot, choice });
+            self.schedule.add(now + wait, Due::Redial { flow, first, tries, hot, choice });
         }
     }
 
@@ -463,7 +464,7 @@
                 call.state = State::Over;
                 out.push(CallerOutput::Record(RecordEvent::Dropped { front, call: name }));
                 self.redial(now, &session);
-                self.agenda.at(now + LINGER, Due::Forget(session));
+                self.schedule.add(now + LINGER, Due::Forget(session));
                 result::SUCCESS
             }
             None => result::UNKNOWN_SESSION_ID,
--- a/crates/emulator/src/far_end.rs
+++ b/crates/emulator/src/far_end.rs
@@ -13,7 +13,7 @@
 use rand_distr::{Distribution, Exp};
 use rand_pcg::Pcg64Mcg;
 
-use crate::processor::{Processor, ProcessorSpec, Taken, Work};
+use crate::processor::{EnqueueOutcome, Processor, ProcessorSpec, Work};
 use crate::server::Command;
 
 /// A REL without its RLC is said again after this (T1's least).
@@ -172,7 +172,7 @@
         if let Some(at) = self.down {
             return at;
         }
-        let cpu = self.cpu.next().filter(|_| !self.hung).unwrap_or(Micros::MAX);
+        let cpu = self.cpu.next_completion().filter(|_| !self.hung).unwrap_or(Micros::MAX);
         let ends = self.ends.map_or(Micros::MAX, |(at, _)| at);
         let offers = self.next_offer.values().min().copied().unwrap_or(Micros::MAX);
         let circuits = self.circuits.values().map(Circuit::due).min().unwrap_or(Micros::MAX);
@@ -210,7 +210,9 @@
             FarInput::Offer(factor) => self.offer(now, factor),
             FarInput::Tick => {}
         }
-        while let Some(work) = self.cpu.next().filter(|_| !self.hung).and_then(|_| self.cpu.done(now)) {
+        while let Some(work) =
+            self.cpu.next_completion().filter(|_| !self.hung).and_then(|_| self.cpu.pop_completed(now))
+        {
             self.done(now, work, out);
         }
         let due: Vec<_> = self
@@ -404,7 +406,7 @@
         let key = self.next_key;
         self.next_key += 1;
         self.asked.insert(key, (place, attempt));
-        if self.cpu.set_up(now, key) == Taken::Fell {
+        if self.cpu.set_up(now, key) == EnqueueOutcome::Overloaded {
             out.push(FarOutput::Record(RecordEvent::ServerOverloaded { server }));
         }
         if let Some(call) = own {
@@ -415,7 +417,7 @@
     fn done(&mut self, now: Micros, work: Work, out: &mut Vec<FarOutput>) {
         let (key, refused) = match work {
             Work::SetUp(key) => (key, false),
-            Work::Refuse(key) => (key, true),
+            Work::Reject(key) => (key, true),
             Work::Release(_) => return,
         };
         let Some((place, attempt)) = self.asked.remove(&key) else { return };
@@ -594,7 +596,7 @@
 
     fn command(&mut self, now: Micros, command: Command, out: &mut Vec<FarOutput>) {
         match command {
-            Command::Slow(factor) => self.cpu.set_slow(factor),
+            Command::Slow(factor) => self.cpu.set_slowdown(factor),
             Command::Pause(span) => self.cpu.pause(now + span),
             Command::Hang(hung) => self.hung = hung,
             Command::LoseAnswers(share) => self.lose = share,
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -5,34 +5,34 @@
 //! done; `baydrift-standin` puts them on sockets, [`World`] runs them without. Equal seeds give equal runs, to the
 //! byte of the record.
 
-mod agenda;
 mod budgets;
+mod call_schedule;
 mod caller;
+mod event_queue;
 mod far_end;
 mod front;
 mod link;
 mod lives;
-mod offers;
+mod network_path;
+mod offered_load;
 mod processor;
-mod queue;
 mod ramps;
 mod server;
 mod text;
 mod two_ends;
-mod way;
 mod world;
 
 pub use budgets::{drawn_troubles, share_budget, BudgetSharing, BudgetSpec, BudgetTally, BudgetTrouble};
 pub use caller::{CallerInput, CallerOutput, CallerSpec, Callers};
+pub use event_queue::EventQueue;
 pub use far_end::{FarEnd, FarEndSpec, FarInput, FarOutput};
-pub use link::Fault;
+pub use link::LinkFault;
 pub use lives::{drawn_lives, who_lives, LivesSpec, LivesTally, LivesTrouble};
-pub use offers::{Flow, Offers};
-pub use processor::{Processor, ProcessorSpec, Taken, Work};
-pub use queue::Queue;
+pub use network_path::{NetworkPath, NetworkPathSpec, RETRANSMIT_TIMEOUT};
+pub use offered_load::{Flow, OfferedLoad};
+pub use processor::{EnqueueOutcome, Processor, ProcessorSpec, Work};
 pub use ramps::{ramp, RampSpec, RampStart};
 pub use server::{Command, ConnId, ServerInput, ServerOutput, ServerSpec, SessionServer};
 pub use text::{said, TextCallers, TextOutput, TextSpec};
 pub use two_ends::{Tally, TwoEnds, TwoEndsSpec};
-pub use way::{Way, WaySpec, RESENT_AFTER};
-pub use world::{Place, Roughness, World, WorldSpec};
+pub use world::{DelayModel, ProcessId, World, WorldSpec};
--- a/crates/emulator/src/link.rs
+++ b/crates/emulator/src/link.rs
@@ -8,7 +8,7 @@
 
 /// What a link does to what crosses it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Fault {
+pub struct LinkFault {
     /// One way, microseconds.
     pub delay: Micros,
     /// Nothing passes from the initiator, and nothing is lost.
@@ -108,7 +108,7 @@
         id: u64,
         direction: usize,
         parcel: Parcel,
-        fault: Fault,
+        fault: LinkFault,
         delay: Micros,
     ) -> Option<Arrival> {
         let conn = self.conns.get_mut(&id)?;
@@ -146,7 +146,7 @@
     }
 
     /// What waited on one transport and now passes, in order.
-    pub(crate) fn freed(&mut self, id: u64, fault: Fault) -> Vec<(usize, Parcel)> {
+    pub(crate) fn freed(&mut self, id: u64, fault: LinkFault) -> Vec<(usize, Parcel)> {
         let Some(conn) = self.conns.get_mut(&id) else { return Vec::new() };
         let mut freed = Vec::new();
         for (direction, stalled) in [(THERE, fault.stalled), (BACK, fault.stalled_back)] {
--- a/crates/emulator/src/lives.rs
+++ b/crates/emulator/src/lives.rs
@@ -6,8 +6,8 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::queue::Queue;
-use crate::way::{Way, WaySpec};
+use crate::event_queue::EventQueue;
+use crate::network_path::{NetworkPath, NetworkPathSpec};
 
 /// What happens to a fleet's fronts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -32,7 +32,7 @@
     /// Its times.
     pub terms: MembershipConfig,
     /// Ways between fronts.
-    pub way: WaySpec,
+    pub way: NetworkPathSpec,
     /// For so long.
     pub span: Micros,
     /// What happens, to which front, when.
@@ -94,9 +94,9 @@
 
 struct Fleet<'a> {
     spec: &'a LivesSpec,
-    queue: Queue<Event>,
+    queue: EventQueue<Event>,
     rng: Pcg64Mcg,
-    ways: Vec<Way>,
+    ways: Vec<NetworkPath>,
     fronts: Vec<Front>,
     /// Fronts below it are parted from the others until then.
     parted: (u32, Micros),
@@ -108,22 +108,22 @@
     let front = |_| Front { process: 0, lives: None, stopped_until: 0, deaf_until: 0, mute_until: 0 };
     let mut fleet = Fleet {
         spec,
-        queue: Queue::default(),
+        queue: EventQueue::default(),
         rng: Pcg64Mcg::seed_from_u64(spec.seed),
-        ways: (0..spec.fronts).map(|n| Way::new(spec.way, spec.seed ^ u64::from(n) << 20)).collect(),
+        ways: (0..spec.fronts).map(|n| NetworkPath::new(spec.way, spec.seed ^ u64::from(n) << 20)).collect(),
         fronts: (0..spec.fronts).map(front).collect(),
         parted: (0, 0),
         tally: LivesTally::default(),
     };
     for front in 0..spec.fronts {
         let at = fleet.rng.random_range(0..1_000_000);
-        fleet.queue.at(at, Event::Starts(front, 0));
+        fleet.queue.schedule(at, Event::Starts(front, 0));
     }
     for (at, front, trouble) in &spec.troubles {
-        fleet.queue.at(*at, Event::Trouble(*front, *trouble));
+        fleet.queue.schedule(*at, Event::Trouble(*front, *trouble));
     }
-    fleet.queue.at(LOOK, Event::Look);
-    while let Some(event) = fleet.queue.next(spec.span) {
+    fleet.queue.schedule(LOOK, Event::Look);
+    while let Some(event) = fleet.queue.pop_until(spec.span) {
         fleet.take(event);
     }
     fleet.tally
@@ -137,17 +137,17 @@
             Event::Starts(front, off) => self.starts(front, off),
             Event::Look => {
                 self.look();
-                self.queue.at(now + LOOK, Event::Look);
+                self.queue.schedule(now + LOOK, Event::Look);
             }
             Event::Wakes(front, process) => {
                 let at = &mut self.fronts[front as usize];
                 let Some(lives) = at.lives.as_mut().filter(|_| at.process == process) else { return };
                 if now < at.stopped_until {
-                    return self.queue.at(at.stopped_until, Event::Wakes(front, process));
+                    return self.queue.schedule(at.stopped_until, Event::Wakes(front, process));
                 }
                 let words = lives.poll(now);
                 let wake = lives.next_wake().clamp(now + 1_000, now + BEAT);
-                self.queue.at(wake, Event::Wakes(front, process));
+                self.queue.schedule(wake, Event::Wakes(front, process));
                 words.into_iter().for_each(|(to, word)| self.say(front, to, word));
             }
             Event::Arrives(from, to, word) => {
@@ -155,7 +155,7 @@
                 if now < at.stopped_until {
                     // It lies there; some of it is read before a turn, some after.
                     let later = at.stopped_until + self.rng.random_range(0..500);
-                    return self.queue.at(later, Event::Arrives(from, to, word));
+                    return self.queue.schedule(later, Event::Arrives(from, to, word));
                 }
                 if let Some(lives) = at.lives.as_mut().filter(|_| now >= at.deaf_until) {
                     self.tally.faults += u64::from(lives.handle(now, from, &word).is_err());
@@ -177,7 +177,7 @@
             return;
         }
         for at in self.ways[from as usize].datagram(now, word.len()) {
-            self.queue.at(at, Event::Arrives(from, to, word.clone()));
+            self.queue.schedule(at, Event::Arrives(from, to, word.clone()));
         }
     }
 
@@ -192,7 +192,7 @@
         };
         let at = &mut self.fronts[front as usize];
         at.lives = Some(Membership::new(self.spec.terms, spec, now));
-        self.queue.at(now, Event::Wakes(front, at.process));
+        self.queue.schedule(now, Event::Wakes(front, at.process));
     }
 
     fn trouble(&mut self, front: u32, trouble: LivesTrouble) {
@@ -207,7 +207,8 @@
                 if at.lives.take().is_some() {
                     at.process += 1;
                     at.stopped_until = 0;
-                    back.into_iter().for_each(|back| self.queue.at(now + back, Event::Starts(front, off)));
+                    back.into_iter()
+                        .for_each(|back| self.queue.schedule(now + back, Event::Starts(front, off)));
                 }
             }
             LivesTrouble::Stops(span) => at.stopped_until = at.stopped_until.max(now + span),
--- a/crates/emulator/src/way.rs
+++ b/crates/emulator/src/network_path.rs
@@ -8,12 +8,12 @@
 
 /// What a way does to what crosses it. The default is a way without faults.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
-pub struct WaySpec {
+pub struct NetworkPathSpec {
     /// One way, microseconds.
     pub delay: Micros,
     /// More than that by up to so much, drawn for each.
     pub jitter: Micros,
-    /// Share that is lost, 0 to 1. A stream's bytes come again after [`RESENT_AFTER`].
+    /// Share that is lost, 0 to 1. A stream's bytes come again after [`RETRANSMIT_TIMEOUT`].
     pub lost: f64,
     /// Share of datagrams that come twice.
     pub doubled: f64,
@@ -25,7 +25,7 @@
 
 /// What a stream waits for bytes that were lost: the least time after which a TCP sender sends again (RFC 6298 allows
 /// 200 ms and more; common systems use 200 ms).
-pub const RESENT_AFTER: Micros = 200_000;
+pub const RETRANSMIT_TIMEOUT: Micros = 200_000;
 /// A datagram that is overtaken comes so much later.
 const OVERTAKEN_BY: Micros = 30_000;
 /// What waits for a way with a rate longer than this is lost, as in a full queue.
@@ -33,8 +33,8 @@
 
 /// A way in use.
 #[derive(Debug)]
-pub struct Way {
-    spec: WaySpec,
+pub struct NetworkPath {
+    spec: NetworkPathSpec,
     rng: Pcg64Mcg,
     /// When what was sent so far has left, for a way with a rate.
     free_at: Micros,
@@ -42,9 +42,9 @@
     last: Micros,
 }
 
-impl Way {
+impl NetworkPath {
     /// A way whose chance comes from `seed`.
-    pub fn new(spec: WaySpec, seed: u64) -> Self {
+    pub fn new(spec: NetworkPathSpec, seed: u64) -> Self {
         Self { spec, rng: Pcg64Mcg::seed_from_u64(seed), free_at: 0, last: 0 }
     }
 
@@ -80,7 +80,7 @@
     /// When bytes of a stream that are sent now arrive: never before those sent earlier.
     pub fn stream(&mut self, now: Micros, size: usize) -> Micros {
         let leaves = self.leaves(now, size);
-        let again = if self.happens(self.spec.lost) { RESENT_AFTER } else { 0 };
+        let again = if self.happens(self.spec.lost) { RETRANSMIT_TIMEOUT } else { 0 };
         self.last = self.last.max(leaves + self.late() + again);
         self.last
     }
@@ -90,20 +90,20 @@
 mod tests {
     use super::*;
 
-    fn way(spec: WaySpec) -> Way {
-        Way::new(spec, 7)
+    fn way(spec: NetworkPathSpec) -> NetworkPath {
+        NetworkPath::new(spec, 7)
     }
 
     #[test]
     fn a_way_without_faults_passes_all_at_once_and_in_order() {
-        let mut way = way(WaySpec::default());
+        let mut way = way(NetworkPathSpec::default());
         assert_eq!(way.datagram(5, 100), [5]);
         assert_eq!(way.stream(6, 100), 6);
     }
 
     #[test]
     fn shares_are_met_and_a_stream_stays_in_order() {
-        let spec = WaySpec { lost: 0.2, doubled: 0.1, jitter: 5_000, ..WaySpec::default() };
+        let spec = NetworkPathSpec { lost: 0.2, doubled: 0.1, jitter: 5_000, ..NetworkPathSpec::default() };
         let mut way = way(spec);
         let all: Vec<_> = (0..10_000).map(|i| way.datagram(i * 10, 100).len()).collect();
         let (none, two) = (all.iter().filter(|n| **n == 0).count(), all.iter().filter(|n| **n == 2).count());
@@ -115,12 +115,12 @@
             assert!(due >= last);
             last = due;
         }
-        assert!(last > 200_000 + RESENT_AFTER, "some were sent again");
+        assert!(last > 200_000 + RETRANSMIT_TIMEOUT, "some were sent again");
     }
 
     #[test]
     fn a_rate_spaces_what_crosses_and_a_full_queue_loses() {
-        let mut way = way(WaySpec { rate: 1_000, ..WaySpec::default() });
+        let mut way = way(NetworkPathSpec { rate: 1_000, ..NetworkPathSpec::default() });
         assert_eq!(way.datagram(0, 100), [100_000]);
         assert_eq!(way.datagram(0, 100), [200_000]);
         for _ in 0..4 {
--- a/crates/emulator/src/offers.rs
+++ b/crates/emulator/src/offered_load.rs
@@ -18,18 +18,18 @@
     /// Mean time that a call stands.
     pub hold: Micros,
     /// A try is given up after so long.
-    pub patience: Micros,
+    pub caller_timeout: Micros,
 }
 
 /// What can change while callers call.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Offers {
+pub struct OfferedLoad {
     /// Factor on all rates; 0 ends them.
     pub factor: f64,
     /// Share of calls that go to one number.
-    pub hot: f64,
+    pub hot_number_share: f64,
     /// Share of set-ups that are said again with the T flag at once.
-    pub again: f64,
+    pub retransmit_share: f64,
     /// Redials of each caller that was refused, failed or cut.
     pub redials: u32,
     /// Mean wait before a redial.
@@ -37,21 +37,21 @@
     /// A publisher whose text clients call so many times as often.
     pub flood: Option<(usize, f64)>,
     /// Whether text clients ask for notices of overload, and heed them.
-    pub heeds: bool,
+    pub honours_overload_notices: bool,
     /// The connection is closed once, whenever this changes, and opened again.
     pub reconnects: u32,
 }
 
-impl Default for Offers {
+impl Default for OfferedLoad {
     fn default() -> Self {
         Self {
             factor: 1.0,
-            hot: 0.0,
-            again: 0.0,
+            hot_number_share: 0.0,
+            retransmit_share: 0.0,
             redials: 2,
             redial_wait: 1_000_000,
             flood: None,
-            heeds: false,
+            honours_overload_notices: false,
             reconnects: 0,
         }
     }
--- a/crates/emulator/src/processor.rs
+++ b/crates/emulator/src/processor.rs
@@ -10,15 +10,15 @@
     /// Set-ups a second, warm and with nothing else to do.
     pub rate: f64,
     /// Work of a release.
-    pub release: f64,
+    pub release_work: f64,
     /// Work of turning a set-up away.
-    pub refusal: f64,
+    pub rejection_work: f64,
     /// A set-up is turned away once the wait passes this.
-    pub most_wait: Micros,
+    pub max_wait: Micros,
     /// Fraction of its rate at which a cold one starts.
     pub cold_from: f64,
     /// A cold one is warm after this.
-    pub ramp: Micros,
+    pub warm_up_time: Micros,
     /// A cold one that is sent this multiple of what it can do at the moment ...
     pub fall_multiple: f64,
     /// ... for so long falls over.
@@ -33,19 +33,19 @@
     /// Release it.
     Release(u64),
     /// Turn a set-up away, naming the wait.
-    Refuse(u64),
+    Reject(u64),
 }
 
 /// What became of a set-up that was offered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Taken {
+pub enum EnqueueOutcome {
     /// It waits for its turn.
     Queued,
     /// It was too much for a cold processor, which has fallen over.
-    Fell,
+    Overloaded,
 }
 
-/// The model. [`Processor::next`] says when work is done, [`Processor::done`] what.
+/// The model. [`Processor::next_completion`] says when work is done, [`Processor::pop_completed`] what.
 #[derive(Debug, Clone)]
 pub struct Processor {
     spec: ProcessorSpec,
@@ -80,7 +80,7 @@
     }
 
     /// From now on work takes so many times as long.
-    pub fn set_slow(&mut self, factor: f64) {
+    pub fn set_slowdown(&mut self, factor: f64) {
         self.slow = factor.max(0.01);
     }
 
@@ -93,8 +93,8 @@
     /// Set-ups a second that it can do now.
     pub fn rate(&self, now: Micros) -> f64 {
         let warmth = match self.started {
-            Some(at) if self.spec.ramp > 0 => {
-                let age = now.saturating_sub(at) as f64 / self.spec.ramp as f64;
+            Some(at) if self.spec.warm_up_time > 0 => {
+                let age = now.saturating_sub(at) as f64 / self.spec.warm_up_time as f64;
                 self.spec.cold_from + (1.0 - self.spec.cold_from) * age.min(1.0)
             }
             _ => 1.0,
@@ -103,7 +103,7 @@
     }
 
     fn is_cold(&self, now: Micros) -> bool {
-        self.started.is_some_and(|at| now.saturating_sub(at) < self.spec.ramp)
+        self.started.is_some_and(|at| now.saturating_sub(at) < self.spec.warm_up_time)
     }
 
     /// Time that new work waits for its turn.
@@ -113,7 +113,7 @@
     }
 
     /// A set-up comes.
-    pub fn set_up(&mut self, now: Micros, key: u64) -> Taken {
+    pub fn set_up(&mut self, now: Micros, key: u64) -> EnqueueOutcome {
         let window = self.spec.fall_time.max(1) as f64;
         let decay = (-(now.saturating_sub(self.offered.0) as f64) / window).exp();
         // By the rate of its moment: one that turns slow is not pushed over by what it could do before.
@@ -122,19 +122,19 @@
         // The sum settles at the multiple of the window: after one window at the limit it has seen 0.63 of that.
         let limit = self.spec.fall_multiple * window;
         if self.is_cold(now) && self.offered.1 > limit.max(4.0 * takes) {
-            return Taken::Fell;
+            return EnqueueOutcome::Overloaded;
         }
-        if self.wait(now) > self.spec.most_wait {
-            self.push(now, Work::Refuse(key), self.spec.refusal);
+        if self.wait(now) > self.spec.max_wait {
+            self.push(now, Work::Reject(key), self.spec.rejection_work);
         } else {
             self.push(now, Work::SetUp(key), 1.0);
         }
-        Taken::Queued
+        EnqueueOutcome::Queued
     }
 
     /// A release comes.
     pub fn release(&mut self, now: Micros, key: u64) {
-        self.push(now, Work::Release(key), self.spec.release);
+        self.push(now, Work::Release(key), self.spec.release_work);
     }
 
     fn push(&mut self, now: Micros, work: Work, size: f64) {
@@ -153,12 +153,12 @@
     }
 
     /// When the next piece of work is done.
-    pub fn next(&self) -> Option<Micros> {
+    pub fn next_completion(&self) -> Option<Micros> {
         self.done_at
     }
 
     /// The piece of work that is done by now.
-    pub fn done(&mut self, now: Micros) -> Option<Work> {
+    pub fn pop_completed(&mut self, now: Micros) -> Option<Work> {
         let at = self.done_at.filter(|at| *at <= now)?;
         let (work, size) = self.queue.pop_front()?;
         self.backlog = (self.backlog - size).max(0.0);
--- a/crates/emulator/src/ramps.rs
+++ b/crates/emulator/src/ramps.rs
@@ -11,7 +11,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::queue::Queue;
+use crate::event_queue::EventQueue;
 
 const S: Micros = 1_000_000;
 /// Servers, by number; the first one is started anew.
@@ -95,7 +95,7 @@
 struct Fleet<'a> {
     spec: &'a RampSpec,
     rng: Pcg64Mcg,
-    queue: Queue<Happens>,
+    queue: EventQueue<Happens>,
     fronts: Vec<Front>,
     /// The first server's process, and when it started; long ago for the first one.
     process: u64,
@@ -149,7 +149,7 @@
         let all = spec.rate * f64::from(SERVERS) * spec.load / weights.iter().sum::<f64>();
         let mut fleet = Self {
             spec,
-            queue: Queue::default(),
+            queue: EventQueue::default(),
             fronts: Vec::new(),
             process: 0,
             started: None,
@@ -163,8 +163,8 @@
         for (n, weight) in (0..).zip(weights) {
             let controller = fleet.controller(n);
             fleet.fronts.push(Front { controller, process: 0, asked: weight * all });
-            fleet.queue.at(rng.random_range(0..S), Happens::Learns(n));
-            fleet.queue.at(rng.random_range(S..2 * S), Happens::Asks(n));
+            fleet.queue.schedule(rng.random_range(0..S), Happens::Learns(n));
+            fleet.queue.schedule(rng.random_range(S..2 * S), Happens::Asks(n));
         }
         fleet
     }
@@ -197,10 +197,10 @@
         for action in actions {
             match action {
                 Action::Send { call, server, .. } => self.sends(front, call, server),
-                Action::Timer { at, token } => self.queue.at(at, Happens::Timer(front, process, token)),
+                Action::Timer { at, token } => self.queue.schedule(at, Happens::Timer(front, process, token)),
                 Action::SendPeerMessage { to, payload } => {
                     let after = self.rng.random_range(0..WORD);
-                    self.queue.at(now + after, Happens::Word(to, front, payload));
+                    self.queue.schedule(now + after, Happens::Word(to, front, payload));
                 }
                 _ => {}
             }
@@ -211,7 +211,7 @@
         let now = self.queue.now();
         let of = &self.fronts[front as usize];
         let stands = Happens::Stands(front, of.process, call, 0, server);
-        self.queue.at(now + ANSWERED, stands);
+        self.queue.schedule(now + ANSWERED, stands);
         let Some(started) = self.started.filter(|_| server == self.server(0)) else { return };
         let age = now - started;
         if age >= self.spec.ramp {
@@ -245,7 +245,7 @@
                 let surge = if since < 3 * S { self.spec.surge } else { 1.0 };
                 let asked = self.fronts[front as usize].asked * surge;
                 let pause = -(1.0 - self.rng.random::<f64>()).ln() / asked;
-                self.queue.at(now + (pause * 1e6) as Micros, Happens::Asks(front));
+                self.queue.schedule(now + (pause * 1e6) as Micros, Happens::Asks(front));
                 let first = self.rng.random_range(0..SERVERS);
                 self.wanted += u64::from(first == 0 && since < self.spec.ramp);
                 self.next_call = self.next_call.wrapping_add(1).max(1);
@@ -295,14 +295,14 @@
                 self.now_at = fresh;
                 for front in 0..self.spec.fronts {
                     let after = self.rng.random_range(0..LEARNT);
-                    self.queue.at(now + after, Happens::Learns(front));
+                    self.queue.schedule(now + after, Happens::Learns(front));
                 }
             }
         }
     }
 
     fn until(&mut self, end: Micros) {
-        while let Some(event) = self.queue.next(end) {
+        while let Some(event) = self.queue.pop_until(end) {
             self.happens(event);
         }
     }
@@ -313,10 +313,10 @@
         for front in 0..self.spec.fronts {
             if self.rng.random::<f64>() < self.spec.restarted {
                 let before = self.rng.random_range(0..S);
-                self.queue.at(at - before, Happens::Restarts(front));
+                self.queue.schedule(at - before, Happens::Restarts(front));
             }
         }
-        self.queue.at(at, Happens::Starts);
+        self.queue.schedule(at, Happens::Starts);
         self.until(at + self.spec.ramp);
         let mean = (self.budget(0) + self.budget(self.spec.ramp)) / 2.0;
         let allowed = mean * self.spec.ramp as f64 / self.spec.window as f64;
--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -13,7 +13,7 @@
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
 
-use crate::processor::{Processor, ProcessorSpec, Taken, Work};
+use crate::processor::{EnqueueOutcome, Processor, ProcessorSpec, Work};
 
 /// What a server is.
 #[derive(Debug, Clone)]
@@ -33,9 +33,9 @@
     /// ... and off by up to this fraction.
     pub report_noise: f64,
     /// Values of the report that are told.
-    pub tells: fn(Report) -> Report,
+    pub reported_values: fn(Report) -> Report,
     /// Connections at once.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Tw.
     pub watchdog: Micros,
     /// Fronts by Origin-Host, and their ordinals.
@@ -193,7 +193,7 @@
         if let Some(at) = self.down {
             return at;
         }
-        let cpu = self.cpu.next().filter(|_| !self.hung).unwrap_or(Micros::MAX);
+        let cpu = self.cpu.next_completion().filter(|_| !self.hung).unwrap_or(Micros::MAX);
         let ends = self.ends.map_or(Micros::MAX, |(at, _)| at);
         let peers = self.conns.values().map(Conn::due).min().unwrap_or(Micros::MAX);
         cpu.min(ends).min(peers).min(self.measure_at)
@@ -215,7 +215,9 @@
             ServerInput::Tick => {}
         }
         self.measure(now);
-        while let Some(work) = self.cpu.next().filter(|_| !self.hung).and_then(|_| self.cpu.done(now)) {
+        while let Some(work) =
+            self.cpu.next_completion().filter(|_| !self.hung).and_then(|_| self.cpu.pop_completed(now))
+        {
             self.done(now, work, out);
         }
         let due: Vec<_> = self.conns.iter().filter(|(_, c)| c.due() <= now).map(|(id, _)| *id).collect();
@@ -247,7 +249,7 @@
     fn measure(&mut self, now: Micros) {
         if now >= self.measure_at {
             let noise = 1.0 + self.spec.report_noise * (self.rng.random::<f64>() * 2.0 - 1.0);
-            let mut report = (self.spec.tells)(self.cpu.report(now));
+            let mut report = (self.spec.reported_values)(self.cpu.report(now));
             for value in [&mut report.wait_s, &mut report.queue, &mut report.rate, &mut report.busy] {
                 *value = value.map(|v| v * noise);
             }
@@ -267,7 +269,7 @@
     // --- transports ---
 
     fn accepted(&mut self, id: ConnId, out: &mut Vec<ServerOutput>) {
-        if self.conns.len() >= self.spec.connections {
+        if self.conns.len() >= self.spec.max_connections {
             return out.push(ServerOutput::Close(id));
         }
         let peer = Peer::new(self.local.clone(), None, self.spec.watchdog, 1, self.rng.random());
@@ -349,7 +351,7 @@
     fn command(&mut self, now: Micros, command: Command, out: &mut Vec<ServerOutput>) {
         let server = self.spec.number;
         match command {
-            Command::Slow(factor) => self.cpu.set_slow(factor),
+            Command::Slow(factor) => self.cpu.set_slowdown(factor),
             Command::Pause(span) => self.cpu.pause(now + span),
             Command::Hang(hung) => {
                 self.hung = hung;
@@ -414,7 +416,7 @@
                 RecordEvent::SetUp { server, front, call, attempt: attempt.clone(), redirected: false };
             out.push(ServerOutput::Record(moment));
             self.asked.insert(key, Asked { conn: id, attempt, request });
-            if self.cpu.set_up(now, key) == Taken::Fell {
+            if self.cpu.set_up(now, key) == EnqueueOutcome::Overloaded {
                 self.asked.remove(&key);
                 out.push(ServerOutput::Record(RecordEvent::ServerOverloaded { server }));
             }
@@ -432,7 +434,7 @@
     fn done(&mut self, now: Micros, work: Work, out: &mut Vec<ServerOutput>) {
         let (key, result) = match work {
             Work::SetUp(key) | Work::Release(key) => (key, result::SUCCESS),
-            Work::Refuse(key) => (key, result::TOO_BUSY),
+            Work::Reject(key) => (key, result::TOO_BUSY),
         };
         let Some(asked) = self.asked.remove(&key) else { return };
         let sets_up = !matches!(work, Work::Release(_));
--- a/crates/emulator/src/text.rs
+++ b/crates/emulator/src/text.rs
@@ -11,8 +11,8 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::agenda::{choice, drawn, Agenda};
-use crate::offers::{Flow, Offers};
+use crate::call_schedule::{choose_weighted, sample_exponential, CallSchedule};
+use crate::offered_load::{Flow, OfferedLoad};
 
 /// One text client's callers.
 #[derive(Debug, Clone)]
@@ -55,10 +55,10 @@
 #[derive(Debug)]
 pub struct TextCallers {
     spec: TextSpec,
-    offers: Offers,
+    offers: OfferedLoad,
     exchange: Exchange,
     rng: Pcg64Mcg,
-    agenda: Agenda<Due>,
+    schedule: CallSchedule<Due>,
     asked: BTreeMap<u32, Asked>,
     /// Standing calls by context.
     standing: BTreeMap<u32, (String, usize)>,
@@ -86,7 +86,7 @@
 
 impl TextCallers {
     /// Callers that register with their first tick; `seed` draws everything.
-    pub fn new(spec: TextSpec, offers: Offers, seed: u64) -> Self {
+    pub fn new(spec: TextSpec, offers: OfferedLoad, seed: u64) -> Self {
         // The client gives a set-up up by itself: its transaction is repeated for as long as that takes.
         let settings = Settings {
             lost_after_sends: 64,
@@ -95,7 +95,7 @@
             ..Settings::default()
         };
         Self {
-            agenda: Agenda::new(spec.flows.len()),
+            schedule: CallSchedule::new(spec.flows.len()),
             exchange: Exchange::new(settings, seed),
             rng: Pcg64Mcg::seed_from_u64(seed),
             spec,
@@ -113,7 +113,7 @@
     }
 
     /// What is offered from now on.
-    pub fn offer_so(&mut self, offers: Offers) {
+    pub fn set_offered_load(&mut self, offers: OfferedLoad) {
         self.offers = offers;
     }
 
@@ -122,7 +122,7 @@
         if !self.greeted {
             return now;
         }
-        let calls = if self.registered { self.agenda.wake() } else { Micros::MAX };
+        let calls = if self.registered { self.schedule.next_due() } else { Micros::MAX };
         calls.min(self.exchange.next_wake().unwrap_or(Micros::MAX)).min(now.saturating_add(LOOK))
     }
 
@@ -130,7 +130,10 @@
     pub fn received(&mut self, now: Micros, text: &str, out: &mut Vec<TextOutput>) {
         let mut dos = Vec::new();
         self.registered |= self.heard(now, text, &mut dos, out);
-        if self.registered && self.offers.heeds && !std::mem::replace(&mut self.asked_events, true) {
+        if self.registered
+            && self.offers.honours_overload_notices
+            && !std::mem::replace(&mut self.asked_events, true)
+        {
             let mid = &self.spec.mid;
             let events = |id| format!("!/1 {mid} T={id}{{C=-{{MF=ROOT{{E=1{{ocp/mg_overload}}}}}}}}");
             let sent = self.exchange.send(now, events, &mut dos);
@@ -173,7 +176,7 @@
     }
 
     fn act(&mut self, now: Micros, dos: &mut Vec<ExchangeAction>, out: &mut Vec<TextOutput>) {
-        let Offers { factor, flood, heeds, .. } = self.offers;
+        let OfferedLoad { factor, flood, honours_overload_notices: heeds, .. } = self.offers;
         if now >= self.throttled_at + STEP {
             self.throttled_at = now;
             self.throttle = (self.throttle * RECOVERS).min(1.0);
@@ -183,12 +186,12 @@
             let publisher = self.spec.flows[flow].publisher;
             let flooding = flood.filter(|(who, _)| *who == publisher).map_or(1.0, |(_, times)| times);
             let rate = self.spec.flows[flow].rate * factor * flooding * throttle;
-            for _ in 0..self.agenda.calls(now, flow, rate, &mut self.rng) {
-                let choice = choice(&mut self.rng, &self.spec.servers);
+            for _ in 0..self.schedule.arrivals(now, flow, rate, &mut self.rng) {
+                let choice = choose_weighted(&mut self.rng, &self.spec.servers);
                 self.offer(now, flow, None, 0, choice, dos, out);
             }
         }
-        while let Some(due) = self.agenda.take(now) {
+        while let Some(due) = self.schedule.pop_due(now) {
             match due {
                 Due::GiveUp(id) => self.give_up(now, id, out),
                 Due::Hangup(context) => {
@@ -228,7 +231,8 @@
         out: &mut Vec<TextOutput>,
     ) {
         self.count += 1;
-        let Flow { class, publisher, context, subscription, patience, .. } = self.spec.flows[flow].clone();
+        let Flow { class, publisher, context, subscription, caller_timeout: patience, .. } =
+            self.spec.flows[flow].clone();
         let (mid, count) = (self.spec.mid.clone(), self.count);
         let number = 6_000_000 + self.rng.random_range(0..1_000_000);
         let server = self.spec.servers.get(choice).map_or("", |(host, _)| host.as_str());
@@ -251,7 +255,7 @@
         }));
         out.push(TextOutput::Record(RecordEvent::RequestSent { call: name, transaction: id }));
         let name = format!("{mid}|{count}");
-        self.agenda.at(now + patience, Due::GiveUp(id));
+        self.schedule.add(now + patience, Due::GiveUp(id));
         self.asked.insert(id, Asked::SetUp { name, flow, first, tries, choice, waits: true });
     }
 
@@ -273,8 +277,8 @@
     fn redial(&mut self, now: Micros, flow: usize, first: String, tries: u32, choice: usize) {
         let (redials, wait) = (self.offers.redials, self.offers.redial_wait as f64);
         if tries < redials {
-            let wait = drawn(&mut self.rng, wait);
-            self.agenda.at(now + wait, Due::Redial { flow, first, tries: tries + 1, choice });
+            let wait = sample_exponential(&mut self.rng, wait);
+            self.schedule.add(now + wait, Due::Redial { flow, first, tries: tries + 1, choice });
         }
     }
 
@@ -374,9 +378,9 @@
         match (code, context) {
             (2001, Some(baydrift_h248::Context::Id(context))) if waits => {
                 let hold = self.spec.flows[flow].hold as f64;
-                let hold = drawn(&mut self.rng, hold);
+                let hold = sample_exponential(&mut self.rng, hold);
                 self.standing.insert(context, (call, flow));
-                self.agenda.at(now + hold, Due::Hangup(context));
+                self.schedule.add(now + hold, Due::Hangup(context));
             }
             // It stands for a caller that is gone.
             (2001, Some(baydrift_h248::Context::Id(context))) => self.release(now, context, dos),
--- a/crates/emulator/src/two_ends.rs
+++ b/crates/emulator/src/two_ends.rs
@@ -13,8 +13,8 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::agenda::drawn;
-use crate::queue::Queue;
+use crate::call_schedule::sample_exponential;
+use crate::event_queue::EventQueue;
 
 /// Two exchanges as they are tried.
 #[derive(Debug, Clone, PartialEq)]
@@ -127,7 +127,7 @@
 #[derive(Debug)]
 pub struct TwoEnds {
     spec: TwoEndsSpec,
-    queue: Queue<Event>,
+    queue: EventQueue<Event>,
     ends: [Trunks; 2],
     /// Calls held at each end.
     calls: [BTreeMap<CallKey, Call>; 2],
@@ -162,7 +162,7 @@
         let ends = [trunks(&spec, 0)?, trunks(&spec, 1)?];
         let mut two = Self {
             rng: Pcg64Mcg::seed_from_u64(spec.seed),
-            queue: Queue::default(),
+            queue: EventQueue::default(),
             ends,
             calls: Default::default(),
             armed: [Micros::MAX; 2],
@@ -217,12 +217,12 @@
 
     /// An end restarts at a time: it forgets all, and resets its groups.
     pub fn restart_at(&mut self, at: Micros, end: usize) {
-        self.queue.at(at, Event::Restart(end));
+        self.queue.schedule(at, Event::Restart(end));
     }
 
     /// Runs until a time.
     pub fn run_until(&mut self, until: Micros) {
-        while let Some(event) = self.queue.next(until) {
+        while let Some(event) = self.queue.pop_until(until) {
             self.take(event);
         }
     }
@@ -233,7 +233,7 @@
             if self.busy() == 0 && self.calls.iter().all(BTreeMap::is_empty) {
                 return Some(self.queue.now());
             }
-            let event = self.queue.next(most)?;
+            let event = self.queue.pop_until(most)?;
             self.take(event);
         }
     }
@@ -332,13 +332,13 @@
         let due = self.ends[end].next_wake().unwrap_or(Micros::MAX);
         if due < self.armed[end] {
             self.armed[end] = due;
-            self.queue.at(due, Event::Wake(end));
+            self.queue.schedule(due, Event::Wake(end));
         }
     }
 
     fn next_offer(&mut self, end: usize) {
-        let wait = drawn(&mut self.rng, 1e6 / self.spec.rates[end]);
-        self.queue.at(self.queue.now() + wait, Event::Offer(end));
+        let wait = sample_exponential(&mut self.rng, 1e6 / self.spec.rates[end]);
+        self.queue.schedule(self.queue.now() + wait, Event::Offer(end));
     }
 
     fn offer(&mut self, end: usize) {
@@ -353,7 +353,7 @@
         self.tally.offered[end] += 1;
         let setup = Setup { number: Arc::from([5u8, 5, 5]), reference: Arc::from(call.0.to_be_bytes()) };
         self.calls[end].insert(call, Call { reference: call.0, state: State::Asked, incoming: false });
-        self.queue.at(now + self.spec.patience, Event::GiveUp(end, call));
+        self.queue.schedule(now + self.spec.patience, Event::GiveUp(end, call));
         let mut out = Vec::new();
         self.ends[end].seize(now, call, group, setup, claim, &mut out);
         self.outputs(end, out);
@@ -386,7 +386,7 @@
         };
         for _ in 0..copies {
             let at = self.queue.now() + self.spec.delay + self.rng.random_range(0..=self.spec.jitter);
-            self.queue.at(at, Event::Arrive(to, group, cic, signal.clone()));
+            self.queue.schedule(at, Event::Arrive(to, group, cic, signal.clone()));
         }
     }
 
@@ -395,8 +395,8 @@
         self.calls[end].insert(call, Call { reference, state: State::Asked, incoming: true });
         let mut out = Vec::new();
         self.ends[end].accept(call, &mut out);
-        let wait = drawn(&mut self.rng, self.spec.answer as f64);
-        self.queue.at(self.queue.now() + wait, Event::Answer(end, call));
+        let wait = sample_exponential(&mut self.rng, self.spec.answer as f64);
+        self.queue.schedule(self.queue.now() + wait, Event::Answer(end, call));
         self.outputs(end, out);
     }
 
@@ -408,8 +408,8 @@
             return self.violation(format!("call {} stands twice", call.0));
         }
         self.tally.answered[end] += 1;
-        let hold = drawn(&mut self.rng, self.spec.hold as f64);
-        self.queue.at(self.queue.now() + hold, Event::Hangup(end, call));
+        let hold = sample_exponential(&mut self.rng, self.spec.hold as f64);
+        self.queue.schedule(self.queue.now() + hold, Event::Hangup(end, call));
         // It stands on one circuit, and the other end holds this very call there.
         let Some((group, cic)) = self.ends[end].circuit_of(call) else { return };
         let (ours, theirs) = (self.reference_on(end, group, cic), self.reference_on(1 - end, group, cic));
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -17,19 +17,19 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::caller::{CallerInput, CallerOutput, CallerSpec, Callers};
+use crate::event_queue::EventQueue;
 use crate::far_end::{FarEnd, FarEndSpec, FarInput, FarOutput};
 use crate::front::{Did, Front, ToCore};
-use crate::link::{Conns, End, Fault, Parcel, BACK, THERE};
-use crate::offers::Offers;
-use crate::queue::Queue;
+use crate::link::{Conns, End, LinkFault, Parcel, BACK, THERE};
+use crate::offered_load::OfferedLoad;
 use crate::server::{Command, ServerInput, ServerOutput, ServerSpec, SessionServer};
 use crate::text::{said, TextCallers, TextOutput, TextSpec};
 
-pub use faults::Place;
+pub use faults::ProcessId;
 
 /// How uneven the machine is that all this runs on.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Roughness {
+pub struct DelayModel {
     /// A hop, or a task's turn, takes at least this.
     pub least: Micros,
     /// Usually at most so much more.
@@ -40,7 +40,7 @@
     pub late: Micros,
 }
 
-impl Default for Roughness {
+impl Default for DelayModel {
     fn default() -> Self {
         Self { least: 5, usual: 150, late_of: 200, late: 8_000 }
     }
@@ -58,19 +58,19 @@
     /// Diameter callers.
     pub callers: Vec<(CallerSpec, u64)>,
     /// Text callers.
-    pub texts: Vec<(TextSpec, u64)>,
+    pub text_callers: Vec<(TextSpec, u64)>,
     /// What all are told to offer at first.
-    pub offers: Offers,
+    pub offered_load: OfferedLoad,
     /// Servers that are reached over a link with faults.
-    pub linked: BTreeSet<usize>,
+    pub faulty_links: BTreeSet<usize>,
     /// One-way delay of those links.
     pub link_delay: Micros,
     /// Share of text datagrams lost, each way.
-    pub datagrams_lost: f64,
+    pub datagram_loss: f64,
     /// Seed of all that is drawn here.
     pub seed: u64,
     /// Delays of hops and tasks.
-    pub roughness: Roughness,
+    pub delays: DelayModel,
 }
 
 /// Who can be woken.
@@ -112,7 +112,7 @@
 /// See the module's page.
 #[derive(Debug)]
 pub struct World {
-    queue: Queue<Event>,
+    queue: EventQueue<Event>,
     fronts: Vec<Front>,
     servers: Vec<SessionServer>,
     /// Far ends, and their point codes.
@@ -121,7 +121,7 @@
     /// Text callers, and their front.
     texts: Vec<(TextCallers, usize, String)>,
     conns: Conns,
-    faults: BTreeMap<usize, Fault>,
+    faults: BTreeMap<usize, LinkFault>,
     faulty: faults::Faulty,
     armed: BTreeMap<Node, Micros>,
     /// Queues between tasks keep their order: when the last entry of each leaves.
@@ -129,7 +129,7 @@
     datagrams_lost: f64,
     messages_lost: f64,
     rng: Pcg64Mcg,
-    rough: Roughness,
+    rough: DelayModel,
     lines: Vec<RecordEntry>,
     events: u64,
 }
@@ -146,23 +146,23 @@
             fronts.push(Front::new(config, policy, 1, &mut rng)?);
         }
         let addresses = vec![[127, 0, 0, 1].into()];
-        let fault = Fault { delay: spec.link_delay, ..Fault::default() };
-        let (offers, lossy) = (spec.offers, spec.datagrams_lost > 0.0);
+        let fault = LinkFault { delay: spec.link_delay, ..LinkFault::default() };
+        let (offers, lossy) = (spec.offered_load, spec.datagram_loss > 0.0);
         let mut world = Self {
-            queue: Queue::default(),
+            queue: EventQueue::default(),
             fronts,
             servers: Vec::new(),
             fars: Vec::new(),
             callers: Vec::new(),
             texts: Vec::new(),
             conns: Conns::default(),
-            faults: spec.linked.into_iter().map(|server| (server, fault)).collect(),
+            faults: spec.faulty_links.into_iter().map(|server| (server, fault)).collect(),
             faulty: faults::Faulty::default(),
             armed: BTreeMap::new(),
             last: BTreeMap::new(),
-            datagrams_lost: spec.datagrams_lost,
+            datagrams_lost: spec.datagram_loss,
             messages_lost: 0.0,
-            rough: spec.roughness,
+            rough: spec.delays,
             lines: Vec::new(),
             events: 0,
             rng,
@@ -180,7 +180,7 @@
         for (caller, seed) in spec.callers {
             world.callers.push(Callers::new(caller, offers.clone(), seed));
         }
-        for (text, seed) in spec.texts {
+        for (text, seed) in spec.text_callers {
             let (front, mid) = (text.front as usize, text.mid.clone());
             if lossy {
                 world.record(RecordEvent::Lossy { client: mid.clone() });
@@ -201,7 +201,7 @@
     }
 
     /// Callers begin.
-    pub fn begin(&mut self) {
+    pub fn start_callers(&mut self) {
         (0..self.callers.len()).for_each(|callers| self.arm(Node::Callers(callers)));
         (0..self.texts.len()).for_each(|text| self.arm(Node::Text(text)));
         (0..self.fars.len()).for_each(|far| self.far(far, FarInput::Offer(1.0)));
@@ -218,17 +218,17 @@
     }
 
     /// A front's desk, for its counts.
-    pub fn desk(&self, front: usize) -> Option<&SessionLayer> {
+    pub fn session_layer(&self, front: usize) -> Option<&SessionLayer> {
         self.fronts.get(front).map(Front::desk)
     }
 
     /// The record so far.
-    pub fn lines(&self) -> &[RecordEntry] {
+    pub fn record_entries(&self) -> &[RecordEntry] {
         &self.lines
     }
 
     /// The record, whole.
-    pub fn into_lines(self) -> Vec<RecordEntry> {
+    pub fn into_record(self) -> Vec<RecordEntry> {
         self.lines
     }
 
@@ -239,7 +239,7 @@
 
     /// Runs until a time.
     pub fn run_until(&mut self, until: Micros) {
-        while let Some(event) = self.queue.next(until) {
+        while let Some(event) = self.queue.pop_until(until) {
             self.events += 1;
             self.take(event);
         }
@@ -256,7 +256,7 @@
     }
 
     /// Changes what the link to a server does.
-    pub fn set_link(&mut self, server: usize, fault: Fault) {
+    pub fn set_link_fault(&mut self, server: usize, fault: LinkFault) {
         let Some(old) = self.faults.insert(server, fault) else { return };
         let far = server.checked_sub(self.servers.len()).and_then(|far| self.fars.get(far));
         if let (Some((far, _)), true) = (far, old.stalled_back != fault.stalled_back) {
@@ -267,7 +267,7 @@
             for (id, _) in self.conns.down(server) {
                 for end in [0, 1] {
                     let at = self.queue.now() + self.turn();
-                    self.queue.at(at, Event::Severed(id, end));
+                    self.queue.schedule(at, Event::Severed(id, end));
                 }
             }
         }
@@ -279,15 +279,15 @@
     }
 
     /// Changes what one front's callers offer, or all.
-    pub fn offer(&mut self, front: Option<usize>, offers: &Offers) {
+    pub fn set_offered_load(&mut self, front: Option<usize>, offers: &OfferedLoad) {
         for (place, callers) in self.callers.iter_mut().enumerate() {
             if front.is_none_or(|front| front == place) {
-                callers.offer_so(offers.clone());
+                callers.set_offered_load(offers.clone());
             }
         }
         for (text, of, _) in &mut self.texts {
             if front.is_none_or(|front| front == *of) {
-                text.offer_so(offers.clone());
+                text.set_offered_load(offers.clone());
             }
         }
         // A far end has one flow for all fronts: it changes with the first one's.
@@ -302,7 +302,7 @@
     }
 
     /// A front's whole process stands still.
-    pub fn stall(&mut self, front: usize, span: Micros) {
+    pub fn stall_front(&mut self, front: usize, span: Micros) {
         if self.fronts.get(front).is_none_or(Front::is_down) {
             return;
         }
@@ -314,20 +314,20 @@
     }
 
     /// This share of messages between fronts is lost from now on.
-    pub fn lose_messages(&mut self, share: f64) {
+    pub fn set_gossip_loss(&mut self, share: f64) {
         self.messages_lost = share;
     }
 
     /// A list reaches a front at a time, which makes the moments true.
     pub fn push_list(&mut self, at: Micros, front: usize, list: PoolList, told: Vec<RecordEvent>) {
-        self.queue.at(at, Event::List(front, Box::new(list), told));
+        self.queue.schedule(at, Event::List(front, Box::new(list), told));
     }
 
     // --- events ---
 
     /// What one hop or one turn of a task takes.
     fn turn(&mut self) -> Micros {
-        let Roughness { least, usual, late_of, late } = self.rough;
+        let DelayModel { least, usual, late_of, late } = self.rough;
         let usually = least + self.rng.random_range(0..=usual);
         if late_of > 0 && self.rng.random_range(0..late_of) == 0 {
             return usually + self.rng.random_range(0..=late);
@@ -385,7 +385,7 @@
                 }
                 return;
             }
-            return self.queue.at(until + spread, event);
+            return self.queue.schedule(until + spread, event);
         }
         match event {
             Event::Wake(node) => self.wake(node),
@@ -444,7 +444,7 @@
         }
         let at = due.max(self.queue.now());
         self.armed.insert(node, at);
-        self.queue.at(at, Event::Wake(node));
+        self.queue.schedule(at, Event::Wake(node));
     }
 
     fn wake(&mut self, node: Node) {
@@ -474,7 +474,7 @@
 
     // --- transports ---
 
-    fn fault(&self, id: u64) -> Fault {
+    fn fault(&self, id: u64) -> LinkFault {
         let link = self.conns.get(id).and_then(|conn| conn.link);
         self.severed_of(id, link.and_then(|link| self.faults.get(&link)).copied().unwrap_or_default())
     }
@@ -493,7 +493,7 @@
         if let Some((at, id, direction, epoch, parcel)) =
             self.conns.send(now, id, direction, parcel, fault, delay)
         {
-            self.queue.at(at, Event::Arrive(id, direction, epoch, parcel));
+            self.queue.schedule(at, Event::Arrive(id, direction, epoch, parcel));
         }
     }
 
@@ -526,7 +526,7 @@
         };
         let id = self.conns.open(initiator, responder, link);
         let at = self.queue.now() + self.turn();
-        self.queue.at(at, Event::Connecting(id));
+        self.queue.schedule(at, Event::Connecting(id));
         id
     }
 
@@ -649,7 +649,7 @@
                 let point = self.fars[far].1;
                 self.tell_core(front, Node::ToFar(front, far), SessionInput::TrunkDown(point));
                 let at = self.queue.now() + REDIAL + self.turn();
-                self.queue.at(at, Event::Redial(front, far));
+                self.queue.schedule(at, Event::Redial(front, far));
             }
         }
     }
@@ -751,7 +751,7 @@
         }
         if !lost {
             let at = self.queue.now() + self.turn() + self.turn();
-            self.queue.at(at, Event::Datagram(text, to_front, datagram));
+            self.queue.schedule(at, Event::Datagram(text, to_front, datagram));
         }
     }
 
@@ -798,7 +798,7 @@
     /// The front's process that runs now takes an input at a time, if it still runs then.
     fn tell_process(&mut self, at: Micros, front: usize, input: SessionInput) {
         let process = self.fronts[front].process();
-        self.queue.at(at, Event::Core(front, process, Box::new(ToCore::Desk(input))));
+        self.queue.schedule(at, Event::Core(front, process, Box::new(ToCore::Desk(input))));
     }
 
     /// Carries out what a link's task did.
@@ -840,7 +840,7 @@
                 SessionOutput::Text { .. } | SessionOutput::ToFront { .. } => None,
             };
             let at = self.queued(front, task, false);
-            self.queue.at(at, Event::Out(front, self.fronts[front].process(), Box::new(output)));
+            self.queue.schedule(at, Event::Out(front, self.fronts[front].process(), Box::new(output)));
         }
         self.arm(Node::Core(front));
     }
@@ -873,7 +873,7 @@
                 let place = to as usize;
                 self.record(RecordEvent::GossipSent { from: front as u32, to, bytes: payload.len() });
                 let heard = place < self.fronts.len() && self.rng.random::<f64>() >= self.messages_lost;
-                if heard && !self.is_severed(Place::Front(front), Place::Front(place)) {
+                if heard && !self.is_severed(ProcessId::Front(front), ProcessId::Front(place)) {
                     let input = SessionInput::PeerMessage { from: front as u32, payload };
                     let at = self.queue.now() + self.turn() + self.turn();
                     self.tell_process(at, place, input);
--- a/crates/emulator/src/world/faults.rs
+++ b/crates/emulator/src/world/faults.rs
@@ -10,7 +10,7 @@
 
 use super::{Event, Node, World};
 use crate::front::Front;
-use crate::link::{End, Fault, Parcel, THERE};
+use crate::link::{End, LinkFault, Parcel, THERE};
 
 /// A list that could not be pushed is pushed again after this.
 const PUSHED_AGAIN: Micros = 400_000;
@@ -21,7 +21,7 @@
 
 /// A process between which and others ways can be severed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Place {
+pub enum ProcessId {
     /// A front, by its ordinal.
     Front(usize),
     /// A server, by its number.
@@ -33,24 +33,24 @@
 /// Ways that pass nothing, the last list of each front, and which process of a front runs.
 #[derive(Debug, Default)]
 pub(super) struct Faulty {
-    severed: BTreeSet<(Place, Place)>,
+    severed: BTreeSet<(ProcessId, ProcessId)>,
     lists: Vec<Option<(PoolList, Vec<RecordEvent>)>>,
 }
 
 impl World {
-    pub(super) fn is_severed(&self, from: Place, to: Place) -> bool {
+    pub(super) fn is_severed(&self, from: ProcessId, to: ProcessId) -> bool {
         self.faulty.severed.contains(&(from, to))
     }
 
     /// What the ways between a front and a server do to a transport, on top of its link's fault.
-    pub(super) fn severed_of(&self, id: u64, fault: Fault) -> Fault {
+    pub(super) fn severed_of(&self, id: u64, fault: LinkFault) -> LinkFault {
         if self.faulty.severed.is_empty() {
             return fault;
         }
         let ends = self.conns.get(id).map(|conn| (conn.initiator, conn.responder));
         let Some((End::FrontServer(front, _), End::Server(server))) = ends else { return fault };
-        let (front, server) = (Place::Front(front), Place::Server(server));
-        Fault {
+        let (front, server) = (ProcessId::Front(front), ProcessId::Server(server));
+        LinkFault {
             stalled: fault.stalled || self.is_severed(front, server),
             stalled_back: fault.stalled_back || self.is_severed(server, front),
             ..fault
@@ -58,13 +58,15 @@
     }
 
     /// Nothing passes that way from now on, or what it held passes.
-    pub fn sever(&mut self, from: Place, to: Place, severed: bool) {
+    pub fn set_blocked(&mut self, from: ProcessId, to: ProcessId, severed: bool) {
         if severed {
             self.faulty.severed.insert((from, to));
             return;
         }
         self.faulty.severed.remove(&(from, to));
-        let (Place::Front(front), Place::Server(server)) = (from.min(to), from.max(to)) else { return };
+        let (ProcessId::Front(front), ProcessId::Server(server)) = (from.min(to), from.max(to)) else {
+            return;
+        };
         // Those too that the server let go of meanwhile: its front is still to hear of it.
         for id in self.conns.of_front(front) {
             if self.conns.get(id).is_none_or(|conn| conn.responder != End::Server(server)) {
@@ -79,7 +81,7 @@
 
     /// What a front sends into a severed way is on record when it enters it: it may be given up before it arrives. Into
     /// others a set-up is, for sums alone: a server that stands still reads at once what was sent over seconds.
-    pub(super) fn enters(&mut self, id: u64, direction: usize, parcel: &Parcel, fault: Fault) {
+    pub(super) fn enters(&mut self, id: u64, direction: usize, parcel: &Parcel, fault: LinkFault) {
         let ends = self.conns.get(id).map(|conn| (conn.initiator, conn.responder));
         let Some((End::FrontServer(front, _), End::Server(server))) = ends else { return };
         if direction != THERE {
@@ -108,23 +110,23 @@
         let waits = self.conns.get(id).is_some_and(|conn| conn.open[0]);
         let hangs = waits && (fault.stalled || fault.stalled_back) && !self.linked_fault(id);
         if hangs {
-            self.queue.at(self.queue.now() + SYN_AGAIN, Event::Connecting(id));
+            self.queue.schedule(self.queue.now() + SYN_AGAIN, Event::Connecting(id));
         }
         hangs
     }
 
     /// All connections of a server are reset, at both ends.
-    pub fn reset(&mut self, server: usize) {
+    pub fn reset_connections(&mut self, server: usize) {
         for (id, _) in self.conns.reset(End::Server(server)) {
             for end in [0, 1] {
                 let at = self.queue.now() + self.turn();
-                self.queue.at(at, Event::Severed(id, end));
+                self.queue.schedule(at, Event::Severed(id, end));
             }
         }
     }
 
     /// A front's process ends without a word; another one starts after so long, if at all, and knows nothing.
-    pub fn kill(&mut self, front: usize, back_after: Option<Micros>) {
+    pub fn kill_front(&mut self, front: usize, back_after: Option<Micros>) {
         if self.fronts.get(front).is_none_or(Front::is_down) {
             return;
         }
@@ -141,7 +143,7 @@
         self.fronts[front].go_down();
         if let Some(back) = back_after {
             let at = self.queue.now() + STARTS + back + self.turn();
-            self.queue.at(at, Event::Starts(front));
+            self.queue.schedule(at, Event::Starts(front));
         }
     }
 
@@ -179,7 +181,7 @@
             return None;
         }
         *newest = Some((list.clone(), told.clone()));
-        if self.is_severed(Place::List, Place::Front(front)) || self.fronts[front].is_down() {
+        if self.is_severed(ProcessId::List, ProcessId::Front(front)) || self.fronts[front].is_down() {
             self.push_list(self.queue.now() + PUSHED_AGAIN, front, list, told);
             return None;
         }
--- a/crates/emulator/tests/budgets.rs
+++ b/crates/emulator/tests/budgets.rs
@@ -1,7 +1,9 @@
 //! A budget of a fleet in virtual time: the hard cases, each by itself, and what lending is worth.
 
 use baydrift_budget::{BorrowerConfig, EscrowConfig};
-use baydrift_emulator::{drawn_troubles, share_budget, BudgetSharing, BudgetSpec, BudgetTrouble, WaySpec};
+use baydrift_emulator::{
+    drawn_troubles, share_budget, BudgetSharing, BudgetSpec, BudgetTrouble, NetworkPathSpec,
+};
 
 const S: u64 = 1_000_000;
 const LEASE: u64 = 4 * S;
@@ -13,7 +15,14 @@
         units: 30,
         terms: EscrowConfig { window: S, lease: LEASE, max_step: S / 10, drift_ppm: 200 },
         seeking: BorrowerConfig { interval: S / 10, fan_out: 3 },
-        way: WaySpec { delay: 2_000, jitter: 3_000, lost: 0.05, doubled: 0.02, reordered: 0.02, rate: 0 },
+        way: NetworkPathSpec {
+            delay: 2_000,
+            jitter: 3_000,
+            lost: 0.05,
+            doubled: 0.02,
+            reordered: 0.02,
+            rate: 0,
+        },
         sharing,
         wanted: (0..60).map(|front| if front % 10 == 0 { 9.0 } else { 0.11 }).collect(),
         span: 20 * S,
@@ -103,7 +112,8 @@
     for (name, troubles) in cases {
         within_bound(&name, &BudgetSpec { troubles, ..fleet(BudgetSharing::Escrow) });
     }
-    let lossy = WaySpec { lost: 0.3, doubled: 0.2, reordered: 0.2, ..fleet(BudgetSharing::Escrow).way };
+    let lossy =
+        NetworkPathSpec { lost: 0.3, doubled: 0.2, reordered: 0.2, ..fleet(BudgetSharing::Escrow).way };
     let restarts = struck(2 * S, 0..40, |f| BudgetTrouble::Dies(Some(u64::from(f) * 50_000)));
     within_bound(
         "with three in ten datagrams lost",
--- a/crates/emulator/tests/lives.rs
+++ b/crates/emulator/tests/lives.rs
@@ -1,12 +1,12 @@
 //! Who lives, as fronts of a fleet come to believe it, in virtual time.
 
-use baydrift_emulator::{drawn_lives, who_lives, LivesSpec, LivesTrouble, WaySpec};
+use baydrift_emulator::{drawn_lives, who_lives, LivesSpec, LivesTrouble, NetworkPathSpec};
 use baydrift_fleet::MembershipConfig;
 
 const S: u64 = 1_000_000;
 
 fn spec(fronts: u32, seconds: u64, lost: f64, troubles: Vec<(u64, u32, LivesTrouble)>) -> LivesSpec {
-    let way = WaySpec { delay: 5_000, jitter: 10_000, lost, doubled: 0.02, reordered: 0.05, rate: 0 };
+    let way = NetworkPathSpec { delay: 5_000, jitter: 10_000, lost, doubled: 0.02, reordered: 0.05, rate: 0 };
     LivesSpec { fronts, terms: MembershipConfig::default(), way, span: seconds * S, troubles, seed: 7 }
 }
 
--- a/crates/front/tests/admin.rs
+++ b/crates/front/tests/admin.rs
@@ -28,11 +28,11 @@
 fn far_end() -> FarEndSpec {
     let processor = ProcessorSpec {
         rate: 100.0,
-        release: 0.1,
-        refusal: 0.1,
-        most_wait: 1_000_000,
+        release_work: 0.1,
+        rejection_work: 0.1,
+        max_wait: 1_000_000,
         cold_from: 1.0,
-        ramp: 0,
+        warm_up_time: 0,
         fall_multiple: 10.0,
         fall_time: 1_000_000,
     };
--- a/crates/standin/src/caller.rs
+++ b/crates/standin/src/caller.rs
@@ -7,7 +7,7 @@
 use baydrift::interface::Micros;
 use baydrift_audit::Recorder;
 use baydrift_diameter::Codec;
-use baydrift_emulator::{CallerInput, CallerOutput, CallerSpec, Callers, Offers};
+use baydrift_emulator::{CallerInput, CallerOutput, CallerSpec, Callers, OfferedLoad};
 use futures_util::{SinkExt, StreamExt};
 use tokio::net::TcpStream;
 use tokio::sync::watch;
@@ -23,7 +23,7 @@
     pub fn start(
         spec: CallerSpec,
         front: SocketAddr,
-        offers: watch::Receiver<Offers>,
+        offers: watch::Receiver<OfferedLoad>,
         recorder: Arc<Recorder>,
         seed: u64,
     ) -> Self {
@@ -48,7 +48,7 @@
 async fn run(
     mut callers: Callers,
     front: SocketAddr,
-    mut offers: watch::Receiver<Offers>,
+    mut offers: watch::Receiver<OfferedLoad>,
     recorder: Arc<Recorder>,
 ) {
     let mut connection: Option<Connection> = None;
@@ -56,7 +56,7 @@
     let mut input = Some(CallerInput::Tick);
     loop {
         if offers.has_changed().unwrap_or(false) {
-            callers.offer_so(offers.borrow_and_update().clone());
+            callers.set_offered_load(offers.borrow_and_update().clone());
         }
         if let Some(input) = input.take() {
             callers.handle(recorder.now(), input, &mut outputs);
@@ -73,7 +73,7 @@
                 CallerOutput::Close => {
                     if let Some(mut connection) = connection.take() {
                         let _ = connection.flush().await;
-                        if callers.is_over() {
+                        if callers.is_finished() {
                             let _ = tokio::time::timeout(Duration::from_millis(500), connection.next()).await;
                         }
                     }
@@ -81,7 +81,7 @@
                 CallerOutput::Record(moment) => recorder.put(moment),
             }
         }
-        if callers.is_over() {
+        if callers.is_finished() {
             return;
         }
         if reconnect {
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -13,7 +13,8 @@
 mod text;
 
 pub use baydrift_emulator::{
-    CallerSpec, Command, Fault, Flow, Offers, Processor, ProcessorSpec, ServerSpec, Taken, TextSpec, Work,
+    CallerSpec, Command, EnqueueOutcome, Flow, LinkFault, OfferedLoad, Processor, ProcessorSpec, ServerSpec,
+    TextSpec, Work,
 };
 pub use caller::Caller;
 pub use far_end::FarEnd;
--- a/crates/standin/src/link.rs
+++ b/crates/standin/src/link.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use baydrift_audit::Recorder;
-use baydrift_emulator::{said, Fault};
+use baydrift_emulator::{said, LinkFault};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -18,7 +18,7 @@
 pub struct Link {
     /// Its listening address.
     pub addr: SocketAddr,
-    fault: watch::Sender<Fault>,
+    fault: watch::Sender<LinkFault>,
 }
 
 impl Link {
@@ -26,7 +26,7 @@
     ///
     /// # Errors
     /// If the socket cannot be bound.
-    pub async fn start(to: SocketAddr, fault: Fault) -> std::io::Result<Self> {
+    pub async fn start(to: SocketAddr, fault: LinkFault) -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let addr = listener.local_addr()?;
         let (fault, faults) = watch::channel(fault);
@@ -50,13 +50,13 @@
     }
 
     /// Replaces the injected fault.
-    pub fn set(&self, fault: Fault) {
+    pub fn set(&self, fault: LinkFault) {
         self.fault.send_replace(fault);
     }
 }
 
 /// Relays one connection until it ends, reaches the fault's byte limit or the link goes down.
-async fn relay(near: TcpStream, to: SocketAddr, faults: watch::Receiver<Fault>) {
+async fn relay(near: TcpStream, to: SocketAddr, faults: watch::Receiver<LinkFault>) {
     if faults.borrow().down {
         return;
     }
@@ -88,8 +88,8 @@
 async fn pump(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    mut faults: watch::Receiver<Fault>,
-    stalled: fn(&Fault) -> bool,
+    mut faults: watch::Receiver<LinkFault>,
+    stalled: fn(&LinkFault) -> bool,
     mut byte_limit: Option<u64>,
     close: Arc<mpsc::Sender<()>>,
 ) {
--- a/crates/standin/src/text.rs
+++ b/crates/standin/src/text.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use baydrift_audit::Recorder;
-use baydrift_emulator::{Offers, TextCallers, TextOutput, TextSpec};
+use baydrift_emulator::{OfferedLoad, TextCallers, TextOutput, TextSpec};
 use tokio::net::UdpSocket;
 use tokio::sync::watch;
 
@@ -22,7 +22,7 @@
     pub async fn start(
         spec: TextSpec,
         front: SocketAddr,
-        offers: watch::Receiver<Offers>,
+        offers: watch::Receiver<OfferedLoad>,
         recorder: Arc<Recorder>,
         seed: u64,
     ) -> std::io::Result<Self> {
@@ -36,14 +36,14 @@
 async fn run(
     mut callers: TextCallers,
     socket: UdpSocket,
-    mut offers: watch::Receiver<Offers>,
+    mut offers: watch::Receiver<OfferedLoad>,
     recorder: Arc<Recorder>,
 ) {
     let mut outputs = Vec::new();
     let mut buffer = vec![0u8; 65_536];
     loop {
         if offers.has_changed().unwrap_or(false) {
-            callers.offer_so(offers.borrow_and_update().clone());
+            callers.set_offered_load(offers.borrow_and_update().clone());
         }
         let now = recorder.now();
         let wait = Duration::from_micros(callers.due(now).saturating_sub(now));
