--- a/crates/emulator/src/call_schedule.rs
+++ b/crates/emulator/src/call_schedule.rs
@@ -1,4 +1,4 @@
-//! What callers of either protocol share: when calls are due, and what is drawn.
+//! Timers, call arrivals and random choices shared by the callers of either protocol.
 
 use std::collections::BTreeMap;
 
@@ -7,38 +7,42 @@
 use rand_distr::{Distribution, Exp};
 use rand_pcg::Pcg64Mcg;
 
-/// Times by when they are due, equal ones in the order of setting; and each flow's next call.
+/// Timers in order of due time, those at equal times in order of insertion, and the next arrival of each
+/// flow.
 #[derive(Debug)]
 pub struct CallSchedule<D> {
-    due: BTreeMap<(Micros, u64), D>,
-    set: u64,
-    /// When each flow's next call is due; 0 before the first.
-    pub next: Vec<Micros>,
+    timers: BTreeMap<(Micros, u64), D>,
+    inserted: u64,
+    /// When the next call of each flow arrives; 0 before the first is drawn.
+    pub next_arrivals: Vec<Micros>,
 }
 
 impl<D> CallSchedule<D> {
     pub fn new(flows: usize) -> Self {
-        Self { due: BTreeMap::new(), set: 0, next: vec![0; flows] }
+        Self { timers: BTreeMap::new(), inserted: 0, next_arrivals: vec![0; flows] }
     }
 
     pub fn add(&mut self, at: Micros, due: D) {
-        self.set += 1;
-        self.due.insert((at, self.set), due);
+        self.inserted += 1;
+        self.timers.insert((at, self.inserted), due);
     }
 
+    /// Due time of the next timer or arrival.
     pub fn next_due(&self) -> Micros {
-        let due = self.due.keys().next().map_or(Micros::MAX, |key| key.0);
-        self.next.iter().copied().min().unwrap_or(Micros::MAX).min(due)
+        let due = self.timers.keys().next().map_or(Micros::MAX, |key| key.0);
+        self.next_arrivals.iter().copied().min().unwrap_or(Micros::MAX).min(due)
     }
 
+    /// Takes the first timer that is due by now.
     pub fn pop_due(&mut self, now: Micros) -> Option<D> {
-        let first = self.due.first_entry()?;
+        let first = self.timers.first_entry()?;
         (first.key().0 <= now).then(|| first.remove())
     }
 
-    /// How many calls of a flow fall due by now, at so many a second; the next one's time is drawn.
+    /// Number of calls of a flow that have arrived by now, at `rate` calls per second. Draws the following
+    /// arrival.
     pub fn arrivals(&mut self, now: Micros, flow: usize, rate: f64, rng: &mut Pcg64Mcg) -> usize {
-        let Some(next) = self.next.get_mut(flow) else { return 0 };
+        let Some(next) = self.next_arrivals.get_mut(flow) else { return 0 };
         if rate <= 0.0 {
             *next = now + 100_000;
             return 0;
@@ -55,19 +59,19 @@
     }
 }
 
-/// A time of an exponential distribution.
+/// Draws a time from an exponential distribution with the given mean, microseconds.
 pub fn sample_exponential(rng: &mut Pcg64Mcg, mean: f64) -> Micros {
     let mean = mean.max(1.0);
     Exp::new(1.0 / mean).map_or(mean as Micros, |exp| exp.sample(rng) as Micros)
 }
 
-/// A server by weight.
+/// Draws the index of a server, with probability proportional to its weight.
 pub fn choose_weighted(rng: &mut Pcg64Mcg, servers: &[(String, f64)]) -> usize {
     let total: f64 = servers.iter().map(|(_, weight)| weight).sum();
-    let mut left = rng.random::<f64>() * total;
-    let over = |(_, weight): &(String, f64)| {
-        left -= weight;
-        left < 0.0
+    let mut remaining = rng.random::<f64>() * total;
+    let is_chosen = |(_, weight): &(String, f64)| {
+        remaining -= weight;
+        remaining < 0.0
     };
-    servers.iter().position(over).unwrap_or(0)
+    servers.iter().position(is_chosen).unwrap_or(0)
 }
--- a/crates/emulator/src/caller.rs
+++ b/crates/emulator/src/caller.rs
@@ -1,4 +1,5 @@
-//! Callers behind one Diameter client: open-loop arrivals, patience, redials, repeats. Free of I/O and time.
+//! Model of the callers behind one Diameter client: open-loop arrivals, caller timeouts, redials and
+//! retransmissions. Performs no I/O and reads no clock.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,119 +16,124 @@
 use crate::call_schedule::{choose_weighted, sample_exponential, CallSchedule};
 use crate::offered_load::{Flow, OfferedLoad};
 
-/// One client's callers.
+/// Configuration of [`Callers`].
 #[derive(Debug, Clone)]
 pub struct CallerSpec {
     /// Origin-Host.
     pub host: String,
     /// Origin-Realm.
     pub realm: String,
-    /// The front: ordinal, Origin-Host and Origin-Realm.
+    /// Ordinal, Origin-Host and Origin-Realm of the front.
     pub front: (u32, String, String),
-    /// Destination-Realm of calls.
+    /// Destination-Realm of the calls.
     pub destination_realm: String,
-    /// Servers by number, to name as first choice, each as often as its weight says.
+    /// Host and weight of each server, in order of number; first choices are drawn by weight.
     pub servers: Vec<(String, f64)>,
-    /// Calls.
+    /// Flows of calls.
     pub flows: Vec<Flow>,
-    /// Tw.
+    /// Diameter watchdog interval Tw, microseconds.
     pub watchdog: Micros,
 }
 
-/// What callers hear.
+/// Input of [`Callers`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum CallerInput {
-    /// Their connection is up.
+    /// The connection is established.
     Connected,
-    /// A message came.
+    /// A message was received.
     Received(Frame),
-    /// Their connection is gone, or did not come about.
+    /// The connection was closed or could not be established.
     Closed,
-    /// Time has passed.
+    /// Timers may be due.
     Tick,
 }
 
-/// What callers want done.
+/// Action that [`Callers`] request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CallerOutput {
-    /// Connect.
+    /// Connect to the front.
     Connect,
-    /// Send.
+    /// Send a message.
     Send(Message),
-    /// Close the connection once what was sent is out.
+    /// Close the connection after the messages sent on it are flushed.
     Close,
-    /// Something was seen.
+    /// Add an event to the record.
     Record(RecordEvent),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum State {
-    Asked,
-    Stands,
-    Over,
+enum CallState {
+    Pending,
+    Established,
+    Ended,
 }
 
 #[derive(Debug)]
 struct Call {
     flow: usize,
     first: Option<String>,
-    tries: u32,
-    state: State,
+    redials: u32,
+    state: CallState,
     answered: bool,
     hot: bool,
     choice: usize,
     request: Message,
 }
 
-/// What a time is for.
+/// A timer of a call, identified by its session.
 #[derive(Debug)]
-enum Due {
-    GiveUp(String),
+enum Timer {
+    CallerTimeout(String),
     Hangup(String),
-    Redial { flow: usize, first: String, tries: u32, hot: bool, choice: usize },
+    Redial { flow: usize, first: String, redials: u32, hot: bool, choice: usize },
     Forget(String),
 }
 
-/// Where the connection is.
+/// State of the connection.
 #[derive(Debug)]
-enum Line {
-    /// Closed; tried again then.
+enum ConnectionState {
+    /// Closed; the time of the next connection attempt.
     Down(Micros),
     Connecting,
-    /// Open, and whether capabilities are exchanged.
+    /// Open; whether capabilities are exchanged.
     Open(Box<Peer>, bool),
-    /// All is over, and good-bye is said.
-    Over,
+    /// All calls have ended and the peer is disconnected for good.
+    Finished,
 }
 
-/// See the module's page.
+/// The callers of one client; see the module documentation.
 #[derive(Debug)]
 pub struct Callers {
     spec: CallerSpec,
     local: Arc<Local>,
-    offers: OfferedLoad,
+    offered_load: OfferedLoad,
     rng: Pcg64Mcg,
-    schedule: CallSchedule<Due>,
+    schedule: CallSchedule<Timer>,
     calls: BTreeMap<String, Call>,
+    /// Session of each outstanding request by its hop-by-hop id.
     by_id: BTreeMap<u32, String>,
-    count: u64,
-    served: u32,
-    line: Line,
-    connections: u32,
+    /// Number of calls offered so far.
+    call_count: u64,
+    /// Value of [`OfferedLoad::reconnects`] that was last acted upon.
+    reconnects_done: u32,
+    connection: ConnectionState,
+    /// Number of connections established so far.
+    connection_count: u32,
 }
 
-/// The hot number.
-const HOT: &str = "5550199";
-/// A call's answer may still come so long after its caller gave up.
-const LINGER: Micros = 2_000_000;
-/// A connection that ended is tried again after this.
-const RETRY: Micros = 20_000;
-/// Callers look at least this often.
-const LOOK: Micros = 1_000_000;
+/// Called number of hot calls.
+const HOT_NUMBER: &str = "5550199";
+/// How long a call is kept after it ended, so that late answers are recognised, microseconds.
+const CALL_RETENTION: Micros = 2_000_000;
+/// Delay before a closed connection is re-established, microseconds.
+const RECONNECT_DELAY: Micros = 20_000;
+/// Longest interval between two ticks, microseconds.
+const MAX_TICK_INTERVAL: Micros = 1_000_000;
 
 impl Callers {
-    /// Callers that begin with their first [`CallerInput::Tick`]; `seed` draws everything.
-    pub fn new(spec: CallerSpec, offers: OfferedLoad, seed: u64) -> Self {
+    /// Creates callers that connect at their first [`CallerInput::Tick`]; `seed` determines all random
+    /// choices.
+    pub fn new(spec: CallerSpec, offered_load: OfferedLoad, seed: u64) -> Self {
         let local = Local {
             host: spec.host.clone(),
             realm: spec.realm.clone(),
@@ -142,220 +148,227 @@
             local: Arc::new(local),
             schedule: CallSchedule::new(spec.flows.len()),
             spec,
-            offers,
+            offered_load,
             rng: Pcg64Mcg::seed_from_u64(seed),
             calls: BTreeMap::new(),
             by_id: BTreeMap::new(),
-            count: 0,
-            served: 0,
-            line: Line::Down(0),
-            connections: 0,
+            call_count: 0,
+            reconnects_done: 0,
+            connection: ConnectionState::Down(0),
+            connection_count: 0,
         }
     }
 
-    /// What is offered from now on.
-    pub fn set_offered_load(&mut self, offers: OfferedLoad) {
-        self.offers = offers;
+    /// Replaces the offered load.
+    pub fn set_offered_load(&mut self, offered_load: OfferedLoad) {
+        self.offered_load = offered_load;
     }
 
-    /// Whether all calls are over and none will come.
+    /// Whether all calls have ended and no more will be offered.
     pub fn is_finished(&self) -> bool {
-        matches!(self.line, Line::Over)
+        matches!(self.connection, ConnectionState::Finished)
     }
 
-    fn no_more(&self) -> bool {
-        let open = self.calls.values().any(|call| call.state != State::Over);
-        self.offers.factor <= 0.0 && !open
+    fn is_drained(&self) -> bool {
+        let open = self.calls.values().any(|call| call.state != CallState::Ended);
+        self.offered_load.factor <= 0.0 && !open
     }
 
-    /// When [`CallerInput::Tick`] is wanted at the latest.
+    /// Time by which the next [`CallerInput::Tick`] is needed.
     pub fn due(&self, now: Micros) -> Micros {
-        match &self.line {
-            Line::Down(at) => *at,
-            Line::Connecting | Line::Over => Micros::MAX,
-            Line::Open(peer, up) => {
+        match &self.connection {
+            ConnectionState::Down(at) => *at,
+            ConnectionState::Connecting | ConnectionState::Finished => Micros::MAX,
+            ConnectionState::Open(peer, up) => {
                 let calls = if *up { self.schedule.next_due() } else { Micros::MAX };
-                peer.due().min(calls).min(now.saturating_add(LOOK))
+                peer.due().min(calls).min(now.saturating_add(MAX_TICK_INTERVAL))
             }
         }
     }
 
-    /// Takes one input; appends what is to be done.
+    /// Handles one input; appends the requested actions.
     pub fn handle(&mut self, now: Micros, input: CallerInput, out: &mut Vec<CallerOutput>) {
         match input {
             CallerInput::Connected => self.connected(now, out),
             CallerInput::Received(Frame::Valid(message)) => {
                 let frame = Frame::Valid(message);
-                self.give(now, PeerInput::Received(Side::Initiator, frame), out);
+                self.peer_input(now, PeerInput::Received(Side::Initiator, frame), out);
             }
-            CallerInput::Received(Frame::Invalid(..)) => self.part(now, out),
-            CallerInput::Closed => self.lost(now, out),
+            CallerInput::Received(Frame::Invalid(..)) => self.disconnect(now, out),
+            CallerInput::Closed => self.connection_lost(now, out),
             CallerInput::Tick => self.tick(now, out),
         }
     }
 
     fn connected(&mut self, now: Micros, out: &mut Vec<CallerOutput>) {
-        self.connections += 1;
+        self.connection_count += 1;
         let expect = Some((self.spec.front.1.clone(), self.spec.front.2.clone()));
         let (local, watchdog, seed) = (self.local.clone(), self.spec.watchdog, self.rng.random());
         let mut peer = Peer::new(local, expect, watchdog, (now as u32) << 12, seed);
         peer.handle(now, PeerInput::Start, &mut Vec::new());
-        self.line = Line::Open(Box::new(peer), false);
-        self.give(now, PeerInput::Connected, out);
+        self.connection = ConnectionState::Open(Box::new(peer), false);
+        self.peer_input(now, PeerInput::Connected, out);
     }
 
-    /// This end closes the connection.
-    fn part(&mut self, now: Micros, out: &mut Vec<CallerOutput>) {
+    /// Closes the connection from this end.
+    fn disconnect(&mut self, now: Micros, out: &mut Vec<CallerOutput>) {
         out.push(CallerOutput::Close);
-        self.lost(now, out);
+        self.connection_lost(now, out);
     }
 
-    fn lost(&mut self, now: Micros, out: &mut Vec<CallerOutput>) {
-        if matches!(self.line, Line::Open(..)) {
+    fn connection_lost(&mut self, now: Micros, out: &mut Vec<CallerOutput>) {
+        if matches!(self.connection, ConnectionState::Open(..)) {
             let (front, client) = (self.spec.front.0, self.spec.host.clone());
             out.push(CallerOutput::Record(RecordEvent::ClientDisconnected { front, client }));
         }
         if !self.is_finished() {
-            self.line = if self.no_more() { Line::Over } else { Line::Down(now + RETRY) };
+            self.connection = if self.is_drained() {
+                ConnectionState::Finished
+            } else {
+                ConnectionState::Down(now + RECONNECT_DELAY)
+            };
         }
     }
 
-    fn give(&mut self, now: Micros, input: PeerInput, out: &mut Vec<CallerOutput>) {
-        let mut seen = Vec::new();
-        if let Line::Open(peer, _) = &mut self.line {
-            peer.handle(now, input, &mut seen);
+    fn peer_input(&mut self, now: Micros, input: PeerInput, out: &mut Vec<CallerOutput>) {
+        let mut outputs = Vec::new();
+        if let ConnectionState::Open(peer, _) = &mut self.connection {
+            peer.handle(now, input, &mut outputs);
         }
-        for output in seen {
+        for output in outputs {
             match output {
                 PeerOutput::Send(_, message) => out.push(CallerOutput::Send(message)),
-                PeerOutput::Up(_) => self.up(out),
+                PeerOutput::Up(_) => self.connection_up(out),
                 PeerOutput::Answer(message) => self.answer(now, &message, out),
                 PeerOutput::Request(message) => {
-                    let answer = self.aborted(now, &message, out);
+                    let answer = self.abort(now, &message, out);
                     out.push(CallerOutput::Send(answer));
                 }
-                PeerOutput::Close(..) | PeerOutput::Down(_) => return self.part(now, out),
+                PeerOutput::Close(..) | PeerOutput::Down(_) => return self.disconnect(now, out),
                 _ => {}
             }
         }
     }
 
-    /// Whoever still waits asks again on a new connection, with the T flag and the same end-to-end id.
-    fn up(&mut self, out: &mut Vec<CallerOutput>) {
-        let Line::Open(peer, up) = &mut self.line else { return };
+    /// Retransmits pending set-ups on a new connection, with the T flag and their original End-to-End id.
+    fn connection_up(&mut self, out: &mut Vec<CallerOutput>) {
+        let ConnectionState::Open(peer, up) = &mut self.connection else { return };
         *up = true;
-        if self.connections < 2 {
+        if self.connection_count < 2 {
             return;
         }
-        for (name, call) in self.calls.iter().filter(|(_, call)| call.state == State::Asked) {
-            let mut again = call.request.clone();
-            again.header.flags.retransmitted = true;
-            self.by_id.insert(peer.assign_ids(&mut again), name.clone());
-            let (front, call) = (self.spec.front.0, format!("{}|{name}", self.spec.host));
+        for (session, call) in self.calls.iter().filter(|(_, call)| call.state == CallState::Pending) {
+            let mut retransmission = call.request.clone();
+            retransmission.header.flags.retransmitted = true;
+            self.by_id.insert(peer.assign_ids(&mut retransmission), session.clone());
+            let (front, call) = (self.spec.front.0, format!("{}|{session}", self.spec.host));
             out.push(CallerOutput::Record(RecordEvent::Retransmit { front, call }));
-            out.push(CallerOutput::Send(again));
+            out.push(CallerOutput::Send(retransmission));
         }
     }
 
     fn tick(&mut self, now: Micros, out: &mut Vec<CallerOutput>) {
-        match &self.line {
-            Line::Down(at) if *at <= now => {
-                if self.no_more() && self.connections > 0 {
-                    self.line = Line::Over;
+        match &self.connection {
+            ConnectionState::Down(at) if *at <= now => {
+                if self.is_drained() && self.connection_count > 0 {
+                    self.connection = ConnectionState::Finished;
                 } else {
-                    self.line = Line::Connecting;
+                    self.connection = ConnectionState::Connecting;
                     out.push(CallerOutput::Connect);
                 }
                 return;
             }
-            Line::Down(_) | Line::Connecting | Line::Over => return,
-            Line::Open(..) => {}
+            ConnectionState::Down(_) | ConnectionState::Connecting | ConnectionState::Finished => return,
+            ConnectionState::Open(..) => {}
         }
-        self.give(now, PeerInput::Tick, out);
-        if !matches!(self.line, Line::Open(_, true)) {
+        self.peer_input(now, PeerInput::Tick, out);
+        if !matches!(self.connection, ConnectionState::Open(_, true)) {
             return;
         }
-        if self.no_more() {
-            self.give(now, PeerInput::Stop(2), out);
+        if self.is_drained() {
+            self.peer_input(now, PeerInput::Stop(2), out);
             out.push(CallerOutput::Close);
-            self.line = Line::Over;
+            self.connection = ConnectionState::Finished;
             return;
         }
         let mut messages = Vec::new();
-        self.act(now, &mut messages, out);
+        self.run_due(now, &mut messages, out);
         messages.into_iter().for_each(|message| self.send(message, out));
-        if self.offers.reconnects != self.served {
-            self.served = self.offers.reconnects;
-            self.part(now, out);
+        if self.offered_load.reconnects != self.reconnects_done {
+            self.reconnects_done = self.offered_load.reconnects;
+            self.disconnect(now, out);
         }
     }
 
     fn send(&mut self, mut message: Message, out: &mut Vec<CallerOutput>) {
-        let Line::Open(peer, _) = &mut self.line else { return };
-        let name = message.text(dict::SESSION_ID).unwrap_or("").to_owned();
-        self.by_id.insert(peer.assign_ids(&mut message), name.clone());
-        if let Some(call) = self.calls.get_mut(&name).filter(|c| c.request.header.end_to_end == 0) {
+        let ConnectionState::Open(peer, _) = &mut self.connection else { return };
+        let session = message.text(dict::SESSION_ID).unwrap_or("").to_owned();
+        self.by_id.insert(peer.assign_ids(&mut message), session.clone());
+        if let Some(call) = self.calls.get_mut(&session).filter(|c| c.request.header.end_to_end == 0) {
             call.request.header = message.header;
         }
         let first = message.number(dict::CC_REQUEST_TYPE) == Some(RequestType::Initial.value());
         out.push(CallerOutput::Send(message.clone()));
-        if first && self.rng.random::<f64>() < self.offers.retransmit_share {
+        if first && self.rng.random::<f64>() < self.offered_load.retransmit_share {
             message.header.flags.retransmitted = true;
-            let (front, call) = (self.spec.front.0, self.name(&name));
+            let (front, call) = (self.spec.front.0, self.record_name(&session));
             out.push(CallerOutput::Record(RecordEvent::Retransmit { front, call }));
-            if let Line::Open(peer, _) = &mut self.line {
-                self.by_id.insert(peer.assign_ids(&mut message), name);
+            if let ConnectionState::Open(peer, _) = &mut self.connection {
+                self.by_id.insert(peer.assign_ids(&mut message), session);
             }
             out.push(CallerOutput::Send(message));
         }
     }
 
-    /// A call's name in the record.
-    fn name(&self, session: &str) -> String {
+    /// Identifier of a call in the record.
+    fn record_name(&self, session: &str) -> String {
         format!("{}|{session}", self.spec.host)
     }
 
-    /// All that is due now.
-    fn act(&mut self, now: Micros, messages: &mut Vec<Message>, out: &mut Vec<CallerOutput>) {
+    /// Offers the calls that have arrived and handles the due timers.
+    fn run_due(&mut self, now: Micros, messages: &mut Vec<Message>, out: &mut Vec<CallerOutput>) {
         let front = self.spec.front.0;
         for flow in 0..self.spec.flows.len() {
-            let rate = self.spec.flows[flow].rate * self.offers.factor;
+            let rate = self.spec.flows[flow].rate * self.offered_load.factor;
             for _ in 0..self.schedule.arrivals(now, flow, rate, &mut self.rng) {
                 let choice = choose_weighted(&mut self.rng, &self.spec.servers);
-                let hot = self.rng.random::<f64>() < self.offers.hot_number_share;
+                let hot = self.rng.random::<f64>() < self.offered_load.hot_number_share;
                 messages.push(self.offer(now, flow, None, 0, hot, choice, out));
             }
         }
         while let Some(due) = self.schedule.pop_due(now) {
             match due {
-                Due::GiveUp(name) if self.is(&name, State::Asked) => {
+                Timer::CallerTimeout(session) if self.is_in_state(&session, CallState::Pending) => {
                     out.push(CallerOutput::Record(RecordEvent::CallerTimeout {
                         front,
-                        call: self.name(&name),
+                        call: self.record_name(&session),
                     }));
-                    messages.extend(self.end(&name));
-                    self.redial(now, &name);
-                    self.schedule.add(now + LINGER, Due::Forget(name));
+                    messages.extend(self.end(&session));
+                    self.redial(now, &session);
+                    self.schedule.add(now + CALL_RETENTION, Timer::Forget(session));
                 }
-                Due::Hangup(name) if self.is(&name, State::Stands) => {
-                    out.push(CallerOutput::Record(RecordEvent::Hangup { front, call: self.name(&name) }));
-                    messages.extend(self.end(&name));
-                    self.schedule.add(now + LINGER, Due::Forget(name));
+                Timer::Hangup(session) if self.is_in_state(&session, CallState::Established) => {
+                    out.push(CallerOutput::Record(RecordEvent::Hangup {
+                        front,
+                        call: self.record_name(&session),
+                    }));
+                    messages.extend(self.end(&session));
+                    self.schedule.add(now + CALL_RETENTION, Timer::Forget(session));
                 }
-                Due::Redial { flow, first, tries, hot, choice } if self.offers.factor > 0.0 => {
-                    messages.push(self.offer(now, flow, Some(first), tries, hot, choice, out));
+                Timer::Redial { flow, first, redials, hot, choice } if self.offered_load.factor > 0.0 => {
+                    messages.push(self.offer(now, flow, Some(first), redials, hot, choice, out));
                 }
-                Due::GiveUp(_) | Due::Hangup(_) | Due::Redial { .. } => {}
-                Due::Forget(name) => {
-                    self.calls.remove(&name);
-                    self.by_id.retain(|_, other| *other != name);
+                Timer::CallerTimeout(_) | Timer::Hangup(_) | Timer::Redial { .. } => {}
+                Timer::Forget(session) => {
+                    self.calls.remove(&session);
+                    self.by_id.retain(|_, other| *other != session);
                 }
             }
         }
     }
 
-    fn is(&self, name: &str, state: State) -> bool {
-        self.calls.get(name).is_some_and(|call| call.state == state)
+    fn is_in_state(&self, session: &str, state: CallState) -> bool {
+        self.calls.get(session).is_some_and(|call| call.state == state)
     }
 
     #[allow(clippy::too_many_arguments)]
@@ -364,14 +377,14 @@
         now: Micros,
         flow: usize,
         first: Option<String>,
-        tries: u32,
+        redials: u32,
         hot: bool,
         choice: usize,
         out: &mut Vec<CallerOutput>,
     ) -> Message {
-        self.count += 1;
-        let session = format!("{};{};{}", self.spec.host, self.local.state_id, self.count);
-        let Flow { class, publisher, context, subscription, caller_timeout: patience, .. } =
+        self.call_count += 1;
+        let session = format!("{};{};{}", self.spec.host, self.local.state_id, self.call_count);
+        let Flow { class, publisher, context, subscription, caller_timeout, .. } =
             self.spec.flows[flow].clone();
         let ends = Endpoints {
             origin_host: &self.spec.host,
@@ -379,8 +392,11 @@
             destination_realm: &self.spec.destination_realm,
             destination_host: self.spec.servers.get(choice).map(|(host, _)| host.as_str()),
         };
-        let number =
-            if hot { HOT.to_owned() } else { format!("{}", 6_000_000 + self.rng.random_range(0..1_000_000)) };
+        let number = if hot {
+            HOT_NUMBER.to_owned()
+        } else {
+            format!("{}", 6_000_000 + self.rng.random_range(0..1_000_000))
+        };
         let request = credit::request(ends, &session, &context, RequestType::Initial, 0)
             .with(Avp::text(dict::CALLED_STATION_ID, &number))
             .with(Avp::group(
@@ -392,24 +408,24 @@
             ));
         out.push(CallerOutput::Record(RecordEvent::Offer {
             front: self.spec.front.0,
-            call: self.name(&session),
+            call: self.record_name(&session),
             first: first.clone(),
             class,
             publisher,
             hot,
-            caller_timeout_us: patience,
+            caller_timeout_us: caller_timeout,
         }));
-        self.schedule.add(now + patience, Due::GiveUp(session.clone()));
-        let (state, answered, copy) = (State::Asked, false, request.clone());
-        let call = Call { flow, first, tries, state, answered, hot, choice, request: copy };
+        self.schedule.add(now + caller_timeout, Timer::CallerTimeout(session.clone()));
+        let (state, answered, request_copy) = (CallState::Pending, false, request.clone());
+        let call = Call { flow, first, redials, state, answered, hot, choice, request: request_copy };
         self.calls.insert(session, call);
         request
     }
 
-    /// The caller is done with a call: its release.
-    fn end(&mut self, name: &str) -> Option<Message> {
-        let call = self.calls.get_mut(name)?;
-        call.state = State::Over;
+    /// Ends a call from the caller's side; returns its release request.
+    fn end(&mut self, session: &str) -> Option<Message> {
+        let call = self.calls.get_mut(session)?;
+        call.state = CallState::Ended;
         let context = &self.spec.flows[call.flow].context;
         let ends = Endpoints {
             origin_host: &self.spec.host,
@@ -417,54 +433,54 @@
             destination_realm: &self.spec.destination_realm,
             destination_host: None,
         };
-        Some(credit::request(ends, name, context, RequestType::Termination, 1))
+        Some(credit::request(ends, session, context, RequestType::Termination, 1))
     }
 
     fn answer(&mut self, now: Micros, message: &Message, out: &mut Vec<CallerOutput>) {
-        let Some(name) = self.by_id.remove(&message.header.hop_by_hop) else { return };
+        let Some(session) = self.by_id.remove(&message.header.hop_by_hop) else { return };
         if message.number(dict::CC_REQUEST_TYPE) != Some(RequestType::Initial.value()) {
             return;
         }
-        let (front, code, call) = (self.spec.front.0, message.result(), self.name(&name));
+        let (front, code, call) = (self.spec.front.0, message.result(), self.record_name(&session));
         out.push(CallerOutput::Record(RecordEvent::Answer { front, call, code }));
-        let Some(call) = self.calls.get_mut(&name).filter(|call| !call.answered) else { return };
+        let Some(call) = self.calls.get_mut(&session).filter(|call| !call.answered) else { return };
         call.answered = true;
-        if call.state != State::Asked {
+        if call.state != CallState::Pending {
             return;
         }
         if code == result::SUCCESS {
-            call.state = State::Stands;
+            call.state = CallState::Established;
             let hold = self.spec.flows[call.flow].hold as f64;
             let hold = sample_exponential(&mut self.rng, hold);
-            self.schedule.add(now + hold, Due::Hangup(name));
+            self.schedule.add(now + hold, Timer::Hangup(session));
         } else {
-            call.state = State::Over;
-            let advice = load::read_retry_after(message).unwrap_or(0);
-            self.redial(now + advice, &name);
-            self.schedule.add(now + LINGER, Due::Forget(name));
+            call.state = CallState::Ended;
+            let retry_after = load::read_retry_after(message).unwrap_or(0);
+            self.redial(now + retry_after, &session);
+            self.schedule.add(now + CALL_RETENTION, Timer::Forget(session));
         }
     }
 
-    fn redial(&mut self, now: Micros, name: &str) {
-        let wait = sample_exponential(&mut self.rng, self.offers.redial_wait as f64);
-        let Some(call) = self.calls.get(name) else { return };
-        if call.tries < self.offers.redials {
-            let first = call.first.clone().unwrap_or_else(|| self.name(name));
-            let (flow, tries, hot, choice) = (call.flow, call.tries + 1, call.hot, call.choice);
-            self.schedule.add(now + wait, Due::Redial { flow, first, tries, hot, choice });
+    fn redial(&mut self, now: Micros, session: &str) {
+        let wait = sample_exponential(&mut self.rng, self.offered_load.redial_wait as f64);
+        let Some(call) = self.calls.get(session) else { return };
+        if call.redials < self.offered_load.redials {
+            let first = call.first.clone().unwrap_or_else(|| self.record_name(session));
+            let (flow, redials, hot, choice) = (call.flow, call.redials + 1, call.hot, call.choice);
+            self.schedule.add(now + wait, Timer::Redial { flow, first, redials, hot, choice });
         }
     }
 
-    fn aborted(&mut self, now: Micros, request: &Message, out: &mut Vec<CallerOutput>) -> Message {
+    fn abort(&mut self, now: Micros, request: &Message, out: &mut Vec<CallerOutput>) -> Message {
         let session = request.text(dict::SESSION_ID).unwrap_or("").to_owned();
-        let (front, name) = (self.spec.front.0, self.name(&session));
-        let known = self.calls.get_mut(&session).filter(|call| call.state != State::Over);
+        let (front, call_name) = (self.spec.front.0, self.record_name(&session));
+        let known = self.calls.get_mut(&session).filter(|call| call.state != CallState::Ended);
         let code = match known {
             Some(call) => {
-                call.state = State::Over;
-                out.push(CallerOutput::Record(RecordEvent::Dropped { front, call: name }));
+                call.state = CallState::Ended;
+                out.push(CallerOutput::Record(RecordEvent::Dropped { front, call: call_name }));
                 self.redial(now, &session);
-                self.schedule.add(now + LINGER, Due::Forget(session));
+                self.schedule.add(now + CALL_RETENTION, Timer::Forget(session));
                 result::SUCCESS
             }
             None => result::UNKNOWN_SESSION_ID,
--- a/crates/emulator/src/event_queue.rs
+++ b/crates/emulator/src/event_queue.rs
@@ -1,31 +1,31 @@
-//! Events in order of time, equal ones in the order of setting.
+//! Priority queue of events in order of time; events at equal times keep their order of insertion.
 
 use std::collections::BTreeMap;
 
 use baydrift::interface::Micros;
 
-/// The queue; its clock is the time of the last event taken.
+/// Event queue of a simulation. Its clock is the time of the last event taken.
 #[derive(Debug)]
 pub struct EventQueue<E> {
     events: BTreeMap<(Micros, u64), E>,
-    set: u64,
+    inserted: u64,
     now: Micros,
 }
 
 impl<E> Default for EventQueue<E> {
     fn default() -> Self {
-        Self { events: BTreeMap::new(), set: 0, now: 0 }
+        Self { events: BTreeMap::new(), inserted: 0, now: 0 }
     }
 }
 
 impl<E> EventQueue<E> {
-    /// Sets an event; one in the past happens now.
+    /// Schedules an event; one in the past is due now.
     pub fn schedule(&mut self, at: Micros, event: E) {
-        self.set += 1;
-        self.events.insert((at.max(self.now), self.set), event);
+        self.inserted += 1;
+        self.events.insert((at.max(self.now), self.inserted), event);
     }
 
-    /// The next event up to a time. Without one the clock goes on to that time.
+    /// Takes the next event that is due by `until`. Without one, the clock advances to `until`.
     pub fn pop_until(&mut self, until: Micros) -> Option<E> {
         let first = self.events.first_entry().filter(|first| first.key().0 <= until);
         let Some(first) = first else {
@@ -36,17 +36,17 @@
         Some(first.remove())
     }
 
-    /// The clock.
+    /// Current time.
     pub fn now(&self) -> Micros {
         self.now
     }
 
-    /// Events that wait.
+    /// Number of pending events.
     pub fn len(&self) -> usize {
         self.events.len()
     }
 
-    /// Whether none waits.
+    /// Whether no event is pending.
     pub fn is_empty(&self) -> bool {
         self.events.is_empty()
     }
--- a/crates/emulator/src/front.rs
+++ b/crates/emulator/src/front.rs
@@ -1,5 +1,5 @@
-//! A front in virtual time: the real desk, peers and doors, with the tasks that a service has around them as
-//! queues whose delays are drawn.
+//! A front in virtual time: the production session layer, peers and admission, with the service's tasks
+//! around them modelled as queues with random delays.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,59 +16,61 @@
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 
-/// What the core is told.
+/// Input of a front's core.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) enum ToCore {
-    Desk(SessionInput),
-    /// A list, and what it makes true if it is taken.
-    Pool(PoolList, Vec<RecordEvent>),
+pub(crate) enum CoreInput {
+    /// An input of the session layer.
+    Session(SessionInput),
+    /// A server list, and the events to record if it is applied.
+    PoolList(PoolList, Vec<RecordEvent>),
 }
 
-/// A client's link as the front holds it.
+/// Connection of a client to the front.
 #[derive(Debug)]
 struct Client {
-    conn: u64,
-    /// `None` until its CER came.
+    connection: u64,
+    /// `None` until the client's CER is accepted.
     link: Option<ClientLink>,
 }
 
-/// A server's link, and its transport.
+/// Link to a server, and its current connection.
 #[derive(Debug)]
 pub(crate) struct Server {
     link: ServerLink,
-    pub(crate) conn: Option<u64>,
+    pub(crate) connection: Option<u64>,
 }
 
-/// What a link's task did.
+/// Action that a link's task requests.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) enum Did {
-    /// Opened a transport to its server.
+pub(crate) enum TaskAction {
+    /// Open a connection to the server.
     Connect,
-    /// Sent.
+    /// Send a message on a connection.
     Send(u64, Message),
-    /// Closed.
+    /// Close a connection.
     Close(u64),
-    /// Told the core.
-    Tell(SessionInput),
+    /// Pass an input to the core.
+    NotifyCore(SessionInput),
 }
 
-/// See the module's page.
+/// The state of one front's process; see the module documentation.
 #[derive(Debug)]
 pub(crate) struct Front {
     config: Config,
     local: Arc<Local>,
-    desk: SessionLayer,
-    stalls: StallMonitor,
-    /// Until then the core only reads, after an own stall.
-    catching: Option<Micros>,
-    read: Vec<ToCore>,
-    doors: Admission,
+    session_layer: SessionLayer,
+    stall_monitor: StallMonitor,
+    /// After a stall of the process, the core only queues its inputs until this time.
+    catch_up_until: Option<Micros>,
+    pending_inputs: Vec<CoreInput>,
+    admission: Admission,
     pub(crate) servers: Vec<Server>,
     clients: BTreeMap<LinkId, Client>,
     next_link: u64,
     pub(crate) stalled_until: Micros,
-    /// How many processes there were, and whether one runs.
-    process: u32,
+    /// Number of processes started so far, including the current one.
+    generation: u32,
+    /// Whether no process runs.
     down: bool,
 }
 
@@ -80,7 +82,7 @@
         rng: &mut Pcg64Mcg,
     ) -> Result<Self, EngineError> {
         let seed = config.seed.unwrap_or_else(|| rng.random());
-        let desk = match policy {
+        let session_layer = match policy {
             Some(policy) => SessionLayer::with_policy(&config, ProcessIdentity::numbered(boot), policy)?,
             None => SessionLayer::new(&config, ProcessIdentity::numbered(boot), seed)?,
         };
@@ -89,87 +91,89 @@
             |server| ServerLink::new(server, local.clone(), config.watchdog, rng.random(), rng.random());
         let links: Vec<_> = config.servers.iter().map(link).collect();
         Ok(Self {
-            servers: links.into_iter().map(|link| Server { link, conn: None }).collect(),
-            doors: Admission::new(&config),
+            servers: links.into_iter().map(|link| Server { link, connection: None }).collect(),
+            admission: Admission::new(&config),
             config,
             local,
-            desk,
-            stalls: StallMonitor::default(),
-            catching: None,
-            read: Vec::new(),
+            session_layer,
+            stall_monitor: StallMonitor::default(),
+            catch_up_until: None,
+            pending_inputs: Vec::new(),
             clients: BTreeMap::new(),
             next_link: 1,
             stalled_until: 0,
-            process: boot,
+            generation: boot,
             down: false,
         })
     }
 
-    /// The count of the process that runs, or ran last.
-    pub(crate) fn process(&self) -> u32 {
-        self.process
+    /// Generation of the current or last process.
+    pub(crate) fn generation(&self) -> u32 {
+        self.generation
     }
 
-    /// Whether this process still runs.
-    pub(crate) fn runs(&self, process: u32) -> bool {
-        !self.down && self.process == process
+    /// Whether the process of this generation is running.
+    pub(crate) fn is_running(&self, generation: u32) -> bool {
+        !self.down && self.generation == generation
     }
 
     pub(crate) fn is_down(&self) -> bool {
         self.down
     }
 
-    /// The process is killed.
-    pub(crate) fn go_down(&mut self) {
+    /// Kills the process.
+    pub(crate) fn terminate(&mut self) {
         (self.down, self.stalled_until) = (true, 0);
     }
 
-    /// Another process, which knows nothing of the one before.
-    pub(crate) fn start_anew(&mut self, now: Micros, rng: &mut Pcg64Mcg) -> Result<(), EngineError> {
-        *self = Self::new(self.config.clone(), None, self.process + 1, rng)?;
-        self.desk.set_start_time(now);
+    /// Starts a new process without any state of the previous one.
+    pub(crate) fn restart(&mut self, now: Micros, rng: &mut Pcg64Mcg) -> Result<(), EngineError> {
+        *self = Self::new(self.config.clone(), None, self.generation + 1, rng)?;
+        self.session_layer.set_start_time(now);
         Ok(())
     }
 
-    pub(crate) fn desk(&self) -> &SessionLayer {
-        &self.desk
+    pub(crate) fn session_layer(&self) -> &SessionLayer {
+        &self.session_layer
     }
 
     // --- the core ---
 
-    /// When the core wants to wake.
+    /// When the core needs its next wake-up.
     pub(crate) fn core_due(&self) -> Micros {
-        self.catching.unwrap_or_else(|| self.stalls.due(&self.desk))
+        self.catch_up_until.unwrap_or_else(|| self.stall_monitor.due(&self.session_layer))
     }
 
-    /// The core takes an input, or wakes.
-    pub(crate) fn core(
+    /// Runs the core with an input, or without one at a wake-up.
+    pub(crate) fn run_core(
         &mut self,
         now: Micros,
-        input: Option<ToCore>,
+        input: Option<CoreInput>,
         out: &mut Vec<SessionOutput>,
-        told: &mut Vec<RecordEvent>,
+        events: &mut Vec<RecordEvent>,
     ) {
-        self.read.extend(input);
-        if self.catching.is_some_and(|until| now < until) {
+        self.pending_inputs.extend(input);
+        if self.catch_up_until.is_some_and(|until| now < until) {
             return;
         }
-        if self.catching.take().is_none() && self.stalls.record_wake_up(now, &mut self.desk) {
-            self.catching = Some(now + CATCH_UP);
+        if self.catch_up_until.take().is_none()
+            && self.stall_monitor.record_wake_up(now, &mut self.session_layer)
+        {
+            self.catch_up_until = Some(now + CATCH_UP);
             return;
         }
-        for input in std::mem::take(&mut self.read) {
+        for input in std::mem::take(&mut self.pending_inputs) {
             match input {
-                ToCore::Desk(input) => self.desk.handle(now, input, out),
-                // One that is turned down, as an older one is, leaves the last good one.
-                ToCore::Pool(list, moments) => {
-                    if self.desk.apply_pool_list(now, &list, out).is_ok() {
-                        told.extend(moments);
+                CoreInput::Session(input) => self.session_layer.handle(now, input, out),
+                // A rejected list, such as an outdated one, leaves the last valid one in effect.
+                CoreInput::PoolList(list, list_events) => {
+                    if self.session_layer.apply_pool_list(now, &list, out).is_ok() {
+                        events.extend(list_events);
                     }
                 }
             }
         }
-        self.desk.handle(now, SessionInput::Tick, out);
+        self.session_layer.handle(now, SessionInput::Tick, out);
     }
 
     // --- server links ---
@@ -178,69 +182,81 @@
         self.servers.get(server).map_or(Micros::MAX, |s| s.link.due())
     }
 
-    pub(crate) fn server_input(&mut self, now: Micros, server: usize, input: PeerInput, did: &mut Vec<Did>) {
+    pub(crate) fn server_input(
+        &mut self,
+        now: Micros,
+        server: usize,
+        input: PeerInput,
+        actions: &mut Vec<TaskAction>,
+    ) {
         let Some(server) = self.servers.get_mut(server) else { return };
         if matches!(input, PeerInput::Disconnected(_) | PeerInput::ConnectFailed) {
-            server.conn = None;
+            server.connection = None;
         }
         let mut out = Vec::new();
         server.link.handle(now, input, &mut out);
         for output in out {
-            match (output, server.conn) {
-                (LinkOutput::Connect, _) => did.push(Did::Connect),
-                (LinkOutput::Send(Side::Initiator, message), Some(conn)) => {
-                    did.push(Did::Send(conn, message));
+            match (output, server.connection) {
+                (LinkOutput::Connect, _) => actions.push(TaskAction::Connect),
+                (LinkOutput::Send(Side::Initiator, message), Some(connection)) => {
+                    actions.push(TaskAction::Send(connection, message));
                 }
-                (LinkOutput::Close(Side::Initiator, _) | LinkOutput::Down, Some(conn)) => {
-                    server.conn = None;
-                    did.push(Did::Close(conn));
+                (LinkOutput::Close(Side::Initiator, _) | LinkOutput::Down, Some(connection)) => {
+                    server.connection = None;
+                    actions.push(TaskAction::Close(connection));
                 }
-                (LinkOutput::Session(input), _) => did.push(Did::Tell(input)),
+                (LinkOutput::Session(input), _) => actions.push(TaskAction::NotifyCore(input)),
                 _ => {}
             }
         }
     }
 
-    /// What the core sends to a server leaves its task's queue.
-    pub(crate) fn out_to_server(&mut self, now: Micros, output: SessionOutput, did: &mut Vec<Did>) {
+    /// Sends a core output to a server as it leaves the task's queue.
+    pub(crate) fn send_to_server(
+        &mut self,
+        now: Micros,
+        output: SessionOutput,
+        actions: &mut Vec<TaskAction>,
+    ) {
         let (server, message) = match output {
             SessionOutput::ToServer { server, attempt, kind, message, at } => {
-                let Some(place) = self.place(server) else { return };
-                match self.servers[place].link.request(now, at, (attempt, kind), message) {
-                    SendDecision::Send(_, message) => (place, Some(message)),
-                    SendDecision::NoTransport => (place, None),
-                    SendDecision::Expired(input) => return did.push(Did::Tell(input)),
+                let Some(index) = self.server_index(server) else { return };
+                match self.servers[index].link.request(now, at, (attempt, kind), message) {
+                    SendDecision::Send(_, message) => (index, Some(message)),
+                    SendDecision::NoTransport => (index, None),
+                    SendDecision::Expired(input) => return actions.push(TaskAction::NotifyCore(input)),
                 }
             }
             SessionOutput::Reply { server, message } => {
-                let Some(place) = self.place(server) else { return };
-                (place, self.servers[place].link.side().map(|_| message))
+                let Some(index) = self.server_index(server) else { return };
+                (index, self.servers[index].link.side().map(|_| message))
             }
             _ => return,
         };
-        if let (Some(message), Some(conn)) = (message, self.servers[server].conn) {
-            did.push(Did::Send(conn, message));
+        if let (Some(message), Some(connection)) = (message, self.servers[server].connection) {
+            actions.push(TaskAction::Send(connection, message));
         }
     }
 
-    pub(crate) fn place(&self, server: u64) -> Option<usize> {
+    /// Index of a server by its link id.
+    pub(crate) fn server_index(&self, server: u64) -> Option<usize> {
         self.servers.iter().position(|s| s.link.id() == server)
     }
 
     // --- client links ---
 
-    /// A client's transport was accepted: its link, or nothing where there is no room.
-    pub(crate) fn accepted(&mut self, conn: u64) -> Option<LinkId> {
+    /// Registers an accepted client connection; `None` if the connection limit is reached.
+    pub(crate) fn accepted(&mut self, connection: u64) -> Option<LinkId> {
         let link = LinkId(self.next_link);
         self.next_link += 1;
-        self.doors.accept(link).then(|| {
-            self.clients.insert(link, Client { conn, link: None });
+        self.admission.accept(link).then(|| {
+            self.clients.insert(link, Client { connection, link: None });
             link
         })
     }
 
-    pub(crate) fn link_of(&self, conn: u64) -> Option<LinkId> {
-        self.clients.iter().find(|(_, client)| client.conn == conn).map(|(link, _)| *link)
+    pub(crate) fn client_of_connection(&self, connection: u64) -> Option<LinkId> {
+        self.clients.iter().find(|(_, client)| client.connection == connection).map(|(link, _)| *link)
     }
 
     pub(crate) fn client_due(&self, link: LinkId) -> Micros {
@@ -254,7 +270,7 @@
         id: LinkId,
         message: Message,
         rng: &mut Pcg64Mcg,
-        did: &mut Vec<Did>,
+        actions: &mut Vec<TaskAction>,
     ) {
         let Some(client) = self.clients.get_mut(&id) else { return };
         if client.link.is_some() {
@@ -262,32 +278,38 @@
                 now,
                 id,
                 PeerInput::Received(Side::Responder, Frame::Valid(message)),
-                did,
+                actions,
             );
         }
-        match self.doors.admit(id, &message, &self.local) {
+        match self.admission.admit(id, &message, &self.local) {
             Ok(opened) => {
                 let (local, seed) = (self.local.clone(), rng.random());
                 client.link = Some(ClientLink::new(id, local, self.config.watchdog, rng.random(), seed));
-                did.push(Did::Tell(SessionInput::ClientUp { link: id, client: opened }));
-                self.client_input(now, id, PeerInput::Accepted(message), did);
+                actions.push(TaskAction::NotifyCore(SessionInput::ClientUp { link: id, client: opened }));
+                self.client_input(now, id, PeerInput::Accepted(message), actions);
             }
             Err(fault) => {
-                let refusal = Message::error_answer(&message, &fault, &self.local.host, &self.local.realm);
-                did.push(Did::Send(client.conn, refusal));
-                did.push(Did::Close(client.conn));
+                let answer = Message::error_answer(&message, &fault, &self.local.host, &self.local.realm);
+                actions.push(TaskAction::Send(client.connection, answer));
+                actions.push(TaskAction::Close(client.connection));
                 self.clients.remove(&id);
-                self.doors.close(id);
+                self.admission.close(id);
             }
         }
     }
 
-    pub(crate) fn client_input(&mut self, now: Micros, id: LinkId, input: PeerInput, did: &mut Vec<Did>) {
+    pub(crate) fn client_input(
+        &mut self,
+        now: Micros,
+        id: LinkId,
+        input: PeerInput,
+        actions: &mut Vec<TaskAction>,
+    ) {
         let Some(client) = self.clients.get_mut(&id) else { return };
         let Some(link) = &mut client.link else {
             if matches!(input, PeerInput::Disconnected(_)) {
                 self.clients.remove(&id);
-                self.doors.close(id);
+                self.admission.close(id);
             }
             return;
         };
@@ -295,24 +317,24 @@
         link.handle(now, input, &mut out);
         for output in out {
             match output {
-                LinkOutput::Send(_, message) => did.push(Did::Send(client.conn, message)),
-                LinkOutput::Session(input) => did.push(Did::Tell(input)),
+                LinkOutput::Send(_, message) => actions.push(TaskAction::Send(client.connection, message)),
+                LinkOutput::Session(input) => actions.push(TaskAction::NotifyCore(input)),
                 _ => {}
             }
         }
         if !link.is_open() {
-            did.push(Did::Close(client.conn));
-            did.push(Did::Tell(SessionInput::ClientDown(id)));
+            actions.push(TaskAction::Close(client.connection));
+            actions.push(TaskAction::NotifyCore(SessionInput::ClientDown(id)));
             self.clients.remove(&id);
-            self.doors.close(id);
+            self.admission.close(id);
         }
     }
 
-    /// What the core sends to a client leaves its task's queue.
-    pub(crate) fn out_to_client(&mut self, id: LinkId, message: Message, did: &mut Vec<Did>) {
+    /// Sends a core output to a client as it leaves the task's queue.
+    pub(crate) fn send_to_client(&mut self, id: LinkId, message: Message, actions: &mut Vec<TaskAction>) {
         let Some(client) = self.clients.get_mut(&id) else { return };
         if let Some(link) = &mut client.link {
-            did.push(Did::Send(client.conn, link.outgoing(message)));
+            actions.push(TaskAction::Send(client.connection, link.outgoing(message)));
         }
     }
 }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,9 +1,9 @@
-//! Models of what stands around a front, without I/O, and a world that runs them with real desks and peers in
-//! virtual time.
+//! Models of the components around a front, without I/O, and a simulation that runs them together with
+//! production session layers and Diameter peers in virtual time.
 //!
-//! [`SessionServer`], [`Callers`] and [`TextCallers`] take what they hear and the time, and say what they want
-//! done; `baydrift-standin` puts them on sockets, [`World`] runs them without. Equal seeds give equal runs, to the
-//! byte of the record.
+//! [`SessionServer`], [`Callers`] and [`TextCallers`] take an input and the current time, and return the
+//! actions to perform; `baydrift-standin` runs them on sockets, [`World`] runs them without. Equal seeds give
+//! runs with identical records, byte for byte.
 
 mod budgets;
 mod call_schedule;
--- a/crates/emulator/src/link.rs
+++ b/crates/emulator/src/link.rs
@@ -1,4 +1,4 @@
-//! Transports: two directions in order, with the faults of the link between them.
+//! Connections: two ordered directions, subject to the faults of the link between the endpoints.
 
 use std::collections::BTreeMap;
 
@@ -6,184 +6,199 @@
 use baydrift_diameter::Message;
 use baydrift_isup::Data;
 
-/// What a link does to what crosses it.
+/// Fault state of a link. The default is a link without faults.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct LinkFault {
-    /// One way, microseconds.
+    /// One-way delay, microseconds.
     pub delay: Micros,
-    /// Nothing passes from the initiator, and nothing is lost.
+    /// Holds back data from the initiator, without loss.
     pub stalled: bool,
-    /// Nothing comes back to the initiator, and nothing is lost.
+    /// Holds back data to the initiator, without loss.
     pub stalled_back: bool,
-    /// Connections are closed, and new ones too.
+    /// Closes existing connections and refuses new ones.
     pub down: bool,
-    /// Each connection is cut after so many bytes from the initiator; on sockets only.
+    /// Cuts each connection after this many bytes from the initiator; on real sockets only.
     pub cut_after: Option<u64>,
 }
 
-/// What crosses a transport.
+/// What a connection carries.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) enum Parcel {
-    /// The transport is up, as its initiator hears.
+pub(crate) enum Delivery {
+    /// Notifies the initiator that the connection is established.
     Connected,
-    /// A message.
+    /// A Diameter message.
     Message(Box<Message>),
-    /// A packet of signalling.
+    /// A signalling packet.
     Packet(Data),
-    /// The other end closed it, or it never came about.
+    /// The other end closed the connection, or it was not established.
     Closed,
 }
 
-/// Who is at an end.
+/// Component at an end of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum End {
+pub(crate) enum Endpoint {
     /// A session server.
     Server(usize),
-    /// A front's link to a server.
+    /// A front's link to a server: front, server.
     FrontServer(usize, usize),
     /// Callers.
     Callers(usize),
     /// A front's link of a client.
     FrontClient(usize),
     /// A far end of trunk groups.
-    Far(usize),
-    /// A front's signalling link to it.
-    FrontFar(usize, usize),
+    FarEnd(usize),
+    /// A front's signalling link to a far end: front, far end.
+    FrontFarEnd(usize, usize),
 }
 
-/// One transport.
+/// One connection.
 #[derive(Debug)]
-pub(crate) struct Conn {
-    pub(crate) initiator: End,
-    pub(crate) responder: End,
-    /// The server whose link with faults it crosses.
+pub(crate) struct Connection {
+    pub(crate) initiator: Endpoint,
+    pub(crate) responder: Endpoint,
+    /// Index of the server whose faulty link the connection uses.
     pub(crate) link: Option<usize>,
-    /// Whether initiator and responder still hold it.
+    /// Whether the initiator's and the responder's ends are open.
     pub(crate) open: [bool; 2],
-    /// When the last parcel of each direction arrives: order is kept.
+    /// When the last delivery of each direction arrives; keeps them in order.
     last: [Micros; 2],
-    /// What waits for a stalled direction.
-    held: [Vec<Parcel>; 2],
-    /// Parcels under way when the link went down are lost.
+    /// Deliveries held back by a stall, for each direction.
+    held: [Vec<Delivery>; 2],
+    /// Incremented when the link breaks; deliveries of an earlier epoch are lost.
     pub(crate) epoch: u32,
 }
 
-/// A direction: towards the responder, or back.
-pub(crate) const THERE: usize = 0;
-pub(crate) const BACK: usize = 1;
+/// Direction from the initiator to the responder.
+pub(crate) const FORWARD: usize = 0;
+/// Direction from the responder to the initiator.
+pub(crate) const REVERSE: usize = 1;
 
-/// All transports.
+/// All connections by id.
 #[derive(Debug, Default)]
-pub(crate) struct Conns {
-    conns: BTreeMap<u64, Conn>,
+pub(crate) struct Connections {
+    connections: BTreeMap<u64, Connection>,
     next: u64,
 }
 
-/// A parcel that arrives: transport, direction, when, and the transport's epoch.
-pub(crate) type Arrival = (Micros, u64, usize, u32, Parcel);
+/// Scheduled arrival: time, connection, direction, epoch of the connection, delivery.
+pub(crate) type Arrival = (Micros, u64, usize, u32, Delivery);
 
-impl Conns {
-    pub(crate) fn open(&mut self, initiator: End, responder: End, link: Option<usize>) -> u64 {
+impl Connections {
+    pub(crate) fn open(&mut self, initiator: Endpoint, responder: Endpoint, link: Option<usize>) -> u64 {
         self.next += 1;
         let (open, last, held) = ([true, true], [0, 0], [Vec::new(), Vec::new()]);
-        self.conns.insert(self.next, Conn { initiator, responder, link, open, last, held, epoch: 0 });
+        self.connections
+            .insert(self.next, Connection { initiator, responder, link, open, last, held, epoch: 0 });
         self.next
     }
 
-    pub(crate) fn get(&self, id: u64) -> Option<&Conn> {
-        self.conns.get(&id)
+    pub(crate) fn get(&self, id: u64) -> Option<&Connection> {
+        self.connections.get(&id)
     }
 
-    /// Transports that an end still holds, oldest first.
-    pub(crate) fn of(&self, end: End) -> Vec<u64> {
-        let holds =
-            |conn: &Conn| conn.initiator == end && conn.open[0] || conn.responder == end && conn.open[1];
-        self.conns.iter().filter(|(_, conn)| holds(conn)).map(|(id, _)| *id).collect()
+    /// Connections whose end at `end` is open, oldest first.
+    pub(crate) fn held_by(&self, end: Endpoint) -> Vec<u64> {
+        let holds = |connection: &Connection| {
+            connection.initiator == end && connection.open[0]
+                || connection.responder == end && connection.open[1]
+        };
+        self.connections.iter().filter(|(_, connection)| holds(connection)).map(|(id, _)| *id).collect()
     }
 
-    /// Puts a parcel on its way, `delay` from now; `None` where it waits or is of no use to anybody.
+    /// Schedules a delivery to arrive after `delay`. `None` if it is held back or the connection is gone.
     pub(crate) fn send(
         &mut self,
         now: Micros,
         id: u64,
         direction: usize,
-        parcel: Parcel,
+        delivery: Delivery,
         fault: LinkFault,
         delay: Micros,
     ) -> Option<Arrival> {
-        let conn = self.conns.get_mut(&id)?;
-        let stalled = if direction == THERE { fault.stalled } else { fault.stalled_back };
-        if stalled || !conn.held[direction].is_empty() {
-            conn.held[direction].push(parcel);
+        let connection = self.connections.get_mut(&id)?;
+        let stalled = if direction == FORWARD { fault.stalled } else { fault.stalled_back };
+        if stalled || !connection.held[direction].is_empty() {
+            connection.held[direction].push(delivery);
             return None;
         }
-        let at = (now + delay).max(conn.last[direction]);
-        conn.last[direction] = at;
-        Some((at, id, direction, conn.epoch, parcel))
+        let at = (now + delay).max(connection.last[direction]);
+        connection.last[direction] = at;
+        Some((at, id, direction, connection.epoch, delivery))
     }
 
-    /// An end lets go; `true` where the other end is to hear of it.
+    /// Closes an end; `true` if the other end has to be notified.
     pub(crate) fn close(&mut self, id: u64, end: usize) -> bool {
-        let Some(conn) = self.conns.get_mut(&id) else { return false };
-        let was = std::mem::replace(&mut conn.open[end], false);
-        let other = conn.open[1 - end];
-        if !other {
-            self.conns.remove(&id);
+        let Some(connection) = self.connections.get_mut(&id) else { return false };
+        let was_open = std::mem::replace(&mut connection.open[end], false);
+        let other_open = connection.open[1 - end];
+        if !other_open {
+            self.connections.remove(&id);
         }
-        was && other
+        was_open && other_open
     }
 
-    /// What waited for a stalled link, in order.
-    pub(crate) fn unstall(&mut self, link: usize) -> Vec<(u64, usize, Parcel)> {
-        let mut freed = Vec::new();
-        for (id, conn) in self.conns.iter_mut().filter(|(_, conn)| conn.link == Some(link)) {
-            for direction in [THERE, BACK] {
-                let held = std::mem::take(&mut conn.held[direction]);
-                freed.extend(held.into_iter().map(|parcel| (*id, direction, parcel)));
+    /// Takes the deliveries held back on a stalled link, in order.
+    pub(crate) fn release_stalled(&mut self, link: usize) -> Vec<(u64, usize, Delivery)> {
+        let mut released = Vec::new();
+        for (id, connection) in
+            self.connections.iter_mut().filter(|(_, connection)| connection.link == Some(link))
+        {
+            for direction in [FORWARD, REVERSE] {
+                let held = std::mem::take(&mut connection.held[direction]);
+                released.extend(held.into_iter().map(|delivery| (*id, direction, delivery)));
             }
         }
-        freed
+        released
     }
 
-    /// What waited on one transport and now passes, in order.
-    pub(crate) fn freed(&mut self, id: u64, fault: LinkFault) -> Vec<(usize, Parcel)> {
-        let Some(conn) = self.conns.get_mut(&id) else { return Vec::new() };
-        let mut freed = Vec::new();
-        for (direction, stalled) in [(THERE, fault.stalled), (BACK, fault.stalled_back)] {
+    /// Takes the deliveries of one connection that the given fault no longer holds back, in order.
+    pub(crate) fn release_unblocked(&mut self, id: u64, fault: LinkFault) -> Vec<(usize, Delivery)> {
+        let Some(connection) = self.connections.get_mut(&id) else { return Vec::new() };
+        let mut released = Vec::new();
+        for (direction, stalled) in [(FORWARD, fault.stalled), (REVERSE, fault.stalled_back)] {
             if !stalled {
-                freed.extend(std::mem::take(&mut conn.held[direction]).into_iter().map(|p| (direction, p)));
+                released.extend(
+                    std::mem::take(&mut connection.held[direction]).into_iter().map(|p| (direction, p)),
+                );
             }
         }
-        freed
+        released
     }
 
-    /// Transports at a front, either way.
+    /// Connections of a front, as initiator or responder.
     pub(crate) fn of_front(&self, front: usize) -> Vec<u64> {
-        let of = |end: &End| match end {
-            End::FrontServer(own, _) | End::FrontClient(own) | End::FrontFar(own, _) => *own == front,
+        let of = |end: &Endpoint| match end {
+            Endpoint::FrontServer(own, _) | Endpoint::FrontClient(own) | Endpoint::FrontFarEnd(own, _) => {
+                *own == front
+            }
             _ => false,
         };
-        self.conns.iter().filter(|(_, c)| of(&c.initiator) || of(&c.responder)).map(|(id, _)| *id).collect()
+        self.connections
+            .iter()
+            .filter(|(_, c)| of(&c.initiator) || of(&c.responder))
+            .map(|(id, _)| *id)
+            .collect()
     }
 
-    /// All transports of an end break, and what is under way is lost.
-    pub(crate) fn reset(&mut self, end: End) -> Vec<(u64, u32)> {
-        let theirs = |conn: &Conn| conn.initiator == end || conn.responder == end;
-        self.broken(theirs)
+    /// Breaks all connections of an endpoint; what is in transit is lost.
+    pub(crate) fn reset_endpoint(&mut self, end: Endpoint) -> Vec<(u64, u32)> {
+        let at_endpoint =
+            |connection: &Connection| connection.initiator == end || connection.responder == end;
+        self.break_matching(at_endpoint)
     }
 
-    /// A link went down: all its transports close at both ends, and what is under way is lost.
-    pub(crate) fn down(&mut self, link: usize) -> Vec<(u64, u32)> {
-        self.broken(|conn| conn.link == Some(link))
+    /// Breaks all connections of a link that went down; what is in transit is lost.
+    pub(crate) fn take_link_down(&mut self, link: usize) -> Vec<(u64, u32)> {
+        self.break_matching(|connection| connection.link == Some(link))
     }
 
-    fn broken(&mut self, which: impl Fn(&Conn) -> bool) -> Vec<(u64, u32)> {
-        let mut gone = Vec::new();
-        for (id, conn) in self.conns.iter_mut().filter(|(_, conn)| which(conn)) {
-            conn.epoch += 1;
-            conn.held = Default::default();
-            gone.push((*id, conn.epoch));
+    fn break_matching(&mut self, which: impl Fn(&Connection) -> bool) -> Vec<(u64, u32)> {
+        let mut broken = Vec::new();
+        for (id, connection) in self.connections.iter_mut().filter(|(_, connection)| which(connection)) {
+            connection.epoch += 1;
+            connection.held = Default::default();
+            broken.push((*id, connection.epoch));
         }
-        gone
+        broken
     }
 }
--- a/crates/emulator/src/offered_load.rs
+++ b/crates/emulator/src/offered_load.rs
@@ -1,44 +1,44 @@
-//! What callers of either protocol are told to offer.
+//! Load that the callers of either protocol offer.
 
 use baydrift::interface::Micros;
 
 /// Calls of one class from one publisher.
 #[derive(Debug, Clone)]
 pub struct Flow {
-    /// Index of its class.
+    /// Index of the class.
     pub class: usize,
-    /// Index of its publisher.
+    /// Index of the publisher.
     pub publisher: usize,
     /// Service-Context-Id.
     pub context: String,
     /// Subscription-Id-Data.
     pub subscription: String,
-    /// Calls a second.
+    /// Arrival rate, calls per second.
     pub rate: f64,
-    /// Mean time that a call stands.
+    /// Mean holding time of an established call, microseconds.
     pub hold: Micros,
-    /// A try is given up after so long.
+    /// Time after which a caller abandons an unanswered set-up, microseconds.
     pub caller_timeout: Micros,
 }
 
-/// What can change while callers call.
+/// Parameters of the offered load that can change during a run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OfferedLoad {
-    /// Factor on all rates; 0 ends them.
+    /// Factor on all arrival rates; 0 stops new calls.
     pub factor: f64,
-    /// Share of calls that go to one number.
+    /// Share of calls to the single hot number, 0 to 1.
     pub hot_number_share: f64,
-    /// Share of set-ups that are said again with the T flag at once.
+    /// Share of set-ups that are retransmitted immediately with the T flag, 0 to 1.
     pub retransmit_share: f64,
-    /// Redials of each caller that was refused, failed or cut.
+    /// Maximum number of redials by a caller whose call was rejected, timed out or dropped.
     pub redials: u32,
-    /// Mean wait before a redial.
+    /// Mean wait before a redial, microseconds.
     pub redial_wait: Micros,
-    /// A publisher whose text clients call so many times as often.
+    /// Index of a publisher whose text clients call more often, and the factor on their rates.
     pub flood: Option<(usize, f64)>,
-    /// Whether text clients ask for notices of overload, and heed them.
+    /// Whether text clients subscribe to overload notices and honour them.
     pub honours_overload_notices: bool,
-    /// The connection is closed once, whenever this changes, and opened again.
+    /// Each change of this value makes the callers close and reopen their connection once.
     pub reconnects: u32,
 }
 
--- a/crates/emulator/src/processor.rs
+++ b/crates/emulator/src/processor.rs
@@ -1,181 +1,188 @@
-//! A session server's processor, free of time: one line of work, cold starts, and a way to be pushed over.
+//! Model of a session server's processor: one FIFO queue of work, a cold start, and failure under overload
+//! while cold. Reads no clock.
 
 use std::collections::VecDeque;
 
 use baydrift::interface::{Micros, Report};
 
-/// What a processor is like. Work is counted in set-ups.
+/// Parameters of a [`Processor`]. Work is measured in units of one set-up.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ProcessorSpec {
-    /// Set-ups a second, warm and with nothing else to do.
+    /// Set-ups per second when warm and doing nothing else.
     pub rate: f64,
-    /// Work of a release.
+    /// Work of a release, in set-ups.
     pub release_work: f64,
-    /// Work of turning a set-up away.
+    /// Work of rejecting a set-up, in set-ups.
     pub rejection_work: f64,
-    /// A set-up is turned away once the wait passes this.
+    /// Queueing delay above which set-ups are rejected, microseconds.
     pub max_wait: Micros,
-    /// Fraction of its rate at which a cold one starts.
+    /// Fraction of `rate` that a cold processor starts with.
     pub cold_from: f64,
-    /// A cold one is warm after this.
+    /// Time in which a cold processor warms up to `rate`, microseconds.
     pub warm_up_time: Micros,
-    /// A cold one that is sent this multiple of what it can do at the moment ...
+    /// A cold processor fails when it is offered this multiple of its current rate over `fall_time`.
     pub fall_multiple: f64,
-    /// ... for so long falls over.
+    /// Time constant of the average of the offered load, microseconds.
     pub fall_time: Micros,
 }
 
-/// A piece of work; the keys are the driver's.
+/// An item of work, with a key chosen by the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Work {
-    /// Set a call up.
+    /// Sets up a call.
     SetUp(u64),
-    /// Release it.
+    /// Releases a call.
     Release(u64),
-    /// Turn a set-up away, naming the wait.
+    /// Rejects a set-up and reports the wait.
     Reject(u64),
 }
 
-/// What became of a set-up that was offered.
+/// Result of offering a set-up to a [`Processor`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EnqueueOutcome {
-    /// It waits for its turn.
+    /// The set-up, or its rejection, is queued.
     Queued,
-    /// It was too much for a cold processor, which has fallen over.
+    /// The set-up overloaded the cold processor, which has failed.
     Overloaded,
 }
 
-/// The model. [`Processor::next_completion`] says when work is done, [`Processor::pop_completed`] what.
+/// The processor model. [`Processor::next_completion`] gives the time of the next completion;
+/// [`Processor::pop_completed`] takes the completed work.
 #[derive(Debug, Clone)]
 pub struct Processor {
     spec: ProcessorSpec,
     queue: VecDeque<(Work, f64)>,
-    /// Work in the queue, in set-ups.
+    /// Total work in the queue, in set-ups.
     backlog: f64,
-    done_at: Option<Micros>,
+    completes_at: Option<Micros>,
     started: Option<Micros>,
-    slow: f64,
+    slowdown: f64,
     paused_until: Micros,
-    /// Set-ups offered, each as the time that it would have taken when it came: decaying over `fall_time`.
-    offered: (Micros, f64),
-    busy: (Micros, f64),
-    set_ups: usize,
+    /// Time of the last set-up offered, and the sum of the processing times of the set-ups offered, each at
+    /// the rate when it was offered. The sum decays exponentially with time constant `fall_time`.
+    offered_work: (Micros, f64),
+    /// Time of the last completion, and the busy time in seconds, decaying with a time constant of 1 s.
+    busy_time: (Micros, f64),
+    /// Number of set-ups in the queue.
+    queued_set_ups: usize,
 }
 
 impl Processor {
-    /// A processor; `started` is when a cold one did, `None` for a warm one.
+    /// Creates a processor; `started` is the start time of a cold one, `None` for a warm one.
     pub fn new(spec: ProcessorSpec, started: Option<Micros>) -> Self {
         Self {
             spec,
             queue: VecDeque::new(),
             backlog: 0.0,
-            done_at: None,
+            completes_at: None,
             started,
-            slow: 1.0,
+            slowdown: 1.0,
             paused_until: 0,
-            offered: (0, 0.0),
-            busy: (0, 0.0),
-            set_ups: 0,
+            offered_work: (0, 0.0),
+            busy_time: (0, 0.0),
+            queued_set_ups: 0,
         }
     }
 
-    /// From now on work takes so many times as long.
+    /// Multiplies the processing time of work by `factor` from now on.
     pub fn set_slowdown(&mut self, factor: f64) {
-        self.slow = factor.max(0.01);
+        self.slowdown = factor.max(0.01);
     }
 
-    /// It stands still until then.
+    /// Suspends processing until the given time.
     pub fn pause(&mut self, until: Micros) {
         self.paused_until = self.paused_until.max(until);
-        self.done_at = self.done_at.map(|at| at.max(until));
+        self.completes_at = self.completes_at.map(|at| at.max(until));
     }
 
-    /// Set-ups a second that it can do now.
+    /// Current capacity, set-ups per second.
     pub fn rate(&self, now: Micros) -> f64 {
-        let warmth = match self.started {
+        let rate_fraction = match self.started {
             Some(at) if self.spec.warm_up_time > 0 => {
                 let age = now.saturating_sub(at) as f64 / self.spec.warm_up_time as f64;
                 self.spec.cold_from + (1.0 - self.spec.cold_from) * age.min(1.0)
             }
             _ => 1.0,
         };
-        self.spec.rate * warmth / self.slow
+        self.spec.rate * rate_fraction / self.slowdown
     }
 
     fn is_cold(&self, now: Micros) -> bool {
         self.started.is_some_and(|at| now.saturating_sub(at) < self.spec.warm_up_time)
     }
 
-    /// Time that new work waits for its turn.
+    /// Queueing delay of new work, microseconds.
     pub fn wait(&self, now: Micros) -> Micros {
         let work = (self.backlog / self.rate(now) * 1e6) as Micros;
         work + self.paused_until.saturating_sub(now)
     }
 
-    /// A set-up comes.
+    /// Offers a set-up.
     pub fn set_up(&mut self, now: Micros, key: u64) -> EnqueueOutcome {
         let window = self.spec.fall_time.max(1) as f64;
-        let decay = (-(now.saturating_sub(self.offered.0) as f64) / window).exp();
-        // By the rate of its moment: one that turns slow is not pushed over by what it could do before.
-        let takes = 1e6 / self.rate(now);
-        self.offered = (now, self.offered.1 * decay + takes);
-        // The sum settles at the multiple of the window: after one window at the limit it has seen 0.63 of that.
+        let decay = (-(now.saturating_sub(self.offered_work.0) as f64) / window).exp();
+        // Uses the rate when each set-up was offered, so that a processor that becomes slow does not fail
+        // from load that it could handle before.
+        let set_up_time = 1e6 / self.rate(now);
+        self.offered_work = (now, self.offered_work.1 * decay + set_up_time);
+        // At a constant load the sum converges to the load's multiple of the window; it reaches 63% of that
+        // after one window.
         let limit = self.spec.fall_multiple * window;
-        if self.is_cold(now) && self.offered.1 > limit.max(4.0 * takes) {
+        if self.is_cold(now) && self.offered_work.1 > limit.max(4.0 * set_up_time) {
             return EnqueueOutcome::Overloaded;
         }
         if self.wait(now) > self.spec.max_wait {
-            self.push(now, Work::Reject(key), self.spec.rejection_work);
+            self.enqueue(now, Work::Reject(key), self.spec.rejection_work);
         } else {
-            self.push(now, Work::SetUp(key), 1.0);
+            self.enqueue(now, Work::SetUp(key), 1.0);
         }
         EnqueueOutcome::Queued
     }
 
-    /// A release comes.
+    /// Queues a release.
     pub fn release(&mut self, now: Micros, key: u64) {
-        self.push(now, Work::Release(key), self.spec.release_work);
+        self.enqueue(now, Work::Release(key), self.spec.release_work);
     }
 
-    fn push(&mut self, now: Micros, work: Work, size: f64) {
-        self.set_ups += usize::from(matches!(work, Work::SetUp(_)));
+    fn enqueue(&mut self, now: Micros, work: Work, size: f64) {
+        self.queued_set_ups += usize::from(matches!(work, Work::SetUp(_)));
         self.queue.push_back((work, size));
         self.backlog += size;
-        if self.done_at.is_none() {
-            self.start(now);
+        if self.completes_at.is_none() {
+            self.start_next(now);
         }
     }
 
-    fn start(&mut self, now: Micros) {
+    fn start_next(&mut self, now: Micros) {
         let now = now.max(self.paused_until);
-        self.done_at =
+        self.completes_at =
             self.queue.front().map(|(_, size)| now + (size / self.rate(now) * 1e6).max(1.0) as Micros);
     }
 
-    /// When the next piece of work is done.
+    /// Time at which the next item of work completes.
     pub fn next_completion(&self) -> Option<Micros> {
-        self.done_at
+        self.completes_at
     }
 
-    /// The piece of work that is done by now.
+    /// Takes the next item of work that has completed by now.
     pub fn pop_completed(&mut self, now: Micros) -> Option<Work> {
-        let at = self.done_at.filter(|at| *at <= now)?;
+        let at = self.completes_at.filter(|at| *at <= now)?;
         let (work, size) = self.queue.pop_front()?;
         self.backlog = (self.backlog - size).max(0.0);
-        self.set_ups -= usize::from(matches!(work, Work::SetUp(_)));
+        self.queued_set_ups -= usize::from(matches!(work, Work::SetUp(_)));
         let spent = size / self.rate(at) * 1e6;
-        let decay = (-(at.saturating_sub(self.busy.0) as f64) / 1e6).exp();
-        self.busy = (at, self.busy.1 * decay + spent / 1e6);
-        self.start(at);
+        let decay = (-(at.saturating_sub(self.busy_time.0) as f64) / 1e6).exp();
+        self.busy_time = (at, self.busy_time.1 * decay + spent / 1e6);
+        self.start_next(at);
         Some(work)
     }
 
-    /// All that it could tell of its load.
+    /// All load values that the processor can measure.
     pub fn report(&self, now: Micros) -> Report {
         Report {
-            busy: Some(self.busy.1.min(1.0)),
+            busy: Some(self.busy_time.1.min(1.0)),
             wait_s: Some(self.wait(now) as f64 / 1e6),
-            queue: Some(self.set_ups.saturating_sub(1) as f64),
+            queue: Some(self.queued_set_ups.saturating_sub(1) as f64),
             rate: Some(self.rate(now)),
             ..Report::default()
         }
--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -1,4 +1,5 @@
-//! A session server: the processor behind real Diameter peers, and troubles on command. Free of I/O and time.
+//! Model of a session server: a [`Processor`] behind production Diameter peers, with faults on command.
+//! Performs no I/O and reads no clock.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -15,136 +16,136 @@
 
 use crate::processor::{EnqueueOutcome, Processor, ProcessorSpec, Work};
 
-/// What a server is.
+/// Configuration of a [`SessionServer`].
 #[derive(Debug, Clone)]
 pub struct ServerSpec {
     /// Origin-Host.
     pub host: String,
     /// Origin-Realm.
     pub realm: String,
-    /// Its number.
+    /// Server number in the record.
     pub number: u16,
-    /// Its processor.
+    /// Parameters of the processor.
     pub processor: ProcessorSpec,
-    /// Its load is measured this often ...
+    /// Interval between measurements of the load, microseconds.
     pub report_period: Micros,
-    /// ... known so much later ...
+    /// Delay until a measurement is reported, microseconds.
     pub report_delay: Micros,
-    /// ... and off by up to this fraction.
+    /// Largest relative error of a measurement.
     pub report_noise: f64,
-    /// Values of the report that are told.
+    /// Selects the values of a measurement that are reported.
     pub reported_values: fn(Report) -> Report,
-    /// Connections at once.
+    /// Maximum number of concurrent connections.
     pub max_connections: usize,
-    /// Tw.
+    /// Diameter watchdog interval Tw, microseconds.
     pub watchdog: Micros,
-    /// Fronts by Origin-Host, and their ordinals.
+    /// Ordinals of the fronts by Origin-Host.
     pub fronts: BTreeMap<String, u32>,
 }
 
-/// Troubles on command.
+/// Faults that can be injected into a server.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Work takes so many times as long.
+    /// Multiplies the processing time of all work by this factor.
     Slow(f64),
-    /// The processor stands still for so long.
+    /// Suspends the processor for this time, microseconds.
     Pause(Micros),
-    /// Nothing is answered, not even watchdogs, until `Hang(false)`.
+    /// Stops all answers, including those to watchdogs, until `Hang(false)`.
     Hang(bool),
-    /// This share of answers is lost.
+    /// Share of set-up answers that is lost, 0 to 1.
     LoseAnswers(f64),
-    /// The process ends; after so long another starts, cold.
+    /// The process exits; if a time is given, a cold one starts after it, microseconds.
     Die(Option<Micros>),
-    /// Says that it drains, by DPR if asked; its process ends after so long.
+    /// Drains the server; its process exits after `stop_after`.
     Drain {
-        /// Whether fronts hear of it by DPR.
+        /// Whether the fronts are notified by DPR.
         by_dpr: bool,
-        /// When the process ends.
+        /// Time until the process exits, microseconds.
         stop_after: Micros,
-        /// Another starts after that, if at all.
+        /// Time from the exit until a new process starts, microseconds; `None` for never.
         back_after: Option<Micros>,
     },
-    /// This share of the standing calls is cut.
+    /// Aborts this share of the established calls, 0 to 1.
     Cut(f64),
 }
 
-/// One transport of a front's; never used twice.
+/// Identifier of a front's connection; never reused.
 pub type ConnId = u64;
 
-/// What a server hears.
+/// Input of a [`SessionServer`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum ServerInput {
-    /// A transport was accepted.
+    /// A connection was accepted.
     Accepted(ConnId),
-    /// A message came.
+    /// A message was received.
     Received(ConnId, Frame),
-    /// A transport is gone.
+    /// A connection was closed.
     Closed(ConnId),
-    /// A trouble.
+    /// A fault is injected.
     Command(Command),
-    /// Time has passed.
+    /// Timers may be due.
     Tick,
 }
 
-/// What a server wants done.
+/// Action that a [`SessionServer`] requests.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ServerOutput {
-    /// Send on a transport.
+    /// Send a message on a connection.
     Send(ConnId, Message),
-    /// Close a transport once what was sent is out.
+    /// Close a connection after the messages sent on it are flushed.
     Close(ConnId),
-    /// Something was seen.
+    /// Add an event to the record.
     Record(RecordEvent),
-    /// The process has ended: it listens no more and all its transports close.
+    /// The process has exited: the listener and all connections close.
     Stopped,
-    /// Another process has started, and listens.
+    /// A new process has started and listens.
     Started,
 }
 
 #[derive(Debug)]
-struct Conn {
-    /// `None` until its capabilities are exchanged.
+struct Connection {
+    /// Ordinal of the front; `None` until capabilities are exchanged.
     front: Option<u32>,
     peer: Peer,
-    /// This end said its DPR; `Some(true)` once that was answered.
-    bye: Option<bool>,
+    /// Set once this end has sent a DPR; `Some(true)` once it is answered.
+    disconnect_answered: Option<bool>,
 }
 
 #[derive(Debug)]
-struct Asked {
-    conn: ConnId,
+struct PendingRequest {
+    connection: ConnId,
     attempt: String,
     request: Message,
 }
 
-/// See the module's page.
+/// The server model; see the module documentation.
 #[derive(Debug)]
 pub struct SessionServer {
     spec: ServerSpec,
     local: Arc<Local>,
     rng: Pcg64Mcg,
-    cpu: Processor,
-    conns: BTreeMap<ConnId, Conn>,
-    asked: BTreeMap<u64, Asked>,
+    processor: Processor,
+    connections: BTreeMap<ConnId, Connection>,
+    pending: BTreeMap<u64, PendingRequest>,
     next_key: u64,
-    /// Standing calls: attempt to its front.
-    standing: BTreeMap<String, u32>,
-    /// Released before they stood.
-    gone: BTreeSet<String>,
-    /// Measured load, oldest first.
-    measured: VecDeque<(Micros, Report)>,
-    measure_at: Micros,
-    lose: f64,
+    /// Established calls: front of each attempt.
+    established: BTreeMap<String, u32>,
+    /// Attempts released before they were established.
+    released_early: BTreeSet<String>,
+    /// Load measurements with their times, oldest first.
+    measurements: VecDeque<(Micros, Report)>,
+    next_measurement: Micros,
+    answer_loss: f64,
     sequence: u64,
     hung: bool,
-    /// When the process ends, and after how long another starts.
-    ends: Option<(Micros, Option<Micros>)>,
-    /// No process runs; the next starts then.
-    down: Option<Micros>,
+    /// When the process exits, and after what time a new one starts.
+    exit: Option<(Micros, Option<Micros>)>,
+    /// Start time of the next process while none runs.
+    restart_at: Option<Micros>,
 }
 
 impl SessionServer {
-    /// A warm process that listens; `seed` draws its noise and losses.
+    /// Creates a warm, listening server; `seed` determines its measurement errors and losses.
     pub fn new(spec: ServerSpec, addresses: Vec<std::net::IpAddr>, seed: u64) -> Self {
         let local = Local {
             host: spec.host.clone(),
@@ -159,49 +160,49 @@
         Self {
             local: Arc::new(local),
             rng: Pcg64Mcg::seed_from_u64(seed),
-            cpu: Processor::new(spec.processor, None),
-            conns: BTreeMap::new(),
-            asked: BTreeMap::new(),
+            processor: Processor::new(spec.processor, None),
+            connections: BTreeMap::new(),
+            pending: BTreeMap::new(),
             next_key: 0,
-            standing: BTreeMap::new(),
-            gone: BTreeSet::new(),
-            measured: VecDeque::new(),
-            measure_at: 0,
-            lose: 0.0,
+            established: BTreeMap::new(),
+            released_early: BTreeSet::new(),
+            measurements: VecDeque::new(),
+            next_measurement: 0,
+            answer_loss: 0.0,
             sequence: 0,
             hung: false,
-            ends: None,
-            down: None,
+            exit: None,
+            restart_at: None,
             spec,
         }
     }
 
-    /// The same as a later process of this server: cold since `now`, under another origin state than those before.
+    /// Turns this into a later process of the same server: cold since `now`, with a new Origin-State-Id.
     pub fn cold(mut self, now: Micros, state_id: u32) -> Self {
-        self.cpu = Processor::new(self.spec.processor, Some(now));
+        self.processor = Processor::new(self.spec.processor, Some(now));
         self.local = Arc::new(Local { state_id, ..(*self.local).clone() });
         self
     }
 
-    /// Whether a process runs and listens.
-    pub fn listens(&self) -> bool {
-        self.down.is_none()
+    /// Whether a process is running and listening.
+    pub fn is_listening(&self) -> bool {
+        self.restart_at.is_none()
     }
 
-    /// When [`ServerInput::Tick`] is wanted at the latest.
+    /// Time by which the next [`ServerInput::Tick`] is needed.
     pub fn due(&self) -> Micros {
-        if let Some(at) = self.down {
+        if let Some(at) = self.restart_at {
             return at;
         }
-        let cpu = self.cpu.next_completion().filter(|_| !self.hung).unwrap_or(Micros::MAX);
-        let ends = self.ends.map_or(Micros::MAX, |(at, _)| at);
-        let peers = self.conns.values().map(Conn::due).min().unwrap_or(Micros::MAX);
-        cpu.min(ends).min(peers).min(self.measure_at)
+        let processor = self.processor.next_completion().filter(|_| !self.hung).unwrap_or(Micros::MAX);
+        let exit = self.exit.map_or(Micros::MAX, |(at, _)| at);
+        let peers = self.connections.values().map(Connection::due).min().unwrap_or(Micros::MAX);
+        processor.min(exit).min(peers).min(self.next_measurement)
     }
 
-    /// Takes one input, then lets time pass; appends what is to be done.
+    /// Handles one input, then all due timers; appends the requested actions.
     pub fn handle(&mut self, now: Micros, input: ServerInput, out: &mut Vec<ServerOutput>) {
-        if let Some(at) = self.down {
+        if let Some(at) = self.restart_at {
             if now < at {
                 return;
             }
@@ -215,94 +216,100 @@
             ServerInput::Tick => {}
         }
         self.measure(now);
-        while let Some(work) =
-            self.cpu.next_completion().filter(|_| !self.hung).and_then(|_| self.cpu.pop_completed(now))
+        while let Some(work) = self
+            .processor
+            .next_completion()
+            .filter(|_| !self.hung)
+            .and_then(|_| self.processor.pop_completed(now))
         {
-            self.done(now, work, out);
+            self.complete(now, work, out);
         }
-        let due: Vec<_> = self.conns.iter().filter(|(_, c)| c.due() <= now).map(|(id, _)| *id).collect();
-        due.into_iter().for_each(|id| self.give(now, id, PeerInput::Tick, out));
-        if let Some((_, back)) = self.ends.filter(|(at, _)| *at <= now) {
-            self.stop(now, back, out);
+        let due: Vec<_> =
+            self.connections.iter().filter(|(_, c)| c.due() <= now).map(|(id, _)| *id).collect();
+        due.into_iter().for_each(|id| self.peer_input(now, id, PeerInput::Tick, out));
+        if let Some((_, restart_after)) = self.exit.filter(|(at, _)| *at <= now) {
+            self.stop(now, restart_after, out);
         }
     }
 
     fn start(&mut self, now: Micros, out: &mut Vec<ServerOutput>) {
-        self.down = None;
-        self.cpu = Processor::new(self.spec.processor, Some(now));
+        self.restart_at = None;
+        self.processor = Processor::new(self.spec.processor, Some(now));
         let local = Local { state_id: self.local.state_id + 1, ..(*self.local).clone() };
         self.local = Arc::new(local);
         out.push(ServerOutput::Record(RecordEvent::ServerStarted { server: self.spec.number, cold: true }));
         out.push(ServerOutput::Started);
     }
 
-    fn stop(&mut self, now: Micros, back: Option<Micros>, out: &mut Vec<ServerOutput>) {
+    fn stop(&mut self, now: Micros, restart_after: Option<Micros>, out: &mut Vec<ServerOutput>) {
         out.push(ServerOutput::Record(RecordEvent::ServerExited { server: self.spec.number }));
         out.push(ServerOutput::Stopped);
-        (self.conns, self.asked, self.standing, self.gone) = Default::default();
-        self.measured.clear();
-        self.measure_at = 0;
-        (self.hung, self.lose, self.ends) = (false, 0.0, None);
-        self.down = Some(back.map_or(Micros::MAX, |back| now.saturating_add(back)));
+        (self.connections, self.pending, self.established, self.released_early) = Default::default();
+        self.measurements.clear();
+        self.next_measurement = 0;
+        (self.hung, self.answer_loss, self.exit) = (false, 0.0, None);
+        self.restart_at =
+            Some(restart_after.map_or(Micros::MAX, |restart_after| now.saturating_add(restart_after)));
     }
 
     fn measure(&mut self, now: Micros) {
-        if now >= self.measure_at {
+        if now >= self.next_measurement {
             let noise = 1.0 + self.spec.report_noise * (self.rng.random::<f64>() * 2.0 - 1.0);
-            let mut report = (self.spec.reported_values)(self.cpu.report(now));
+            let mut report = (self.spec.reported_values)(self.processor.report(now));
             for value in [&mut report.wait_s, &mut report.queue, &mut report.rate, &mut report.busy] {
                 *value = value.map(|v| v * noise);
             }
-            self.measured.push_back((now, report));
-            self.measure_at = now + self.spec.report_period.max(1_000);
+            self.measurements.push_back((now, report));
+            self.next_measurement = now + self.spec.report_period.max(1_000);
         }
-        while self.measured.get(1).is_some_and(|(at, _)| at + self.spec.report_delay <= now) {
-            self.measured.pop_front();
+        while self.measurements.get(1).is_some_and(|(at, _)| at + self.spec.report_delay <= now) {
+            self.measurements.pop_front();
         }
     }
 
-    fn told(&self, now: Micros) -> Report {
-        let known = self.measured.front().filter(|(at, _)| at + self.spec.report_delay <= now);
-        known.map(|(_, report)| *report).unwrap_or_default()
+    /// Latest measurement that is old enough to be reported.
+    fn current_report(&self, now: Micros) -> Report {
+        let reportable = self.measurements.front().filter(|(at, _)| at + self.spec.report_delay <= now);
+        reportable.map(|(_, report)| *report).unwrap_or_default()
     }
 
-    // --- transports ---
+    // --- connections ---
 
     fn accepted(&mut self, id: ConnId, out: &mut Vec<ServerOutput>) {
-        if self.conns.len() >= self.spec.max_connections {
+        if self.connections.len() >= self.spec.max_connections {
             return out.push(ServerOutput::Close(id));
         }
         let peer = Peer::new(self.local.clone(), None, self.spec.watchdog, 1, self.rng.random());
-        self.conns.insert(id, Conn { front: None, peer, bye: None });
+        self.connections.insert(id, Connection { front: None, peer, disconnect_answered: None });
     }
 
     fn closed(&mut self, id: ConnId, out: &mut Vec<ServerOutput>) {
-        if let Some(front) = self.conns.remove(&id).and_then(|conn| conn.front) {
+        if let Some(front) = self.connections.remove(&id).and_then(|connection| connection.front) {
             out.push(ServerOutput::Record(RecordEvent::Disconnected { server: self.spec.number, front }));
         }
     }
 
-    fn drop_conn(&mut self, id: ConnId, out: &mut Vec<ServerOutput>) {
+    fn drop_connection(&mut self, id: ConnId, out: &mut Vec<ServerOutput>) {
         self.closed(id, out);
         out.push(ServerOutput::Close(id));
     }
 
     fn received(&mut self, now: Micros, id: ConnId, frame: Frame, out: &mut Vec<ServerOutput>) {
-        let Some(conn) = self.conns.get_mut(&id) else { return };
-        let Frame::Valid(message) = frame else { return self.drop_conn(id, out) };
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let Frame::Valid(message) = frame else { return self.drop_connection(id, out) };
         let (code, request) = (message.header.code, message.header.flags.request);
-        if conn.front.is_none() {
+        if connection.front.is_none() {
             let host = message.text(dict::ORIGIN_HOST).unwrap_or("");
-            conn.front = self.spec.fronts.get(host).copied();
-            if conn.front.is_none() {
-                return self.drop_conn(id, out);
+            connection.front = self.spec.fronts.get(host).copied();
+            if connection.front.is_none() {
+                return self.drop_connection(id, out);
             }
-            return self.give(now, id, PeerInput::Accepted(message), out);
+            return self.peer_input(now, id, PeerInput::Accepted(message), out);
         }
-        match conn.bye {
+        match connection.disconnect_answered {
             Some(_) if code == code::DISCONNECT && !request => {
-                conn.bye = Some(true);
-                let (server, front) = (self.spec.number, conn.front.unwrap_or(u32::MAX));
+                connection.disconnect_answered = Some(true);
+                let (server, front) = (self.spec.number, connection.front.unwrap_or(u32::MAX));
                 out.push(ServerOutput::Record(RecordEvent::ReadinessReported {
                     server,
                     front,
@@ -310,68 +317,72 @@
                     by_list: false,
                 }));
             }
-            // After the DPA the transport stays until the process ends: what it holds may be released.
+            // After the DPA the connection stays open until the process exits, so that its calls can be
+            // released.
             Some(_) if request && code == code::CREDIT_CONTROL => self.request(now, id, message, out),
             Some(_) => {}
-            None => self.give(now, id, PeerInput::Received(Side::Responder, Frame::Valid(message)), out),
+            None => {
+                self.peer_input(now, id, PeerInput::Received(Side::Responder, Frame::Valid(message)), out)
+            }
         }
     }
 
-    fn give(&mut self, now: Micros, id: ConnId, input: PeerInput, out: &mut Vec<ServerOutput>) {
-        let Some(conn) = self.conns.get_mut(&id) else { return };
-        let front = conn.front.unwrap_or(u32::MAX);
-        let mut seen = Vec::new();
-        conn.peer.handle(now, input, &mut seen);
-        for output in seen {
+    fn peer_input(&mut self, now: Micros, id: ConnId, input: PeerInput, out: &mut Vec<ServerOutput>) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let front = connection.front.unwrap_or(u32::MAX);
+        let mut outputs = Vec::new();
+        connection.peer.handle(now, input, &mut outputs);
+        for output in outputs {
             match output {
-                // What a hung process does not send; an unanswered watchdog shows in the record.
+                // A hung process sends nothing; an unanswered watchdog is recorded.
                 PeerOutput::Send(_, message) if self.hung => {
                     let dwa = message.header.code == code::WATCHDOG && !message.header.flags.request;
-                    let moment = RecordEvent::Unresponsive { server: self.spec.number, front };
-                    out.extend(dwa.then_some(ServerOutput::Record(moment)));
+                    let event = RecordEvent::Unresponsive { server: self.spec.number, front };
+                    out.extend(dwa.then_some(ServerOutput::Record(event)));
                 }
                 PeerOutput::Send(_, message) => out.push(ServerOutput::Send(id, message)),
                 PeerOutput::Request(message) => self.request(now, id, message, out),
-                PeerOutput::Close(..) => return self.drop_conn(id, out),
+                PeerOutput::Close(..) => return self.drop_connection(id, out),
                 _ => {}
             }
         }
     }
 
     fn send(&mut self, id: ConnId, mut message: Message, out: &mut Vec<ServerOutput>) {
-        let Some(conn) = self.conns.get_mut(&id).filter(|_| !self.hung) else { return };
+        let Some(connection) = self.connections.get_mut(&id).filter(|_| !self.hung) else { return };
         if message.header.flags.request {
-            conn.peer.assign_ids(&mut message);
+            connection.peer.assign_ids(&mut message);
         }
         out.push(ServerOutput::Send(id, message));
     }
 
-    // --- troubles ---
+    // --- faults ---
 
     fn command(&mut self, now: Micros, command: Command, out: &mut Vec<ServerOutput>) {
         let server = self.spec.number;
         match command {
-            Command::Slow(factor) => self.cpu.set_slowdown(factor),
-            Command::Pause(span) => self.cpu.pause(now + span),
+            Command::Slow(factor) => self.processor.set_slowdown(factor),
+            Command::Pause(span) => self.processor.pause(now + span),
             Command::Hang(hung) => {
                 self.hung = hung;
-                let fronts = self.conns.values().filter_map(|conn| conn.front).filter(|_| !hung);
+                let fronts =
+                    self.connections.values().filter_map(|connection| connection.front).filter(|_| !hung);
                 out.extend(
                     fronts.map(|front| ServerOutput::Record(RecordEvent::Responsive { server, front })),
                 );
             }
-            Command::LoseAnswers(share) => self.lose = share,
-            Command::Cut(share) => self.cut(share, out),
-            Command::Die(back) => self.ends = Some((now, back)),
+            Command::LoseAnswers(share) => self.answer_loss = share,
+            Command::Cut(share) => self.abort_calls(share, out),
+            Command::Die(restart_after) => self.exit = Some((now, restart_after)),
             Command::Drain { by_dpr, stop_after, back_after } => {
-                self.ends = Some((now + stop_after, back_after));
-                let ids: Vec<_> = self.conns.keys().copied().filter(|_| by_dpr).collect();
+                self.exit = Some((now + stop_after, back_after));
+                let ids: Vec<_> = self.connections.keys().copied().filter(|_| by_dpr).collect();
                 for id in ids {
-                    let Some(conn) = self.conns.get_mut(&id) else { continue };
-                    conn.bye = Some(false);
-                    let mut seen = Vec::new();
-                    conn.peer.handle(now, PeerInput::Stop(cause::REBOOTING), &mut seen);
-                    for output in seen {
+                    let Some(connection) = self.connections.get_mut(&id) else { continue };
+                    connection.disconnect_answered = Some(false);
+                    let mut outputs = Vec::new();
+                    connection.peer.handle(now, PeerInput::Stop(cause::REBOOTING), &mut outputs);
+                    for output in outputs {
                         if let PeerOutput::Send(_, message) = output {
                             out.push(ServerOutput::Send(id, message));
                         }
@@ -381,13 +392,17 @@
         }
     }
 
-    fn cut(&mut self, share: f64, out: &mut Vec<ServerOutput>) {
+    fn abort_calls(&mut self, share: f64, out: &mut Vec<ServerOutput>) {
         let rng = &mut self.rng;
-        let cut: Vec<_> = self.standing.keys().filter(|_| rng.random::<f64>() < share).cloned().collect();
-        for attempt in cut {
-            let front = self.standing.remove(&attempt);
-            let conn = self.conns.iter().find(|(_, conn)| conn.front.is_some() && conn.front == front);
-            let Some((id, _)) = conn else { continue };
+        let aborted: Vec<_> =
+            self.established.keys().filter(|_| rng.random::<f64>() < share).cloned().collect();
+        for attempt in aborted {
+            let front = self.established.remove(&attempt);
+            let connection = self
+                .connections
+                .iter()
+                .find(|(_, connection)| connection.front.is_some() && connection.front == front);
+            let Some((id, _)) = connection else { continue };
             let id = *id;
             let server = self.spec.number;
             out.push(ServerOutput::Record(RecordEvent::Abort { server, attempt: attempt.clone() }));
@@ -410,64 +425,70 @@
         let (key, server) = (self.next_key, self.spec.number);
         self.next_key += 1;
         if kind == RequestType::Initial {
-            let front = self.conns.get(&id).and_then(|conn| conn.front).unwrap_or(u32::MAX);
+            let front = self.connections.get(&id).and_then(|connection| connection.front).unwrap_or(u32::MAX);
             let call = request.text(dict::CC_CORRELATION_ID).unwrap_or("").to_owned();
-            let moment =
+            let event =
                 RecordEvent::SetUp { server, front, call, attempt: attempt.clone(), redirected: false };
-            out.push(ServerOutput::Record(moment));
-            self.asked.insert(key, Asked { conn: id, attempt, request });
-            if self.cpu.set_up(now, key) == EnqueueOutcome::Overloaded {
-                self.asked.remove(&key);
+            out.push(ServerOutput::Record(event));
+            self.pending.insert(key, PendingRequest { connection: id, attempt, request });
+            if self.processor.set_up(now, key) == EnqueueOutcome::Overloaded {
+                self.pending.remove(&key);
                 out.push(ServerOutput::Record(RecordEvent::ServerOverloaded { server }));
             }
             return;
         }
         out.push(ServerOutput::Record(RecordEvent::Release { server, attempt: attempt.clone() }));
-        if self.standing.remove(&attempt).is_none() && self.asked.values().any(|a| a.attempt == attempt) {
-            // Released before it stood: what waits in line is dropped when its turn comes.
-            self.gone.insert(attempt.clone());
+        if self.established.remove(&attempt).is_none()
+            && self.pending.values().any(|pending| pending.attempt == attempt)
+        {
+            // Released before it was established: the queued work is dropped when it completes.
+            self.released_early.insert(attempt.clone());
         }
-        self.asked.insert(key, Asked { conn: id, attempt, request });
-        self.cpu.release(now, key);
+        self.pending.insert(key, PendingRequest { connection: id, attempt, request });
+        self.processor.release(now, key);
     }
 
-    fn done(&mut self, now: Micros, work: Work, out: &mut Vec<ServerOutput>) {
+    fn complete(&mut self, now: Micros, work: Work, out: &mut Vec<ServerOutput>) {
         let (key, result) = match work {
             Work::SetUp(key) | Work::Release(key) => (key, result::SUCCESS),
             Work::Reject(key) => (key, result::TOO_BUSY),
         };
-        let Some(asked) = self.asked.remove(&key) else { return };
-        let sets_up = !matches!(work, Work::Release(_));
-        if !sets_up {
-            self.gone.remove(&asked.attempt);
-        } else if self.gone.contains(&asked.attempt) {
+        let Some(pending) = self.pending.remove(&key) else { return };
+        let is_set_up = !matches!(work, Work::Release(_));
+        if !is_set_up {
+            self.released_early.remove(&pending.attempt);
+        } else if self.released_early.contains(&pending.attempt) {
             return;
         } else if result == result::SUCCESS {
-            let front = self.conns.get(&asked.conn).and_then(|conn| conn.front).unwrap_or(u32::MAX);
-            self.standing.insert(asked.attempt.clone(), front);
+            let front = self
+                .connections
+                .get(&pending.connection)
+                .and_then(|connection| connection.front)
+                .unwrap_or(u32::MAX);
+            self.established.insert(pending.attempt.clone(), front);
         }
-        let lost = sets_up && self.rng.random::<f64>() < self.lose;
-        if sets_up {
-            let (server, attempt) = (self.spec.number, asked.attempt.clone());
+        let lost = is_set_up && self.rng.random::<f64>() < self.answer_loss;
+        if is_set_up {
+            let (server, attempt) = (self.spec.number, pending.attempt.clone());
             out.push(ServerOutput::Record(RecordEvent::Reply { server, attempt, code: result, lost }));
         }
         if lost {
             return;
         }
-        let mut answer = credit::answer(&asked.request, result, &self.spec.host, &self.spec.realm);
+        let mut answer = credit::answer(&pending.request, result, &self.spec.host, &self.spec.realm);
         self.sequence += 1;
-        let mut report = self.told(now);
+        let mut report = self.current_report(now);
         if result == result::TOO_BUSY {
-            report.wait_s = Some(self.cpu.wait(now) as f64 / 1e6);
+            report.wait_s = Some(self.processor.wait(now) as f64 / 1e6);
         }
         load::write(&report, &self.spec.host, self.sequence, &mut answer);
-        self.send(asked.conn, answer, out);
+        self.send(pending.connection, answer, out);
     }
 }
 
-impl Conn {
+impl Connection {
     fn due(&self) -> Micros {
-        if self.front.is_none() || self.bye.is_some() || self.peer.side().is_none() {
+        if self.front.is_none() || self.disconnect_answered.is_some() || self.peer.side().is_none() {
             return Micros::MAX;
         }
         self.peer.due()
--- a/crates/emulator/src/world/faults.rs
+++ b/crates/emulator/src/world/faults.rs
@@ -1,4 +1,5 @@
-//! Faults of processes and of the net between them in virtual time: what `baydrift day --processes` does to real ones.
+//! Faults of processes and of the network between them in virtual time: the counterpart of what
+//! `baydrift day --processes` does to real processes.
 
 use std::collections::BTreeSet;
 
@@ -8,18 +9,18 @@
 use baydrift_diameter::credit::{Ccr, RequestType};
 use baydrift_diameter::{dict, PeerInput};
 
-use super::{Event, Node, World};
+use super::{Event, Task, World};
 use crate::front::Front;
-use crate::link::{End, LinkFault, Parcel, THERE};
+use crate::link::{Delivery, Endpoint, LinkFault, FORWARD};
 
-/// A list that could not be pushed is pushed again after this.
-const PUSHED_AGAIN: Micros = 400_000;
-/// The first packet of a connection that is lost is sent again after this.
-const SYN_AGAIN: Micros = 1_000_000;
-/// A process that starts takes this at the least.
-const STARTS: Micros = 5_000;
+/// Delay before a list that did not reach its front is pushed again, microseconds.
+const LIST_RETRY_DELAY: Micros = 400_000;
+/// Retransmission delay of the first packet of a connection, microseconds.
+const SYN_RETRY_DELAY: Micros = 1_000_000;
+/// Minimum start-up time of a process, microseconds.
+const START_TIME: Micros = 5_000;
 
-/// A process between which and others ways can be severed.
+/// A process whose network paths to other processes can be blocked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ProcessId {
     /// A front, by its ordinal.
@@ -30,67 +31,73 @@
     List,
 }
 
-/// Ways that pass nothing, the last list of each front, and which process of a front runs.
+/// Blocked network paths, and the latest list of each front.
 #[derive(Debug, Default)]
-pub(super) struct Faulty {
-    severed: BTreeSet<(ProcessId, ProcessId)>,
+pub(super) struct FaultState {
+    /// Blocked paths, each from one process to another.
+    blocked_paths: BTreeSet<(ProcessId, ProcessId)>,
     lists: Vec<Option<(PoolList, Vec<RecordEvent>)>>,
 }
 
 impl World {
-    pub(super) fn is_severed(&self, from: ProcessId, to: ProcessId) -> bool {
-        self.faulty.severed.contains(&(from, to))
+    pub(super) fn is_blocked(&self, from: ProcessId, to: ProcessId) -> bool {
+        self.fault_state.blocked_paths.contains(&(from, to))
     }
 
-    /// What the ways between a front and a server do to a transport, on top of its link's fault.
-    pub(super) fn severed_of(&self, id: u64, fault: LinkFault) -> LinkFault {
-        if self.faulty.severed.is_empty() {
+    /// The fault of a connection's link, with the blocked paths between its front and server added.
+    pub(super) fn with_blocked_paths(&self, id: u64, fault: LinkFault) -> LinkFault {
+        if self.fault_state.blocked_paths.is_empty() {
             return fault;
         }
-        let ends = self.conns.get(id).map(|conn| (conn.initiator, conn.responder));
-        let Some((End::FrontServer(front, _), End::Server(server))) = ends else { return fault };
+        let ends = self.connections.get(id).map(|connection| (connection.initiator, connection.responder));
+        let Some((Endpoint::FrontServer(front, _), Endpoint::Server(server))) = ends else { return fault };
         let (front, server) = (ProcessId::Front(front), ProcessId::Server(server));
         LinkFault {
-            stalled: fault.stalled || self.is_severed(front, server),
-            stalled_back: fault.stalled_back || self.is_severed(server, front),
+            stalled: fault.stalled || self.is_blocked(front, server),
+            stalled_back: fault.stalled_back || self.is_blocked(server, front),
             ..fault
         }
     }
 
-    /// Nothing passes that way from now on, or what it held passes.
-    pub fn set_blocked(&mut self, from: ProcessId, to: ProcessId, severed: bool) {
-        if severed {
-            self.faulty.severed.insert((from, to));
+    /// Blocks the path from one process to another, or unblocks it and delivers what it held back.
+    pub fn set_blocked(&mut self, from: ProcessId, to: ProcessId, blocked: bool) {
+        if blocked {
+            self.fault_state.blocked_paths.insert((from, to));
             return;
         }
-        self.faulty.severed.remove(&(from, to));
+        self.fault_state.blocked_paths.remove(&(from, to));
         let (ProcessId::Front(front), ProcessId::Server(server)) = (from.min(to), from.max(to)) else {
             return;
         };
-        // Those too that the server let go of meanwhile: its front is still to hear of it.
-        for id in self.conns.of_front(front) {
-            if self.conns.get(id).is_none_or(|conn| conn.responder != End::Server(server)) {
+        // Includes connections that the server has closed meanwhile: the front has yet to be notified.
+        for id in self.connections.of_front(front) {
+            if self
+                .connections
+                .get(id)
+                .is_none_or(|connection| connection.responder != Endpoint::Server(server))
+            {
                 continue;
             }
-            let now = self.fault(id);
-            for (direction, parcel) in self.conns.freed(id, now) {
-                self.post(id, direction, parcel);
+            let now = self.current_fault(id);
+            for (direction, delivery) in self.connections.release_unblocked(id, now) {
+                self.transmit(id, direction, delivery);
             }
         }
     }
 
-    /// What a front sends into a severed way is on record when it enters it: it may be given up before it arrives. Into
-    /// others a set-up is, for sums alone: a server that stands still reads at once what was sent over seconds.
-    pub(super) fn enters(&mut self, id: u64, direction: usize, parcel: &Parcel, fault: LinkFault) {
-        let ends = self.conns.get(id).map(|conn| (conn.initiator, conn.responder));
-        let Some((End::FrontServer(front, _), End::Server(server))) = ends else { return };
-        if direction != THERE {
+    /// Records what a front sends as it enters the network. On a blocked path all of it is recorded, since it
+    /// may be abandoned before it arrives. On other paths only set-ups are, for the rate limits of the audit:
+    /// a suspended server later reads at once what was sent over seconds.
+    pub(super) fn record_entry(&mut self, id: u64, direction: usize, delivery: &Delivery, fault: LinkFault) {
+        let ends = self.connections.get(id).map(|connection| (connection.initiator, connection.responder));
+        let Some((Endpoint::FrontServer(front, _), Endpoint::Server(server))) = ends else { return };
+        if direction != FORWARD {
             return;
         }
         let (front, server) = (front as u32, server as u16);
-        match parcel {
-            Parcel::Closed if fault.stalled => self.record(RecordEvent::Disconnected { server, front }),
-            Parcel::Message(message) => {
+        match delivery {
+            Delivery::Closed if fault.stalled => self.record(RecordEvent::Disconnected { server, front }),
+            Delivery::Message(message) => {
                 let Ok(ccr) = Ccr::read(message) else { return };
                 let (first, attempt) = (ccr.request_type == RequestType::Initial, ccr.session.to_owned());
                 if fault.stalled {
@@ -104,87 +111,91 @@
         }
     }
 
-    /// Whether a new connection hangs, since its first packets are lost; it is tried again.
-    pub(super) fn hangs(&mut self, id: u64) -> bool {
-        let fault = self.fault(id);
-        let waits = self.conns.get(id).is_some_and(|conn| conn.open[0]);
-        let hangs = waits && (fault.stalled || fault.stalled_back) && !self.linked_fault(id);
-        if hangs {
-            self.queue.schedule(self.queue.now() + SYN_AGAIN, Event::Connecting(id));
-        }
-        hangs
+    /// Whether a new connection cannot be established because a blocked path loses its first packets. If so,
+    /// schedules the next try.
+    pub(super) fn retry_blocked_connect(&mut self, id: u64) -> bool {
+        let fault = self.current_fault(id);
+        let is_waiting = self.connections.get(id).is_some_and(|connection| connection.open[0]);
+        let is_blocked = is_waiting && (fault.stalled || fault.stalled_back) && !self.is_link_stalled(id);
+        if is_blocked {
+            self.queue.schedule(self.queue.now() + SYN_RETRY_DELAY, Event::Connect(id));
+        }
+        is_blocked
     }
 
-    /// All connections of a server are reset, at both ends.
+    /// Resets all connections of a server, at both ends.
     pub fn reset_connections(&mut self, server: usize) {
-        for (id, _) in self.conns.reset(End::Server(server)) {
+        for (id, _) in self.connections.reset_endpoint(Endpoint::Server(server)) {
             for end in [0, 1] {
-                let at = self.queue.now() + self.turn();
-                self.queue.schedule(at, Event::Severed(id, end));
+                let at = self.queue.now() + self.sample_delay();
+                self.queue.schedule(at, Event::ForcedClose(id, end));
             }
         }
     }
 
-    /// A front's process ends without a word; another one starts after so long, if at all, and knows nothing.
+    /// Kills a front's process without a graceful shutdown. If `back_after` is given, a new process without
+    /// state starts after that time.
     pub fn kill_front(&mut self, front: usize, back_after: Option<Micros>) {
         if self.fronts.get(front).is_none_or(Front::is_down) {
             return;
         }
         self.record(RecordEvent::FrontKilled { front: front as u32 });
-        for id in self.conns.of_front(front) {
-            let ends = self.conns.get(id).map(|conn| (conn.initiator, conn.responder));
+        for id in self.connections.of_front(front) {
+            let ends =
+                self.connections.get(id).map(|connection| (connection.initiator, connection.responder));
             let Some((initiator, responder)) = ends else { continue };
-            if let (End::FrontServer(..), End::Server(server)) = (initiator, responder) {
-                // Whatever is on its way there still: its front is no more.
+            if let (Endpoint::FrontServer(..), Endpoint::Server(server)) = (initiator, responder) {
+                // What is still in transit to the server no longer has a front.
                 self.record(RecordEvent::Disconnected { server: server as u16, front: front as u32 });
             }
-            self.close(id, usize::from(matches!(responder, End::FrontClient(_))));
+            self.close(id, usize::from(matches!(responder, Endpoint::FrontClient(_))));
         }
-        self.fronts[front].go_down();
+        self.fronts[front].terminate();
         if let Some(back) = back_after {
-            let at = self.queue.now() + STARTS + back + self.turn();
-            self.queue.schedule(at, Event::Starts(front));
+            let at = self.queue.now() + START_TIME + back + self.sample_delay();
+            self.queue.schedule(at, Event::StartFront(front));
         }
     }
 
-    /// Another process of a front serves.
-    pub(super) fn starts(&mut self, front: usize) {
+    /// Starts a new process of a front, and pushes the latest list to it again.
+    pub(super) fn start_front(&mut self, front: usize) {
         let now = self.queue.now();
-        if self.fronts[front].start_anew(now, &mut self.rng).is_err() {
+        if self.fronts[front].restart(now, &mut self.rng).is_err() {
             return;
         }
         self.record(RecordEvent::FrontStarted { front: front as u32 });
         for server in 0..self.fronts[front].servers.len() {
-            self.server_input(front, server, PeerInput::Start);
+            self.server_link_input(front, server, PeerInput::Start);
         }
-        for far in 0..self.fars.len() {
-            self.connect(End::FrontFar(front, far), End::Far(far));
+        for far in 0..self.far_ends.len() {
+            self.connect(Endpoint::FrontFarEnd(front, far), Endpoint::FarEnd(far));
         }
-        self.arm(Node::Core(front));
-        if let Some((list, told)) = self.faulty.lists.get(front).cloned().flatten() {
-            self.push_list(self.queue.now() + PUSHED_AGAIN, front, list, told);
+        self.arm(Task::Core(front));
+        if let Some((list, events)) = self.fault_state.lists.get(front).cloned().flatten() {
+            self.push_list(self.queue.now() + LIST_RETRY_DELAY, front, list, events);
         }
     }
 
-    /// A list that a front does not hear now comes again, unless a newer one did. `None` where it waits.
-    pub(super) fn heard_list(
+    /// Returns the list if the front can receive it now. Otherwise schedules it again and returns `None`;
+    /// also `None` if a newer list was pushed before.
+    pub(super) fn accept_list(
         &mut self,
         front: usize,
         list: PoolList,
-        told: Vec<RecordEvent>,
+        events: Vec<RecordEvent>,
     ) -> Option<(PoolList, Vec<RecordEvent>)> {
-        if self.faulty.lists.len() <= front {
-            self.faulty.lists.resize(front + 1, None);
+        if self.fault_state.lists.len() <= front {
+            self.fault_state.lists.resize(front + 1, None);
         }
-        let newest = &mut self.faulty.lists[front];
-        if newest.as_ref().is_some_and(|(newest, _)| newest.version > list.version) {
+        let latest = &mut self.fault_state.lists[front];
+        if latest.as_ref().is_some_and(|(newest, _)| newest.version > list.version) {
             return None;
         }
-        *newest = Some((list.clone(), told.clone()));
-        if self.is_severed(ProcessId::List, ProcessId::Front(front)) || self.fronts[front].is_down() {
-            self.push_list(self.queue.now() + PUSHED_AGAIN, front, list, told);
+        *latest = Some((list.clone(), events.clone()));
+        if self.is_blocked(ProcessId::List, ProcessId::Front(front)) || self.fronts[front].is_down() {
+            self.push_list(self.queue.now() + LIST_RETRY_DELAY, front, list, events);
             return None;
         }
-        Some((list, told))
+        Some((list, events))
     }
 }
