--- a/crates/day/src/bench.rs
+++ b/crates/day/src/bench.rs
@@ -171,7 +171,7 @@
         text_share: 0.0,
         datagrams_lost: 0.0,
         honours_overload_notices: false,
-        net: baydrift_emulator::WaySpec::default(),
+        net: baydrift_emulator::NetworkPathSpec::default(),
         bounds: crate::scenario::Bounds::default(),
         servers: Servers {
             rates: file.servers.iter().map(|s| scale * s.speed / work_s).collect(),
--- a/crates/day/src/emulated.rs
+++ b/crates/day/src/emulated.rs
@@ -4,7 +4,7 @@
 use baydrift::interface::{Micros, ServerState};
 use baydrift_audit::RecordEvent;
 use baydrift_desk::{PoolEntry, PoolList};
-use baydrift_emulator::{Command, Fault, Offers, Place, Roughness, World, WorldSpec};
+use baydrift_emulator::{Command, DelayModel, LinkFault, OfferedLoad, ProcessId, World, WorldSpec};
 use baydrift_front::{FrontError, Snapshot};
 
 use crate::error::ScenarioError;
@@ -34,7 +34,7 @@
         while let Some((at, front)) = self.pending_kills.first().copied().filter(|(at, _)| *at <= until) {
             self.pending_kills.remove(0);
             self.world.run_until(at);
-            self.world.kill(front, Some(0));
+            self.world.kill_front(front, Some(0));
         }
         self.world.run_until(until);
     }
@@ -45,20 +45,20 @@
         self.world.command(server, command);
     }
 
-    fn set_link_fault(&mut self, server: usize, fault: Fault) {
-        self.world.set_link(server, fault);
+    fn set_link_fault(&mut self, server: usize, fault: LinkFault) {
+        self.world.set_link_fault(server, fault);
     }
 
-    fn set_offered_load(&mut self, front: usize, offers: &Offers) {
-        self.world.offer(Some(front), offers);
+    fn set_offered_load(&mut self, front: usize, offers: &OfferedLoad) {
+        self.world.set_offered_load(Some(front), offers);
     }
 
     fn stall(&mut self, front: usize, span: Micros) {
-        self.world.stall(front, span);
+        self.world.stall_front(front, span);
     }
 
     fn lose_messages(&mut self, share: f64) {
-        self.world.lose_messages(share);
+        self.world.set_gossip_loss(share);
     }
 
     fn publish_list(&mut self, due: Micros, pool: &Pool) {
@@ -94,14 +94,14 @@
 
     fn apply_process_fault(&mut self, fault: ProcessFault) {
         let place = |party| match party {
-            Participant::Front(front) => Place::Front(front),
-            Participant::Server(server) => Place::Server(server),
-            Participant::List => Place::List,
+            Participant::Front(front) => ProcessId::Front(front),
+            Participant::Server(server) => ProcessId::Server(server),
+            Participant::List => ProcessId::List,
         };
         match fault {
             // In virtual time an orderly stop is a kill: graceful shutdown belongs to the transport.
             ProcessFault::Stop { front, back_after, start, .. } => {
-                self.world.kill(front, back_after.map(|back| back + start.slow));
+                self.world.kill_front(front, back_after.map(|back| back + start.slow));
             }
             // A front in virtual time has no descriptors, and shares its memory with the driver.
             ProcessFault::Starve { .. } => {}
@@ -112,8 +112,10 @@
             }
             // A stopped process reads nothing; in virtual time the server answers nothing instead.
             ProcessFault::Freeze { server, frozen } => self.world.command(server, Command::Hang(frozen)),
-            ProcessFault::Sever { from, to, severed } => self.world.sever(place(from), place(to), severed),
-            ProcessFault::Reset { server } => self.world.reset(server),
+            ProcessFault::Sever { from, to, severed } => {
+                self.world.set_blocked(place(from), place(to), severed)
+            }
+            ProcessFault::Reset { server } => self.world.reset_connections(server),
         }
     }
 }
@@ -141,18 +143,18 @@
         servers: (0..diameter_server_count(day)).map(|number| server_spec(day, number)).collect(),
         far_ends: far_end_specs(day),
         callers: (0..day.fronts).map(|ordinal| diameter_callers(day, ordinal)).collect(),
-        texts: (0..day.fronts).flat_map(|ordinal| text_caller_specs(day, ordinal)).collect(),
-        offers: normal_load(day),
-        linked: linked_servers(day),
+        text_callers: (0..day.fronts).flat_map(|ordinal| text_caller_specs(day, ordinal)).collect(),
+        offered_load: normal_load(day),
+        faulty_links: linked_servers(day),
         link_delay: day.servers.link_delay,
-        datagrams_lost: day.datagrams_lost,
+        datagram_loss: day.datagrams_lost,
         seed: day.seed,
-        roughness: Roughness::default(),
+        delays: DelayModel::default(),
     });
     let world = world.map_err(FrontError::Engine)?;
     let mut run = VirtualRun { world, version: 0, fronts: day.fronts as usize, pending_kills: Vec::new() };
     run.world.run_until(LINK_SETUP_TIME);
-    run.world.begin();
+    run.world.start_callers();
     let mut course = Timeline::new(day, LINK_SETUP_TIME);
     while run.world.now() < course.end() {
         run.run_until(course.next_due());
@@ -163,7 +165,7 @@
     let end = run.world.now() + settle_time(day);
     run.run_until(end);
     let snapshots = (0..run.fronts).filter_map(|front| {
-        let desk = run.world.desk(front)?;
+        let desk = run.world.session_layer(front)?;
         Some(Snapshot {
             counts: desk.counts().clone(),
             held: desk.held(),
@@ -173,5 +175,5 @@
         })
     });
     let snapshots = snapshots.collect();
-    Ok(outcome(day, run.world.into_lines(), snapshots))
+    Ok(outcome(day, run.world.into_record(), snapshots))
 }
--- a/crates/day/src/processes/process_run.rs
+++ b/crates/day/src/processes/process_run.rs
@@ -7,7 +7,7 @@
 
 use baydrift::interface::Micros;
 use baydrift_audit::{RecordEvent, Recorder};
-use baydrift_emulator::{Command, Fault, Offers};
+use baydrift_emulator::{Command, LinkFault, OfferedLoad};
 use serde_json::Value;
 use tokio::io::{AsyncWriteExt, BufReader, Lines};
 use tokio::process::ChildStdout;
@@ -192,7 +192,7 @@
     list_relays: Vec<StreamRelay>,
     /// The relay between each pair of fronts.
     gossip_relays: Vec<(usize, usize, GossipRelay)>,
-    offers: Vec<watch::Sender<Offers>>,
+    offers: Vec<watch::Sender<OfferedLoad>>,
     /// Faults and restarts in progress.
     tasks: JoinSet<()>,
     faults: Arc<Mutex<Vec<String>>>,
@@ -209,7 +209,7 @@
         server_relays: Vec<Vec<StreamRelay>>,
         list_relays: Vec<StreamRelay>,
         gossip_relays: Vec<(usize, usize, GossipRelay)>,
-        offers: Vec<watch::Sender<Offers>>,
+        offers: Vec<watch::Sender<OfferedLoad>>,
     ) -> Self {
         let server_slot = |(stand_in, addr)| {
             Arc::new(ServerSlot { process: Mutex::new(Some(stand_in)), addr, state: Mutex::new(1) })
@@ -432,14 +432,14 @@
         }
     }
 
-    fn set_link_fault(&mut self, server: usize, fault: Fault) {
+    fn set_link_fault(&mut self, server: usize, fault: LinkFault) {
         for front in &self.server_relays {
             front[server]
                 .update(|state| (state.down, state.backward_severed) = (fault.down, fault.stalled_back));
         }
     }
 
-    fn set_offered_load(&mut self, front: usize, offers: &Offers) {
+    fn set_offered_load(&mut self, front: usize, offers: &OfferedLoad) {
         self.offers[front].send_replace(offers.clone());
     }
 
--- a/crates/day/src/processes/relays.rs
+++ b/crates/day/src/processes/relays.rs
@@ -1,7 +1,7 @@
 //! The network between the processes of a run, emulated in user space on loopback: one stream or datagram
 //! relay for each pair of processes, with separate faults for each direction.
 //!
-//! A process reaches another one at the address of the relay between them. [`Way`] determines delay and loss
+//! A process reaches another one at the address of the relay between them. [`NetworkPath`] determines delay and loss
 //! in one direction. A severed direction queues stream data, like a network that loses packets until it
 //! heals, and drops datagrams. New connections to a severed relay hang: the listener accepts none and its
 //! backlog is full, so the kernel drops the SYN packets and the clients retransmit them.
@@ -16,7 +16,7 @@
 use baydrift_audit::{RecordEvent, Recorder};
 use baydrift_diameter::credit::{Ccr, RequestType};
 use baydrift_diameter::{dict, Codec, Frame};
-use baydrift_emulator::{Way, WaySpec};
+use baydrift_emulator::{NetworkPath, NetworkPathSpec};
 use bytes::BytesMut;
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::sync::{mpsc, watch};
@@ -91,7 +91,7 @@
 /// Shared state of all connections of one relay.
 struct RelayContext {
     to: SocketAddr,
-    spec: WaySpec,
+    spec: NetworkPathSpec,
     seed: u64,
     state: watch::Receiver<RelayState>,
     recorder: Arc<Recorder>,
@@ -111,7 +111,7 @@
 impl StreamRelay {
     pub(crate) async fn start(
         to: SocketAddr,
-        spec: WaySpec,
+        spec: NetworkPathSpec,
         seed: u64,
         recorded_link: Option<RecordedLink>,
         recorder: Arc<Recorder>,
@@ -189,7 +189,7 @@
     if let Some(RecordedLink { front, server }) = context.recorded_link {
         context.recorder.put(RecordEvent::LinkUp { server, front });
     }
-    let link = |salt: u64| Way::new(context.spec, context.seed ^ count.rotate_left(20) ^ salt);
+    let link = |salt: u64| NetworkPath::new(context.spec, context.seed ^ count.rotate_left(20) ^ salt);
     let request_recorder = context.recorded_link.map(|recorded_link| RequestRecorder {
         recorded_link,
         codec: Codec::default(),
@@ -239,7 +239,7 @@
 async fn relay_direction(
     from: &TcpStream,
     to: &TcpStream,
-    mut link: Way,
+    mut link: NetworkPath,
     context: &RelayContext,
     severed: fn(&RelayState) -> bool,
     mut request_recorder: Option<RequestRecorder>,
@@ -356,7 +356,7 @@
 
 impl GossipRelay {
     pub(crate) async fn start(
-        spec: WaySpec,
+        spec: NetworkPathSpec,
         seed: u64,
         fronts: [u32; 2],
         recorder: Arc<Recorder>,
@@ -371,8 +371,8 @@
         let received_count = datagrams.clone();
         tokio::spawn(async move {
             // One per sender, first and second front; `losing` adds the loss of the fault schedule.
-            let mut links = [Way::new(spec, seed), Way::new(spec, seed ^ 0x5eed)];
-            let mut extra_loss = Way::new(WaySpec::default(), seed);
+            let mut links = [NetworkPath::new(spec, seed), NetworkPath::new(spec, seed ^ 0x5eed)];
+            let mut extra_loss = NetworkPath::new(NetworkPathSpec::default(), seed);
             let mut current_loss = 0.0;
             let mut queued: BTreeMap<(Micros, u64), (SocketAddr, Vec<u8>)> = BTreeMap::new();
             let (mut buffer, mut sequence) = (vec![0u8; 65_536], 0);
@@ -391,8 +391,8 @@
                         recorder.put(RecordEvent::GossipSent { from, to, bytes: size });
                         if *loss_share.borrow() != current_loss {
                             current_loss = *loss_share.borrow();
-                            let spec = WaySpec { lost: current_loss, ..WaySpec::default() };
-                            extra_loss = Way::new(spec, seed ^ sequence);
+                            let spec = NetworkPathSpec { lost: current_loss, ..NetworkPathSpec::default() };
+                            extra_loss = NetworkPath::new(spec, seed ^ sequence);
                         }
                         let now = recorder.now();
                         if severed_now.borrow()[side] || extra_loss.datagram(now, size).is_empty() {
--- a/crates/day/src/run.rs
+++ b/crates/day/src/run.rs
@@ -10,7 +10,7 @@
     rules, service, sums, RecordEntry, RecordEvent, Recorder, RuleLimits, Service, Sums, Verdict,
 };
 use baydrift_config::Config;
-use baydrift_emulator::{Command, Fault, Offers};
+use baydrift_emulator::{Command, LinkFault, OfferedLoad};
 use baydrift_front::{Addrs, Bound, Snapshot};
 use baydrift_standin::{push, Caller, DatagramRelay, FarEnd, Link, RecordedClient, Server, TextCaller};
 use tokio::sync::{mpsc, oneshot, watch};
@@ -115,7 +115,7 @@
     /// Links with faults, by server number; to a far end there is one for each front.
     links: BTreeMap<usize, Vec<Link>>,
     fronts: Vec<FrontThread>,
-    offers: Vec<watch::Sender<Offers>>,
+    offers: Vec<watch::Sender<OfferedLoad>>,
     relays: Vec<DatagramRelay>,
     lists: mpsc::UnboundedSender<(Micros, Pool)>,
 }
@@ -128,7 +128,7 @@
         }
     }
 
-    fn set_link_fault(&mut self, server: usize, fault: Fault) {
+    fn set_link_fault(&mut self, server: usize, fault: LinkFault) {
         let far = server.checked_sub(self.servers.len()).and_then(|far| self.far_ends.get(far));
         let held = |held| far.map(|(_, client)| RecordEvent::Held { client: client.clone(), held });
         if fault.stalled_back {
@@ -140,7 +140,7 @@
         }
     }
 
-    fn set_offered_load(&mut self, front: usize, offers: &Offers) {
+    fn set_offered_load(&mut self, front: usize, offers: &OfferedLoad) {
         if front == 0 {
             self.far_ends.iter().for_each(|(far, _)| far.offer(offers.factor));
         }
@@ -253,7 +253,7 @@
             if linked_servers.contains(&number) {
                 let server_links = links.entry(number).or_default();
                 if server_links.is_empty() || number >= servers.len() {
-                    let fault = Fault { delay: day.servers.link_delay, ..Fault::default() };
+                    let fault = LinkFault { delay: day.servers.link_delay, ..LinkFault::default() };
                     server_links.push(Link::start(addr, fault).await?);
                 }
                 addr = server_links[server_links.len() - 1].addr;
--- a/crates/day/src/scenario.rs
+++ b/crates/day/src/scenario.rs
@@ -2,7 +2,7 @@
 
 use baydrift::interface::Micros;
 use baydrift_config::{parse_document, ConfigError, Node, Problems};
-use baydrift_emulator::WaySpec;
+use baydrift_emulator::NetworkPathSpec;
 use serde::{Deserialize, Serialize};
 
 use crate::error::ScenarioError;
@@ -55,7 +55,7 @@
     #[serde(rename = "heeds")]
     pub honours_overload_notices: bool,
     /// Delay, loss and rate limit of each path between processes while no fault is active.
-    pub net: WaySpec,
+    pub net: NetworkPathSpec,
     /// Servers.
     pub servers: Servers,
     /// Classes.
@@ -341,7 +341,7 @@
         text_share: 0.0,
         datagrams_lost: 0.0,
         honours_overload_notices: false,
-        net: WaySpec::default(),
+        net: NetworkPathSpec::default(),
         servers: Servers::default(),
         classes: Vec::new(),
         publishers: Vec::new(),
@@ -557,9 +557,9 @@
     scenario.datagrams_lost = node.number("datagrams-lost", 0.0..=0.9).unwrap_or(scenario.datagrams_lost);
 }
 
-fn read_net(node: &Node<'_>) -> WaySpec {
+fn read_net(node: &Node<'_>) -> NetworkPathSpec {
     let share = |key| node.number(key, 0.0..=0.9).unwrap_or(0.0);
-    WaySpec {
+    NetworkPathSpec {
         delay: node.time("delay", 0..=10 * S).unwrap_or(0),
         jitter: node.time("jitter", 0..=10 * S).unwrap_or(0),
         lost: share("lost"),
--- a/crates/day/src/timeline.rs
+++ b/crates/day/src/timeline.rs
@@ -5,7 +5,7 @@
 
 use baydrift::interface::Micros;
 use baydrift_audit::RecordEvent;
-use baydrift_emulator::{Command, Fault, Offers};
+use baydrift_emulator::{Command, LinkFault, OfferedLoad};
 use serde::{Deserialize, Serialize};
 
 use crate::scenario::{FaultKind, Participant, ResourceLimit, Scenario, ScheduledFault, Start};
@@ -29,9 +29,9 @@
     /// Sends a command to a server.
     fn command(&mut self, server: usize, command: Command);
     /// Sets the fault of a server's link.
-    fn set_link_fault(&mut self, server: usize, fault: Fault);
+    fn set_link_fault(&mut self, server: usize, fault: LinkFault);
     /// Sets the load that one front's callers offer.
-    fn set_offered_load(&mut self, front: usize, offers: &Offers);
+    fn set_offered_load(&mut self, front: usize, offers: &OfferedLoad);
     /// Stops a front for the given time.
     fn stall(&mut self, front: usize, duration: Micros);
     /// Sets the share of messages between fronts that is lost.
@@ -87,9 +87,9 @@
     /// Delay before a new list reaches the fronts.
     list_lag: Micros,
     link_delay: Micros,
-    normal_load: Offers,
+    normal_load: OfferedLoad,
     /// Current load of each front's callers.
-    offers: Vec<Offers>,
+    offers: Vec<OfferedLoad>,
     /// Number of active faults that block a path, by its direction.
     severed: BTreeMap<(Participant, Participant), usize>,
 }
@@ -199,7 +199,7 @@
             FaultKind::LinkDown { server } => {
                 injector.set_link_fault(
                     *server,
-                    Fault { down: true, delay: self.link_delay, ..Fault::default() },
+                    LinkFault { down: true, delay: self.link_delay, ..LinkFault::default() },
                 );
             }
             // Only the direction from the server is stalled, so that the record has correct times for what
@@ -207,7 +207,7 @@
             FaultKind::LinkStalled { server } => {
                 injector.set_link_fault(
                     *server,
-                    Fault { stalled_back: true, delay: self.link_delay, ..Fault::default() },
+                    LinkFault { stalled_back: true, delay: self.link_delay, ..LinkFault::default() },
                 );
                 self.record_for_each_front(injector, |front| RecordEvent::Unresponsive {
                     server: *server as u16,
@@ -215,7 +215,7 @@
                 });
             }
             FaultKind::Burst { factor } => self.change_load(injector, |offers| offers.factor = *factor),
-            FaultKind::Hot { share } => self.change_load(injector, |offers| offers.hot = *share),
+            FaultKind::Hot { share } => self.change_load(injector, |offers| offers.hot_number_share = *share),
             FaultKind::Redials { times, wait } => {
                 self.change_load(injector, |offers| (offers.redials, offers.redial_wait) = (*times, *wait));
             }
@@ -258,17 +258,19 @@
             FaultKind::Slow { server, .. } => injector.command(*server, Command::Slow(1.0)),
             FaultKind::LoseAnswers { server, .. } => injector.command(*server, Command::LoseAnswers(0.0)),
             FaultKind::LinkDown { server } => {
-                injector.set_link_fault(*server, Fault { delay: self.link_delay, ..Fault::default() });
+                injector
+                    .set_link_fault(*server, LinkFault { delay: self.link_delay, ..LinkFault::default() });
             }
             FaultKind::LinkStalled { server } => {
-                injector.set_link_fault(*server, Fault { delay: self.link_delay, ..Fault::default() });
+                injector
+                    .set_link_fault(*server, LinkFault { delay: self.link_delay, ..LinkFault::default() });
                 self.record_for_each_front(injector, |front| RecordEvent::Responsive {
                     server: *server as u16,
                     front,
                 });
             }
             FaultKind::Burst { .. } => self.change_load(injector, |offers| offers.factor = 1.0),
-            FaultKind::Hot { .. } => self.change_load(injector, |offers| offers.hot = 0.0),
+            FaultKind::Hot { .. } => self.change_load(injector, |offers| offers.hot_number_share = 0.0),
             FaultKind::Flood { .. } => self.change_load(injector, |offers| offers.flood = None),
             FaultKind::MessagesLost { .. } => injector.lose_messages(0.0),
             FaultKind::Starve { front, of } => {
@@ -312,7 +314,7 @@
         (0..self.offers.len() as u32).for_each(|front| injector.record(event(front)));
     }
 
-    fn change_load(&mut self, injector: &mut impl FaultInjector, change: impl Fn(&mut Offers)) {
+    fn change_load(&mut self, injector: &mut impl FaultInjector, change: impl Fn(&mut OfferedLoad)) {
         for (front, offers) in self.offers.iter_mut().enumerate() {
             change(offers);
             injector.set_offered_load(front, offers);
--- a/crates/day/src/topology.rs
+++ b/crates/day/src/topology.rs
@@ -7,7 +7,7 @@
 use baydrift::interface::Report;
 use baydrift_audit::{ClassConfig, ServerCapacity, SumLimits};
 use baydrift_config::Config;
-use baydrift_emulator::{CallerSpec, FarEndSpec, Flow, Offers, ProcessorSpec, ServerSpec, TextSpec};
+use baydrift_emulator::{CallerSpec, FarEndSpec, Flow, OfferedLoad, ProcessorSpec, ServerSpec, TextSpec};
 
 use crate::error::ScenarioError;
 use crate::scenario::{Bounds, Class, FaultKind, Scenario};
@@ -222,13 +222,13 @@
 }
 
 /// The load that callers offer while no fault changes it.
-pub(crate) fn normal_load(scenario: &Scenario) -> Offers {
-    Offers {
+pub(crate) fn normal_load(scenario: &Scenario) -> OfferedLoad {
+    OfferedLoad {
         redials: scenario.redials,
         redial_wait: scenario.redial_wait,
-        again: scenario.retransmit_share,
-        heeds: scenario.honours_overload_notices,
-        ..Offers::default()
+        retransmit_share: scenario.retransmit_share,
+        honours_overload_notices: scenario.honours_overload_notices,
+        ..OfferedLoad::default()
     }
 }
 
@@ -314,19 +314,19 @@
         number: number as u16,
         processor: ProcessorSpec {
             rate: s.rates[number],
-            release: s.release,
-            refusal: s.refusal,
-            most_wait: s.max_wait,
+            release_work: s.release,
+            rejection_work: s.refusal,
+            max_wait: s.max_wait,
             cold_from: s.cold_from,
-            ramp: s.warm_up_time,
+            warm_up_time: s.warm_up_time,
             fall_multiple: s.fall_multiple,
             fall_time: s.fall_time,
         },
         report_period: s.report_period,
         report_delay: s.report_delay,
         report_noise: s.report_noise,
-        tells: report_filter,
-        connections: 1_024,
+        reported_values: report_filter,
+        max_connections: 1_024,
         watchdog: scenario.watchdog * 4,
         fronts: (0..scenario.fronts).map(|ordinal| (format!("front{ordinal}.edge.test"), ordinal)).collect(),
     }
@@ -347,7 +347,7 @@
                 subscription: format!("{}:caller", p.name),
                 rate: scenario.calls_per_s * share,
                 hold: c.hold,
-                patience: c.caller_timeout,
+                caller_timeout: c.caller_timeout,
             });
         }
     }
@@ -355,7 +355,7 @@
         host: format!("callers{ordinal}.test"),
         realm: "test".into(),
         front: (ordinal, format!("front{ordinal}.edge.test"), "edge.test".into()),
-        to_realm: "core.test".into(),
+        destination_realm: "core.test".into(),
         // The first choice of calls is weighted by the rate of the servers, as in planned routes.
         servers: scenario
             .servers
