--- a/crates/cli/src/budgets.rs
+++ b/crates/cli/src/budgets.rs
@@ -5,7 +5,7 @@
 
 use baydrift_budget::{BorrowerConfig, EscrowConfig};
 use baydrift_emulator::{
-    drawn_troubles, share_budget, BudgetSharing, BudgetSpec, BudgetTally, BudgetTrouble, WaySpec,
+    random_budget_faults, simulate_budget, BudgetFault, BudgetSharing, BudgetSpec, BudgetTally, WaySpec,
 };
 
 use crate::seeds::on_all_cores;
@@ -67,8 +67,8 @@
     BudgetSpec {
         fronts: args.fronts,
         units: args.units,
-        terms: terms(args),
-        seeking: BorrowerConfig::default(),
+        config: terms(args),
+        borrower: BorrowerConfig::default(),
         way: WaySpec {
             delay: 2_000,
             jitter: 3_000,
@@ -78,10 +78,10 @@
             rate: 0,
         },
         sharing,
-        wanted: (0..args.fronts).map(wanted).collect(),
-        span: args.seconds * S,
-        heard_within: S / 2,
-        troubles: dead.map(|front| (0, front, BudgetTrouble::Dies(None))).collect(),
+        demand: (0..args.fronts).map(wanted).collect(),
+        duration: args.seconds * S,
+        start_spread: S / 2,
+        faults: dead.map(|front| (0, front, BudgetFault::Crash(None))).collect(),
         drift_ppm: 100,
         seed,
     }
@@ -91,10 +91,10 @@
     let each = args.seconds as f64 * f64::from(args.fronts);
     println!(
         "  {name:<22} used {:.3} of what could be, {:>4} spent in a window at most, of {}; {:.2} words and {:.0} bytes a front and second",
-        tally.used,
-        tally.most,
+        tally.utilization,
+        tally.max_in_window,
         args.units,
-        tally.words as f64 / each,
+        tally.messages as f64 / each,
         tally.bytes as f64 / each
     );
 }
@@ -118,15 +118,15 @@
             );
             let ways = [
                 ("fixed shares", BudgetSharing::Fixed),
-                ("by the number believed", BudgetSharing::Believed),
+                ("by the number believed", BudgetSharing::LiveCount),
                 ("units lent", BudgetSharing::Escrow),
-                ("one that knows all", BudgetSharing::KnowsAll),
+                ("one that knows all", BudgetSharing::Oracle),
             ];
             let mut over = false;
             for (name, sharing) in ways {
-                let tally = share_budget(&spec(args, args.seed, sharing));
+                let tally = simulate_budget(&spec(args, args.seed, sharing));
                 line(name, args, &tally);
-                over |= sharing == BudgetSharing::Escrow && tally.most > args.units as usize;
+                over |= sharing == BudgetSharing::Escrow && tally.max_in_window > args.units as usize;
             }
             Ok(if over { ExitCode::FAILURE } else { ExitCode::SUCCESS })
         }
@@ -148,16 +148,16 @@
     let began = std::time::Instant::now();
     let threads = on_all_cores(args.seed, seeds, |seed| {
         let mut spec = spec(args, seed, BudgetSharing::Escrow);
-        spec.troubles = drawn_troubles(args.fronts, spec.span, spec.terms.lease, seed);
-        let tally = share_budget(&spec);
-        let over = tally.most > args.units as usize;
+        spec.faults = random_budget_faults(args.fronts, spec.duration, spec.config.lease, seed);
+        let tally = simulate_budget(&spec);
+        let over = tally.max_in_window > args.units as usize;
         let mut sum = sum.lock().unwrap_or_else(PoisonError::into_inner);
         sum.over += u64::from(over);
         sum.spent += tally.spent;
-        sum.used += tally.used;
-        sum.most = sum.most.max(tally.most);
+        sum.used += tally.utilization;
+        sum.most = sum.most.max(tally.max_in_window);
         if over {
-            println!("  seed {seed}: {} units in a window, of {}", tally.most, args.units);
+            println!("  seed {seed}: {} units in a window, of {}", tally.max_in_window, args.units);
         }
         Ok(())
     })?;
--- a/crates/cli/src/lives.rs
+++ b/crates/cli/src/lives.rs
@@ -3,7 +3,9 @@
 use std::process::ExitCode;
 use std::sync::{Mutex, PoisonError};
 
-use baydrift_emulator::{drawn_lives, who_lives, LivesSpec, LivesTally, LivesTrouble, WaySpec};
+use baydrift_emulator::{
+    random_membership_faults, simulate_membership, MembershipFault, MembershipSpec, MembershipTally, WaySpec,
+};
 use baydrift_fleet::MembershipConfig;
 
 use crate::seeds::on_all_cores;
@@ -36,10 +38,10 @@
     (0.0..1.0).contains(&share).then_some(share).ok_or_else(|| "a share is from 0 up to 1".to_owned())
 }
 
-fn spec(args: &Args, seed: u64, troubles: Vec<(u64, u32, LivesTrouble)>) -> LivesSpec {
-    LivesSpec {
+fn spec(args: &Args, seed: u64, troubles: Vec<(u64, u32, MembershipFault)>) -> MembershipSpec {
+    MembershipSpec {
         fronts: args.fronts,
-        terms: MembershipConfig::default(),
+        config: MembershipConfig::default(),
         way: WaySpec {
             delay: 2_000,
             jitter: 10_000,
@@ -48,21 +50,21 @@
             reordered: 0.02,
             rate: 0,
         },
-        span: args.seconds * S,
-        troubles,
+        duration: args.seconds * S,
+        faults: troubles,
         seed,
     }
 }
 
-fn line(name: &str, args: &Args, at: u64, tally: &LivesTally) {
+fn line(name: &str, args: &Args, at: u64, tally: &MembershipTally) {
     let each = args.seconds as f64 * f64::from(args.fronts);
-    let after = tally.right_after(at).map_or("not".to_owned(), |us| format!("{:.1} s", us as f64 / 1e6));
+    let after = tally.converged_after(at).map_or("not".to_owned(), |us| format!("{:.1} s", us as f64 / 1e6));
     println!(
         "  {name:<34} all right after {after:>7}; {:.2} words and {:.0} bytes a front and second, {} at most; {} looks at whom one wronged",
-        tally.words as f64 / each,
+        tally.messages as f64 / each,
         tally.bytes as f64 / each,
-        tally.longest,
-        tally.wronged
+        tally.max_message_bytes,
+        tally.false_positives
     );
 }
 
@@ -77,22 +79,22 @@
         args.seconds,
         AT / S
     );
-    let some = |share: f64, trouble: LivesTrouble| {
+    let some = |share: f64, trouble: MembershipFault| {
         let count = (f64::from(args.fronts) * share).round() as u32;
         (0..count.max(1)).map(|front| (AT, front, trouble)).collect::<Vec<_>>()
     };
     let cases = [
         ("all start within a second", 0, Vec::new()),
-        ("one dies", AT, some(0.0, LivesTrouble::Dies(None, 0))),
-        ("one dies and is back in 50 ms", AT, some(0.0, LivesTrouble::Dies(Some(50_000), 0))),
-        ("the same, its clock an hour back", AT, some(0.0, LivesTrouble::Dies(Some(50_000), -36_000))),
-        ("a third dies", AT, some(0.33, LivesTrouble::Dies(None, 0))),
-        ("seven in ten die, back in 50 ms", AT, some(0.7, LivesTrouble::Dies(Some(50_000), 0))),
-        ("a third stands still for 8 s", AT + 8 * S, some(0.33, LivesTrouble::Stops(8 * S))),
-        ("cut in two for 10 s", AT + 10 * S, vec![(AT, args.fronts / 2, LivesTrouble::Parts(10 * S))]),
+        ("one dies", AT, some(0.0, MembershipFault::Crash(None, 0))),
+        ("one dies and is back in 50 ms", AT, some(0.0, MembershipFault::Crash(Some(50_000), 0))),
+        ("the same, its clock an hour back", AT, some(0.0, MembershipFault::Crash(Some(50_000), -36_000))),
+        ("a third dies", AT, some(0.33, MembershipFault::Crash(None, 0))),
+        ("seven in ten die, back in 50 ms", AT, some(0.7, MembershipFault::Crash(Some(50_000), 0))),
+        ("a third stands still for 8 s", AT + 8 * S, some(0.33, MembershipFault::Pause(8 * S))),
+        ("cut in two for 10 s", AT + 10 * S, vec![(AT, args.fronts / 2, MembershipFault::Partition(10 * S))]),
     ];
     for (name, over, troubles) in cases {
-        line(name, args, over, &who_lives(&spec(args, args.seed, troubles)));
+        line(name, args, over, &simulate_membership(&spec(args, args.seed, troubles)));
     }
     Ok(ExitCode::SUCCESS)
 }
@@ -103,12 +105,13 @@
     let sum = Mutex::new((0_u64, 0_u64, 0_u64));
     let began = std::time::Instant::now();
     let threads = on_all_cores(args.seed, seeds, |seed| {
-        let tally = who_lives(&spec(args, seed, drawn_lives(args.fronts, within, seed)));
-        let right = tally.right_after(within + 8 * S).is_some();
+        let tally =
+            simulate_membership(&spec(args, seed, random_membership_faults(args.fronts, within, seed)));
+        let right = tally.converged_after(within + 8 * S).is_some();
         let mut sum = sum.lock().unwrap_or_else(PoisonError::into_inner);
         sum.0 += u64::from(!right);
-        sum.1 += tally.words;
-        sum.2 += tally.faults;
+        sum.1 += tally.messages;
+        sum.2 += tally.rejected_messages;
         if !right {
             println!("  seed {seed}: not all beliefs are right at the end");
         }
--- a/crates/cli/src/ramps.rs
+++ b/crates/cli/src/ramps.rs
@@ -3,7 +3,7 @@
 use std::process::ExitCode;
 use std::sync::{Mutex, PoisonError};
 
-use baydrift_emulator::{ramp, RampSpec, RampStart};
+use baydrift_emulator::{simulate_warm_up, WarmUpSpec, WarmUpStart};
 
 use crate::seeds::on_all_cores;
 
@@ -41,19 +41,19 @@
     seed: u64,
 }
 
-fn spec(args: &Args, seed: u64) -> RampSpec {
-    RampSpec {
+fn spec(args: &Args, seed: u64) -> WarmUpSpec {
+    WarmUpSpec {
         fronts: args.fronts,
-        stated: args.stated.unwrap_or(args.fronts),
+        configured_fronts: args.stated.unwrap_or(args.fronts),
         rate: args.rate,
         load: args.load,
         surge: args.surge,
         skew: args.skew,
         restarted: args.restarted,
         cold_from: 0.4,
-        ramp: 11_000_000,
-        multiple: 2.0,
-        window: 1_500_000,
+        warm_up_time: 11_000_000,
+        overload_multiple: 2.0,
+        overload_window: 1_500_000,
         starts: EACH,
         seed,
     }
@@ -68,21 +68,21 @@
     let began = std::time::Instant::now();
     let all = Mutex::new(Vec::new());
     let threads = on_all_cores(args.seed, u64::from(args.starts.div_ceil(EACH)), |seed| {
-        let starts = ramp(&spec(args, seed));
+        let starts = simulate_warm_up(&spec(args, seed));
         all.lock().unwrap_or_else(PoisonError::into_inner).extend(starts);
         Ok(())
     })?;
-    let starts: Vec<RampStart> = all.into_inner().unwrap_or_else(PoisonError::into_inner);
+    let starts: Vec<WarmUpStart> = all.into_inner().unwrap_or_else(PoisonError::into_inner);
     let mut excess: Vec<_> = starts.iter().map(|start| start.excess).collect();
     excess.sort_by(f64::total_cmp);
-    let count = |fits: &dyn Fn(&RampStart) -> bool| starts.iter().filter(|start| fits(start)).count();
-    let mean = |of: &dyn Fn(&RampStart) -> f64| starts.iter().map(of).sum::<f64>() / starts.len() as f64;
+    let count = |fits: &dyn Fn(&WarmUpStart) -> bool| starts.iter().filter(|start| fits(start)).count();
+    let mean = |of: &dyn Fn(&WarmUpStart) -> f64| starts.iter().map(of).sum::<f64>() / starts.len() as f64;
     let at = |share: f64| excess[((starts.len() - 1) as f64 * share) as usize];
-    let (over, far) = (count(&|start| start.over), count(&|start| start.far_over));
+    let (over, far) = (count(&|start| start.over_limit), count(&|start| start.over_wide_limit));
     println!(
         "{} starts, {} fronts of {} by the settings, {} set-ups/s warm, load {}, surge {}, skew {}, {} restarted: over N + 2 roots + 2 in {over}, 3 roots + 3 in {far}; largest excess in roots of N: median {:.2}, nine in ten {:.2}, 99 in 100 {:.2}, 999 in 1,000 {:.2}, worst {:.2}; {:.3} of the budget used, {:.3} of what was asked for served there; {:.0} s on {threads} threads",
         starts.len(), args.fronts, args.stated.unwrap_or(args.fronts), args.rate, args.load, args.surge, args.skew,
-        args.restarted, at(0.5), at(0.9), at(0.99), at(0.999), at(1.0), mean(&|s| s.used), mean(&|s| s.served),
+        args.restarted, at(0.5), at(0.9), at(0.99), at(0.999), at(1.0), mean(&|s| s.utilization), mean(&|s| s.served_share),
         began.elapsed().as_secs_f64()
     );
     Ok(if over == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
--- a/crates/cli/src/trunks.rs
+++ b/crates/cli/src/trunks.rs
@@ -5,7 +5,7 @@
 
 use baydrift::interface::Micros;
 use baydrift_day::{rounds, RoundsSpec};
-use baydrift_emulator::{TwoEnds, TwoEndsSpec};
+use baydrift_emulator::{TrunkPair, TrunkPairSpec};
 use baydrift_trunk::rules::Selection;
 use baydrift_trunk::AuditSettings;
 use indicatif::{ProgressBar, ProgressStyle};
@@ -61,9 +61,9 @@
     (seconds.clamp(0.0, 1e9) * S) as Micros
 }
 
-fn spec(args: &Args) -> TwoEndsSpec {
+fn spec(args: &Args) -> TrunkPairSpec {
     let delay = micros(args.delay_ms / 1e3);
-    TwoEndsSpec {
+    TrunkPairSpec {
         groups: args.groups,
         circuits: args.circuits,
         selection: if args.sequential { Selection::Sequential } else { Selection::Opposite },
@@ -75,7 +75,7 @@
         jitter: delay * 2,
         audit: AuditSettings { query_interval: micros(args.audit_every), ..AuditSettings::default() },
         seed: args.seed,
-        ..TwoEndsSpec::default()
+        ..TrunkPairSpec::default()
     }
 }
 
@@ -84,7 +84,8 @@
     if let (Some(count), true) = (args.rounds, args.sockets) {
         return on_sockets(args, count).await;
     }
-    let two = TwoEnds::new(spec).map_err(|(group, error)| miette::miette!("trunk group {group}: {error}"))?;
+    let two =
+        TrunkPair::new(spec).map_err(|(group, error)| miette::miette!("trunk group {group}: {error}"))?;
     let steps = args.rounds.unwrap_or(args.seconds.ceil() as u64);
     let bar = ProgressBar::new(steps);
     if let Ok(style) = ProgressStyle::with_template("{elapsed} [{bar:30}] {pos}/{len}, {eta} left") {
@@ -147,7 +148,7 @@
 }
 
 /// Rounds in which both ends seize at the same moment; each ends before the next begins, or after a minute.
-fn play_rounds(mut two: TwoEnds, bar: &ProgressBar) -> (TwoEnds, usize) {
+fn play_rounds(mut two: TrunkPair, bar: &ProgressBar) -> (TrunkPair, usize) {
     let mut most = 0;
     for _ in 0..bar.length().unwrap_or(0) {
         two.offer_both();
@@ -161,22 +162,22 @@
 }
 
 /// Callers at both ends; the most circuits that were stuck at the end of any minute.
-fn play(mut two: TwoEnds, bar: &ProgressBar) -> (TwoEnds, usize) {
-    two.begin();
+fn play(mut two: TrunkPair, bar: &ProgressBar) -> (TrunkPair, usize) {
+    two.start_callers();
     let mut most = 0;
     for second in 1..=bar.length().unwrap_or(0) {
         two.run_until(micros(second as f64));
         if second % 60 == 0 {
-            most = most.max(two.stuck_for(micros(10.0)));
+            most = most.max(two.stuck_circuits(micros(10.0)));
         }
         bar.inc(1);
     }
-    two.close();
+    two.stop_callers();
     (two, most)
 }
 
-fn show(args: &Args, mut two: TwoEnds, most: usize) -> ExitCode {
-    let stuck = two.stuck_for(micros(10.0));
+fn show(args: &Args, mut two: TrunkPair, most: usize) -> ExitCode {
+    let stuck = two.stuck_circuits(micros(10.0));
     let closed = two.now();
     // Calls that stand may end, and what is stuck be found.
     let free = two.run_until_idle(closed + micros(1_800.0));
@@ -187,7 +188,7 @@
     for end in 0..2 {
         println!(
             "  end {end}: {} calls, {} answered, {} gave up, otherwise ended {:?}",
-            tally.offered[end], tally.answered[end], tally.gave_up[end], tally.ended[end]
+            tally.offered[end], tally.answered[end], tally.caller_timeouts[end], tally.ended[end]
         );
     }
     let (seized, glare) = (sum(|c| c.seized), sum(|c| c.glare_won) + sum(|c| c.glare_lost));
@@ -205,7 +206,7 @@
         sum(|c| c.queries_lost),
         tally.stuck,
         sum(|c| c.resets),
-        tally.cut
+        tally.dropped
     );
     println!("  stuck for 10 s or more: {stuck} when calls ended, {most} at most");
     match free {
--- a/crates/day/src/cast.rs
+++ b/crates/day/src/cast.rs
@@ -172,14 +172,14 @@
     let of = |number: usize| FarEndSpec {
         number: number as u16,
         host: host_of(number),
-        point: far_point(number),
+        point_code: far_point(number),
         fronts: (0..day.fronts).map(|ordinal| (front_point(ordinal), ordinal)).collect(),
-        first: FIRST_CIRCUIT,
+        first_cic: FIRST_CIRCUIT,
         circuits: s.circuits,
         processor: server_spec(day, number).processor,
         calls_per_second: s.incoming * share,
-        hold: class.map_or(0, |c| c.hold),
-        patience: class.map_or(0, |c| c.gives_up),
+        mean_hold: class.map_or(0, |c| c.hold),
+        caller_timeout: class.map_or(0, |c| c.gives_up),
         flow: (0, 0),
     };
     (sessions(day)..s.rates.len()).map(of).collect()
--- a/crates/emulator/src/budgets.rs
+++ b/crates/emulator/src/budgets.rs
@@ -1,5 +1,6 @@
-//! A fleet that shares one budget, in virtual time: hundreds of fronts, words lost, doubled and late, fronts that stand
-//! still, start anew, are cut off or have clocks that jump. The sum is counted by whoever knows all.
+//! Simulation, in virtual time, of a fleet that shares one budget: hundreds of fronts whose messages are
+//! lost, duplicated and delayed, and fronts that pause, restart, are isolated or whose clocks jump. The
+//! simulation itself counts the units that the whole fleet spends.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -12,117 +13,121 @@
 use crate::queue::Queue;
 use crate::way::{Way, WaySpec};
 
-/// How the budget is shared.
+/// The scheme by which the fronts share the budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BudgetSharing {
-    /// Each front its part by the settings.
+    /// Each front has the share that its settings give it.
     Fixed,
-    /// Each front a part by how many it believes alive: whoever it has heard of within a second.
-    Believed,
-    /// Units, lent from front to front.
+    /// Each front divides the budget by the number of live fronts, which are those heard from within a
+    /// second.
+    LiveCount,
+    /// The fronts lend units to each other.
     Escrow,
-    /// One that knows all, at once.
-    KnowsAll,
+    /// A single counter that every front sees without delay; the upper limit for the other schemes.
+    Oracle,
 }
 
-/// What happens to a front.
+/// A fault of a front.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum BudgetTrouble {
-    /// It ends, and another process starts after so long, if at all.
-    Dies(Option<Micros>),
-    /// It stands still for so long.
-    Stops(Micros),
-    /// Its clock goes on from another time: so much further, or back.
-    Jumps(i64),
-    /// Nothing that is said to it arrives for so long.
-    Deaf(Micros),
-    /// Nothing that it says arrives for so long.
-    Mute(Micros),
+pub enum BudgetFault {
+    /// The process exits; a new one starts after this delay, if given.
+    Crash(Option<Micros>),
+    /// The process is suspended for this long.
+    Pause(Micros),
+    /// The clock jumps by this many microseconds; backwards if negative.
+    ClockJump(i64),
+    /// All messages to the front are lost for this long.
+    InboundLoss(Micros),
+    /// All messages from the front are lost for this long.
+    OutboundLoss(Micros),
 }
 
-/// A fleet and its budget.
+/// Parameters of a simulated fleet and its budget.
 #[derive(Debug, Clone)]
 pub struct BudgetSpec {
-    /// Fronts by the settings.
+    /// Number of configured fronts.
     pub fronts: u32,
-    /// Units of the budget.
+    /// Units of the budget per window.
     pub units: u32,
-    /// What all agree on.
-    pub terms: EscrowConfig,
-    /// How a front seeks units.
-    pub seeking: BorrowerConfig,
-    /// Ways between fronts.
+    /// Escrow parameters, the same on all fronts.
+    pub config: EscrowConfig,
+    /// How a front borrows units.
+    pub borrower: BorrowerConfig,
+    /// Delay and loss on the links between fronts.
     pub way: WaySpec,
-    /// How it is shared.
+    /// Sharing scheme.
     pub sharing: BudgetSharing,
-    /// Units wanted a second, by front.
-    pub wanted: Vec<f64>,
-    /// For so long.
-    pub span: Micros,
-    /// The budget begins then: a server's cold start, which each front hears of up to so much later.
-    pub heard_within: Micros,
-    /// What happens, to which front, when.
-    pub troubles: Vec<(Micros, u32, BudgetTrouble)>,
-    /// Clocks run apart by up to so many millionths.
+    /// Demand of each front, in units per second.
+    pub demand: Vec<f64>,
+    /// Simulated time.
+    pub duration: Micros,
+    /// The budget starts at time 0, with a cold start of its server; each front learns of it after a random
+    /// delay of at most this.
+    pub start_spread: Micros,
+    /// Faults, each with its time and front.
+    pub faults: Vec<(Micros, u32, BudgetFault)>,
+    /// Maximum drift of each front's clock, in parts per million.
     pub drift_ppm: u32,
-    /// Draws all chance.
+    /// Seed of all random draws.
     pub seed: u64,
 }
 
-/// What came of it.
+/// Result of a simulation.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct BudgetTally {
-    /// Units spent.
+    /// Units spent by all fronts.
     pub spent: u64,
-    /// Units wanted.
+    /// Units that fronts asked for.
     pub wanted: u64,
-    /// The most units spent in any window, by whoever knows all.
-    pub most: usize,
-    /// Words said.
-    pub words: u64,
-    /// Their bytes.
+    /// Maximum number of units that the whole fleet spent in any window.
+    pub max_in_window: usize,
+    /// Messages sent.
+    pub messages: u64,
+    /// Total size of the messages.
     pub bytes: u64,
-    /// Of what could be spent, and was wanted, in each whole window: the share that was. One that knows all has 1.
-    pub used: f64,
+    /// Units spent as a share of those that were both available and asked for, over whole windows. The oracle
+    /// reaches 1.
+    pub utilization: f64,
 }
 
-/// A front wakes at least so often.
-const BEAT: Micros = 50_000;
-/// A front that was not heard of for so long is not believed alive, where shares go by belief.
-const SILENT: Micros = 1_000_000;
-/// Where shares go by belief, each front says that it lives so often, to one drawn front.
-const SAYS: Micros = 100_000;
+/// Interval between timer events of a front.
+const TICK_INTERVAL: Micros = 50_000;
+/// With [`BudgetSharing::LiveCount`], a front not heard from for this long counts as down.
+const LIVENESS_TIMEOUT: Micros = 1_000_000;
+/// With [`BudgetSharing::LiveCount`], interval between a front's heartbeats, each to a tenth of the fleet.
+const HEARTBEAT_INTERVAL: Micros = 100_000;
 
 enum Event {
-    Hears(u32),
-    Wants(u32, u32),
-    Wakes(u32, u32),
-    Arrives(u32, u32, Said),
-    Trouble(u32, BudgetTrouble),
-    Starts(u32),
+    BudgetStarted(u32),
+    Demand(u32, u32),
+    Tick(u32, u32),
+    Arrival(u32, u32, Datagram),
+    Fault(u32, BudgetFault),
+    FrontStart(u32),
 }
 
 #[derive(Clone)]
-enum Said {
-    Word(Vec<u8>),
-    Lives,
+enum Datagram {
+    Message(Vec<u8>),
+    Heartbeat,
 }
 
 struct Front {
     process: u32,
     down: bool,
-    stopped_until: Micros,
-    deaf_until: Micros,
-    mute_until: Micros,
-    /// Its clock: so many millionths fast, and so much ahead.
-    fast: i64,
-    ahead: i64,
-    /// It ran when the budget began.
-    since_before: bool,
-    hand: Option<(Escrow, Borrower)>,
-    /// When its own units are free, where shares are fixed or believed.
-    part: VecDeque<Micros>,
-    heard: Vec<Micros>,
+    paused_until: Micros,
+    inbound_lost_until: Micros,
+    outbound_lost_until: Micros,
+    /// Clock drift, in parts per million.
+    drift_ppm: i64,
+    /// Sum of the clock's jumps, in microseconds.
+    clock_offset: i64,
+    /// Whether the process was already running when the budget started.
+    predates_budget: bool,
+    escrow: Option<(Escrow, Borrower)>,
+    /// When it spent units within the window, with fixed shares or shares by live count.
+    spent: VecDeque<Micros>,
+    last_heartbeat: Vec<Micros>,
 }
 
 struct Fleet<'a> {
@@ -132,33 +137,33 @@
     rng: Pcg64Mcg,
     ways: Vec<Way>,
     fronts: Vec<Front>,
-    /// When units were spent, within the window.
-    window: VecDeque<Micros>,
-    /// Wanted and spent, by whole windows.
-    seconds: Vec<(u64, u64)>,
+    /// When any front spent a unit, within the window.
+    spent: VecDeque<Micros>,
+    /// Units asked for and spent, per whole window.
+    windows: Vec<(u64, u64)>,
     tally: BudgetTally,
 }
 
 const BUDGET: BudgetId = BudgetId(1);
-/// A front's clock begins here, so that it can jump back.
-const CLOCK_FROM: i64 = 3_600_000_000;
+/// Initial value of a front's clock, so that it can jump back without becoming negative.
+const CLOCK_START_US: i64 = 3_600_000_000;
 
-/// Plays it.
-pub fn share_budget(spec: &BudgetSpec) -> BudgetTally {
+/// Runs the simulation.
+pub fn simulate_budget(spec: &BudgetSpec) -> BudgetTally {
     let mut rng = Pcg64Mcg::seed_from_u64(spec.seed);
     let drift = i64::from(spec.drift_ppm);
     let front = |rng: &mut Pcg64Mcg| Front {
         process: 0,
         down: false,
-        stopped_until: 0,
-        deaf_until: 0,
-        mute_until: 0,
-        fast: rng.random_range(-drift..=drift),
-        ahead: 0,
-        since_before: true,
-        hand: None,
-        part: VecDeque::new(),
-        heard: vec![0; spec.fronts as usize],
+        paused_until: 0,
+        inbound_lost_until: 0,
+        outbound_lost_until: 0,
+        drift_ppm: rng.random_range(-drift..=drift),
+        clock_offset: 0,
+        predates_budget: true,
+        escrow: None,
+        spent: VecDeque::new(),
+        last_heartbeat: vec![0; spec.fronts as usize],
     };
     let fronts: Vec<_> = (0..spec.fronts).map(|_| front(&mut rng)).collect();
     let ways = (0..spec.fronts).map(|n| Way::new(spec.way, spec.seed ^ u64::from(n) << 20)).collect();
@@ -169,290 +174,303 @@
         rng,
         ways,
         fronts,
-        window: VecDeque::new(),
-        seconds: Vec::new(),
+        spent: VecDeque::new(),
+        windows: Vec::new(),
         tally: BudgetTally::default(),
     };
     for front in 0..spec.fronts {
-        let heard = fleet.rng.random_range(0..=spec.heard_within);
-        fleet.queue.at(heard, Event::Hears(front));
-        fleet.wants(front, 0);
+        let learns_at = fleet.rng.random_range(0..=spec.start_spread);
+        fleet.queue.at(learns_at, Event::BudgetStarted(front));
+        fleet.schedule_demand(front, 0);
     }
-    for (at, front, trouble) in &spec.troubles {
-        fleet.queue.at(*at, Event::Trouble(*front, *trouble));
+    for (at, front, fault) in &spec.faults {
+        fleet.queue.at(*at, Event::Fault(*front, *fault));
     }
-    while let Some(event) = fleet.queue.next(spec.span) {
-        fleet.take(event);
+    while let Some(event) = fleet.queue.next(spec.duration) {
+        fleet.handle(event);
     }
-    fleet.tally.used = fleet.used();
+    fleet.tally.utilization = fleet.utilization();
     fleet.tally
 }
 
 impl Fleet<'_> {
     fn clock(&self, front: u32) -> Micros {
         let (now, front) = (self.queue.now() as i64, &self.fronts[front as usize]);
-        let clock = CLOCK_FROM + now + now / 1_000 * front.fast / 1_000 + front.ahead;
+        let clock = CLOCK_START_US + now + now / 1_000 * front.drift_ppm / 1_000 + front.clock_offset;
         clock.max(0) as Micros
     }
 
-    /// The next call of a front's, drawn.
-    fn wants(&mut self, front: u32, process: u32) {
-        let rate = self.spec.wanted.get(front as usize).copied().unwrap_or(0.0);
+    /// Draws the time of a front's next demand for a unit.
+    fn schedule_demand(&mut self, front: u32, process: u32) {
+        let rate = self.spec.demand.get(front as usize).copied().unwrap_or(0.0);
         let Ok(gap) = Exp::new(rate / 1e6) else { return };
         if rate > 0.0 {
             let at = self.queue.now() + gap.sample(&mut self.rng) as Micros;
-            self.queue.at(at, Event::Wants(front, process));
+            self.queue.at(at, Event::Demand(front, process));
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let now = self.queue.now();
         let (front, process) = match &event {
-            Event::Hears(front) | Event::Arrives(_, front, _) => (*front, None),
-            Event::Wants(front, process) | Event::Wakes(front, process) => (*front, Some(*process)),
-            Event::Trouble(front, trouble) => return self.trouble(*front, *trouble),
-            Event::Starts(front) => return self.starts(*front),
+            Event::BudgetStarted(front) | Event::Arrival(_, front, _) => (*front, None),
+            Event::Demand(front, process) | Event::Tick(front, process) => (*front, Some(*process)),
+            Event::Fault(front, fault) => return self.apply_fault(*front, *fault),
+            Event::FrontStart(front) => return self.start_front(*front),
         };
-        let at = &self.fronts[front as usize];
-        if process.is_some_and(|process| process != at.process) {
+        let state = &self.fronts[front as usize];
+        if process.is_some_and(|process| process != state.process) {
             return;
         }
-        if at.down {
-            // The wants go on for the process to come.
+        if state.down {
+            // Demand resumes with the next process.
             return;
         }
-        if now < at.stopped_until {
-            // What waits is found on waking, before anything else is done or after it.
-            let later = at.stopped_until + self.rng.random_range(0..500);
+        if now < state.paused_until {
+            // Handled after the pause, in random order with other deferred events.
+            let later = state.paused_until + self.rng.random_range(0..500);
             return self.queue.at(later, event);
         }
         match event {
-            Event::Hears(front) => self.hears(front),
-            Event::Wants(front, process) => {
-                self.wanted(front);
-                self.wants(front, process);
+            Event::BudgetStarted(front) => self.budget_started(front),
+            Event::Demand(front, process) => {
+                self.request_unit(front);
+                self.schedule_demand(front, process);
             }
-            Event::Wakes(front, process) => {
-                self.wakes(front);
-                self.queue.at(now + BEAT, Event::Wakes(front, process));
+            Event::Tick(front, process) => {
+                self.tick(front);
+                self.queue.at(now + TICK_INTERVAL, Event::Tick(front, process));
             }
-            Event::Arrives(from, to, said) => self.arrives(from, to, &said),
-            Event::Trouble(..) | Event::Starts(_) => {}
+            Event::Arrival(from, to, datagram) => self.receive(from, to, &datagram),
+            Event::Fault(..) | Event::FrontStart(_) => {}
         }
     }
 
-    /// A front hears that the budget began.
-    fn hears(&mut self, front: u32) {
+    /// A front learns that the budget has started.
+    fn budget_started(&mut self, front: u32) {
         let clock = self.clock(front);
         let (spec, share, incarnation) = (self.spec, self.share, self.rng.random());
-        let at = &mut self.fronts[front as usize];
-        if at.hand.is_some() {
+        let state = &mut self.fronts[front as usize];
+        if state.escrow.is_some() {
             return;
         }
-        let hand = Escrow::new(spec.terms, BUDGET, share, front, incarnation, clock, at.since_before);
-        at.hand = Some((hand, Borrower::new(spec.seeking, share, front)));
-        let process = at.process;
-        let beat = self.rng.random_range(0..BEAT);
-        self.queue.at(self.queue.now() + beat, Event::Wakes(front, process));
+        let escrow =
+            Escrow::new(spec.config, BUDGET, share, front, incarnation, clock, state.predates_budget);
+        state.escrow = Some((escrow, Borrower::new(spec.borrower, share, front)));
+        let process = state.process;
+        let delay = self.rng.random_range(0..TICK_INTERVAL);
+        self.queue.at(self.queue.now() + delay, Event::Tick(front, process));
     }
 
-    fn starts(&mut self, front: u32) {
-        let at = &mut self.fronts[front as usize];
-        at.down = false;
-        at.since_before = false;
-        at.heard.fill(0);
-        let process = at.process;
-        let heard = self.queue.now() + self.rng.random_range(0..=self.spec.heard_within);
-        self.queue.at(heard, Event::Hears(front));
-        self.wants(front, process);
+    fn start_front(&mut self, front: u32) {
+        let state = &mut self.fronts[front as usize];
+        state.down = false;
+        state.predates_budget = false;
+        state.last_heartbeat.fill(0);
+        let process = state.process;
+        let learns_at = self.queue.now() + self.rng.random_range(0..=self.spec.start_spread);
+        self.queue.at(learns_at, Event::BudgetStarted(front));
+        self.schedule_demand(front, process);
     }
 
-    fn trouble(&mut self, front: u32, trouble: BudgetTrouble) {
+    fn apply_fault(&mut self, front: u32, fault: BudgetFault) {
         let now = self.queue.now();
-        let Some(at) = self.fronts.get_mut(front as usize) else { return };
-        match trouble {
-            BudgetTrouble::Dies(back) => {
-                if at.down {
+        let Some(state) = self.fronts.get_mut(front as usize) else { return };
+        match fault {
+            BudgetFault::Crash(restart_after) => {
+                if state.down {
                     return;
                 }
-                at.process += 1;
-                (at.down, at.hand, at.stopped_until) = (true, None, 0);
-                at.part.clear();
-                if let Some(back) = back {
-                    self.queue.at(now + back, Event::Starts(front));
+                state.process += 1;
+                (state.down, state.escrow, state.paused_until) = (true, None, 0);
+                state.spent.clear();
+                if let Some(delay) = restart_after {
+                    self.queue.at(now + delay, Event::FrontStart(front));
                 }
             }
-            BudgetTrouble::Stops(span) => at.stopped_until = at.stopped_until.max(now + span),
-            BudgetTrouble::Jumps(by) => at.ahead += by,
-            BudgetTrouble::Deaf(span) => at.deaf_until = at.deaf_until.max(now + span),
-            BudgetTrouble::Mute(span) => at.mute_until = at.mute_until.max(now + span),
+            BudgetFault::Pause(span) => state.paused_until = state.paused_until.max(now + span),
+            BudgetFault::ClockJump(by) => state.clock_offset += by,
+            BudgetFault::InboundLoss(span) => {
+                state.inbound_lost_until = state.inbound_lost_until.max(now + span)
+            }
+            BudgetFault::OutboundLoss(span) => {
+                state.outbound_lost_until = state.outbound_lost_until.max(now + span)
+            }
         }
     }
 
-    /// A front wants to spend one.
-    fn wanted(&mut self, front: u32) {
+    /// A front asks for one unit, and spends it if the sharing scheme grants it.
+    fn request_unit(&mut self, front: u32) {
         let (now, clock) = (self.queue.now(), self.clock(front));
         self.tally.wanted += 1;
-        let second = (now / self.spec.terms.window) as usize;
-        if self.seconds.len() <= second {
-            self.seconds.resize(second + 1, (0, 0));
+        let window_index = (now / self.spec.config.window) as usize;
+        if self.windows.len() <= window_index {
+            self.windows.resize(window_index + 1, (0, 0));
         }
-        self.seconds[second].0 += 1;
-        let window = self.spec.terms.window;
-        let believed = self.believed(front);
-        let at = &mut self.fronts[front as usize];
-        let Some((hand, seeker)) = at.hand.as_mut() else { return };
+        self.windows[window_index].0 += 1;
+        let window = self.spec.config.window;
+        let live_fronts = self.live_fronts(front);
+        let state = &mut self.fronts[front as usize];
+        let Some((escrow, borrower)) = state.escrow.as_mut() else { return };
         let spent = match self.spec.sharing {
             BudgetSharing::Escrow => {
-                let spent = hand.spend(clock);
-                seeker.record_demand(clock, spent, hand);
+                let spent = escrow.spend(clock);
+                borrower.record_demand(clock, spent, escrow);
                 spent
             }
-            BudgetSharing::KnowsAll => {
-                forget(&mut self.window, now, window);
-                self.window.len() < self.spec.units as usize
+            BudgetSharing::Oracle => {
+                expire(&mut self.spent, now, window);
+                self.spent.len() < self.spec.units as usize
             }
-            BudgetSharing::Fixed | BudgetSharing::Believed => {
+            BudgetSharing::Fixed | BudgetSharing::LiveCount => {
                 let share = if self.spec.sharing == BudgetSharing::Fixed {
                     self.share.of(front) as usize
                 } else {
-                    (self.spec.units / believed.max(1)) as usize
+                    (self.spec.units / live_fronts.max(1)) as usize
                 };
-                forget(&mut at.part, now, window);
-                let room = at.part.len() < share;
-                if room {
-                    at.part.push_back(now);
+                expire(&mut state.spent, now, window);
+                let available = state.spent.len() < share;
+                if available {
+                    state.spent.push_back(now);
                 }
-                room
+                available
             }
         };
         if spent {
-            self.count(now, second);
+            self.count_spent(now, window_index);
         }
     }
 
-    /// By one that knows all: how many were spent in the window that ends now.
-    fn count(&mut self, now: Micros, second: usize) {
+    /// Counts a spent unit, and the units that the whole fleet spent in the window that ends now.
+    fn count_spent(&mut self, now: Micros, window_index: usize) {
         self.tally.spent += 1;
-        self.seconds[second].1 += 1;
-        self.window.push_back(now);
-        forget(&mut self.window, now, self.spec.terms.window);
-        self.tally.most = self.tally.most.max(self.window.len());
+        self.windows[window_index].1 += 1;
+        self.spent.push_back(now);
+        expire(&mut self.spent, now, self.spec.config.window);
+        self.tally.max_in_window = self.tally.max_in_window.max(self.spent.len());
     }
 
-    fn believed(&self, front: u32) -> u32 {
+    /// Number of live fronts as this front sees it, itself included.
+    fn live_fronts(&self, front: u32) -> u32 {
         let now = self.queue.now();
-        let at = &self.fronts[front as usize];
-        let others = at.heard.iter().filter(|heard| **heard > 0 && now - **heard < SILENT).count() as u32;
-        // Not a second old yet: it goes by the settings.
-        if now < SILENT {
+        let state = &self.fronts[front as usize];
+        let others =
+            state.last_heartbeat.iter().filter(|last| **last > 0 && now - **last < LIVENESS_TIMEOUT).count()
+                as u32;
+        // Heartbeats are incomplete during the first second, so the configured number applies.
+        if now < LIVENESS_TIMEOUT {
             self.spec.fronts
         } else {
             others + 1
         }
     }
 
-    fn wakes(&mut self, front: u32) {
+    fn tick(&mut self, front: u32) {
         let (now, clock) = (self.queue.now(), self.clock(front));
         match self.spec.sharing {
             BudgetSharing::Escrow => {
-                let at = &mut self.fronts[front as usize];
-                let Some((hand, seeker)) = at.hand.as_mut() else { return };
-                for (to, word) in seeker.poll(clock, hand, |_| true) {
-                    self.say(front, to, Said::Word(word.encode()));
+                let state = &mut self.fronts[front as usize];
+                let Some((escrow, borrower)) = state.escrow.as_mut() else { return };
+                for (to, message) in borrower.poll(clock, escrow, |_| true) {
+                    self.send(front, to, Datagram::Message(message.encode()));
                 }
             }
-            BudgetSharing::Believed if now / SAYS != (now + BEAT) / SAYS => {
-                // To a tenth of the fleet at a time, so that each hears each within a second.
+            BudgetSharing::LiveCount
+                if now / HEARTBEAT_INTERVAL != (now + TICK_INTERVAL) / HEARTBEAT_INTERVAL =>
+            {
+                // To a tenth of the fleet at a time, so that each front reaches every other one within a
+                // second.
                 let fronts = self.spec.fronts;
-                let first = ((now / SAYS) as u32 + front) % 10;
+                let first = ((now / HEARTBEAT_INTERVAL) as u32 + front) % 10;
                 for to in (0..fronts).filter(|to| to % 10 == first && *to != front) {
-                    self.say(front, to, Said::Lives);
+                    self.send(front, to, Datagram::Heartbeat);
                 }
             }
             _ => {}
         }
     }
 
-    fn say(&mut self, from: u32, to: u32, said: Said) {
+    fn send(&mut self, from: u32, to: u32, datagram: Datagram) {
         let now = self.queue.now();
-        let size = match &said {
-            Said::Word(bytes) => bytes.len(),
-            Said::Lives => 8,
+        let size = match &datagram {
+            Datagram::Message(bytes) => bytes.len(),
+            Datagram::Heartbeat => 8,
         };
-        self.tally.words += 1;
+        self.tally.messages += 1;
         self.tally.bytes += size as u64;
-        if now < self.fronts[from as usize].mute_until {
+        if now < self.fronts[from as usize].outbound_lost_until {
             return;
         }
         for at in self.ways[from as usize].datagram(now, size) {
-            self.queue.at(at, Event::Arrives(from, to, said.clone()));
+            self.queue.at(at, Event::Arrival(from, to, datagram.clone()));
         }
     }
 
-    fn arrives(&mut self, from: u32, to: u32, said: &Said) {
+    fn receive(&mut self, from: u32, to: u32, datagram: &Datagram) {
         let (now, clock) = (self.queue.now(), self.clock(to));
-        let at = &mut self.fronts[to as usize];
-        if now < at.deaf_until {
+        let state = &mut self.fronts[to as usize];
+        if now < state.inbound_lost_until {
             return;
         }
-        match said {
-            Said::Lives => at.heard[from as usize] = now,
-            Said::Word(bytes) => {
-                let (Ok(word), Some((hand, seeker))) = (BudgetMessage::decode(bytes), at.hand.as_mut())
+        match datagram {
+            Datagram::Heartbeat => state.last_heartbeat[from as usize] = now,
+            Datagram::Message(bytes) => {
+                let (Ok(message), Some((escrow, borrower))) =
+                    (BudgetMessage::decode(bytes), state.escrow.as_mut())
                 else {
                     return;
                 };
-                let reserve = seeker.reserve(clock, hand);
-                if let Some(answer) = hand.handle(clock, from, &word, reserve) {
-                    self.say(to, from, Said::Word(answer.encode()));
+                let reserve = borrower.reserve(clock, escrow);
+                if let Some(answer) = escrow.handle(clock, from, &message, reserve) {
+                    self.send(to, from, Datagram::Message(answer.encode()));
                 }
             }
         }
     }
 
-    fn used(&self) -> f64 {
-        let could = |wanted: u64| wanted.min(u64::from(self.spec.units));
-        let could: u64 = self.seconds.iter().map(|(wanted, _)| could(*wanted)).sum();
-        let spent: u64 = self.seconds.iter().map(|(_, spent)| (*spent).min(u64::from(self.spec.units))).sum();
-        spent as f64 / could.max(1) as f64
+    fn utilization(&self) -> f64 {
+        let spendable = |wanted: u64| wanted.min(u64::from(self.spec.units));
+        let spendable: u64 = self.windows.iter().map(|(wanted, _)| spendable(*wanted)).sum();
+        let spent: u64 = self.windows.iter().map(|(_, spent)| (*spent).min(u64::from(self.spec.units))).sum();
+        spent as f64 / spendable.max(1) as f64
     }
 }
 
-/// What was spent before the window that ends now is forgotten.
-fn forget(spent: &mut VecDeque<Micros>, now: Micros, window: Micros) {
+/// Removes what was spent before the window that ends now.
+fn expire(spent: &mut VecDeque<Micros>, now: Micros, window: Micros) {
     while spent.front().is_some_and(|at| at + window <= now) {
         spent.pop_front();
     }
 }
 
-/// Troubles drawn for a fleet: deaths, standstills around a lease's length, deaf and mute fronts, clocks that jump.
-pub fn drawn_troubles(
+/// Random faults for a fleet: crashes, pauses of about a lease's length, inbound or outbound loss, clock
+/// jumps.
+pub fn random_budget_faults(
     fronts: u32,
-    span: Micros,
+    duration: Micros,
     lease: Micros,
     seed: u64,
-) -> Vec<(Micros, u32, BudgetTrouble)> {
+) -> Vec<(Micros, u32, BudgetFault)> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0xb0d9e7);
-    let mut troubles = Vec::new();
+    let mut faults = Vec::new();
     for _ in 0..rng.random_range(2..=8) {
-        let at = rng.random_range(0..span.max(1));
+        let at = rng.random_range(0..duration.max(1));
         // One front, a third of them, or all but a few.
-        let part = [1.0 / f64::from(fronts), 0.33, 0.9][rng.random_range(0..3)];
-        let around = rng.random_range(lease / 2..lease * 3 / 2);
+        let share = [1.0 / f64::from(fronts), 0.33, 0.9][rng.random_range(0..3)];
+        let outage = rng.random_range(lease / 2..lease * 3 / 2);
         let kind = rng.random_range(0..6);
-        let struck: BTreeSet<u32> = (0..fronts).filter(|_| rng.random_bool(part)).collect();
-        for front in struck {
-            let trouble = match kind {
-                0 => BudgetTrouble::Dies(Some(rng.random_range(0..2_000_000))),
-                1 => BudgetTrouble::Stops(around),
-                2 => BudgetTrouble::Deaf(around * 3),
-                3 => BudgetTrouble::Mute(around * 3),
-                4 => BudgetTrouble::Jumps(5_000_000),
-                _ => BudgetTrouble::Jumps(-5_000_000),
+        let affected: BTreeSet<u32> = (0..fronts).filter(|_| rng.random_bool(share)).collect();
+        for front in affected {
+            let fault = match kind {
+                0 => BudgetFault::Crash(Some(rng.random_range(0..2_000_000))),
+                1 => BudgetFault::Pause(outage),
+                2 => BudgetFault::InboundLoss(outage * 3),
+                3 => BudgetFault::OutboundLoss(outage * 3),
+                4 => BudgetFault::ClockJump(5_000_000),
+                _ => BudgetFault::ClockJump(-5_000_000),
             };
-            troubles.push((at + rng.random_range(0..100_000), front, trouble));
+            faults.push((at + rng.random_range(0..100_000), front, fault));
         }
     }
-    troubles
+    faults
 }
--- a/crates/emulator/src/far_end.rs
+++ b/crates/emulator/src/far_end.rs
@@ -1,8 +1,8 @@
-//! The exchange at the other end of trunk groups: its circuits towards each front, the processor behind them, calls
-//! of its own, and troubles on command. Free of I/O and time.
+//! Model of the exchange at the far end of trunk groups: its circuits towards each front, its processor, the
+//! calls that it originates, and faults on command. Does no I/O and reads no clock.
 //!
-//! It speaks ISUP messages and knows nothing of `baydrift-trunk`: who gives way in a dual seizure is written here a
-//! second time, from Q.764, 2.9.1.4, so that a mistake in the product's rule shows.
+//! It handles ISUP messages without `baydrift-trunk`: the rule for dual seizure is implemented here a second
+//! time, from Q.764, 2.9.1.4, so that tests reveal an error in the product's rule.
 
 use std::collections::BTreeMap;
 
@@ -16,120 +16,129 @@
 use crate::processor::{Processor, ProcessorSpec, Taken, Work};
 use crate::server::Command;
 
-/// A REL without its RLC is said again after this (T1's least).
+/// Timer T1, at its minimum: a REL that is not answered by an RLC is repeated after this.
 const T1: Micros = 15_000_000;
-/// Circuits of one range message.
-const RANGE: u16 = 31;
+/// Maximum number of circuits in one range message.
+const MAX_RANGE_CIRCUITS: u16 = 31;
 
-/// What a far end is.
+/// Parameters of a far end.
 #[derive(Debug, Clone)]
 pub struct FarEndSpec {
-    /// Its number in the pool.
+    /// Server number in the pool.
     pub number: u16,
-    /// Its name.
+    /// Host name.
     pub host: String,
-    /// Its point code.
-    pub point: u32,
-    /// Fronts by point code, and their ordinals.
+    /// Point code.
+    pub point_code: u32,
+    /// Ordinals of the fronts, by point code.
     pub fronts: BTreeMap<u32, u32>,
-    /// Circuits towards each front, from this code on.
-    pub first: u16,
-    /// How many.
+    /// First circuit identification code (CIC) towards each front.
+    pub first_cic: u16,
+    /// Number of circuits towards each front.
     pub circuits: u16,
-    /// Its processor.
+    /// The processor that handles set-ups.
     pub processor: ProcessorSpec,
-    /// Calls of its own towards each front, a second.
+    /// Calls per second that it originates towards each front.
     pub calls_per_second: f64,
-    /// How long they stand, in the mean.
-    pub hold: Micros,
-    /// When their callers give up.
-    pub patience: Micros,
-    /// Class and publisher of its calls, for the record.
+    /// Mean holding time of these calls.
+    pub mean_hold: Micros,
+    /// Time after which their callers abandon an unanswered call.
+    pub caller_timeout: Micros,
+    /// Class and publisher of these calls, for the record.
     pub flow: (usize, usize),
 }
 
-/// What it hears.
+/// Input to a far end.
 #[derive(Debug, Clone, PartialEq)]
-pub enum FarInput {
+pub enum FarEndInput {
     /// A front's signalling link is up.
     Up(u32),
-    /// It is gone.
+    /// A front's signalling link is down.
     Down(u32),
-    /// A packet came from a front.
+    /// A packet was received from a front.
     Received(u32, Data),
-    /// A trouble.
+    /// A fault, or its end.
     Command(Command),
-    /// Calls of its own come at so many times the rate; 0 ends them.
+    /// Sets the factor on the rate of originated calls; 0 stops them.
     Offer(f64),
     /// Time has passed.
     Tick,
 }
 
-/// What it wants done.
+/// Output of a far end.
 #[derive(Debug, Clone, PartialEq)]
-pub enum FarOutput {
-    /// Send to a front.
+pub enum FarEndOutput {
+    /// Send a packet to a front.
     Send(u32, Data),
-    /// Something was seen.
+    /// Add an event to the record.
     Record(RecordEvent),
-    /// The process has ended: links close.
+    /// The process has exited; its links close.
     Stopped,
-    /// Another process listens.
+    /// A new process accepts links.
     Started,
 }
 
-/// A circuit towards one front.
+/// State of a circuit towards one front; an idle circuit has none.
 #[derive(Debug, Clone, PartialEq)]
 enum Circuit {
-    /// An own call's IAM is out.
-    Seized(OwnCall),
-    /// An own call that the front has, or that stands until then.
-    Own(OwnCall, Option<Micros>),
-    /// A call of the front's.
-    Theirs { attempt: String, stands: bool },
-    /// REL is out; said again then.
+    /// An outgoing call whose IAM was sent.
+    Seized(OutgoingCall),
+    /// An outgoing call that the front has acknowledged; once answered, with the time at which its caller
+    /// hangs up.
+    Outgoing(OutgoingCall, Option<Micros>),
+    /// A call from the front.
+    Incoming { attempt: String, answered: bool },
+    /// A REL was sent; it is repeated at this time.
     Releasing(Micros),
-    /// Within a GRS: an IAM that crossed it is none.
+    /// A GRS that covers the circuit was sent; an IAM that crosses it is ignored.
     Resetting,
 }
 
-/// A call of its own.
+/// A call that the far end originates.
 #[derive(Debug, Clone, PartialEq)]
-struct OwnCall {
+struct OutgoingCall {
     name: String,
-    gives_up: Micros,
+    caller_timeout_at: Micros,
     answered: bool,
 }
 
-type Place = (u32, u16);
+/// A circuit: the front's ordinal and the CIC.
+type CircuitKey = (u32, u16);
 
-/// See the module's page.
+/// The model; see the module documentation.
 #[derive(Debug)]
 pub struct FarEnd {
     spec: FarEndSpec,
     rng: Pcg64Mcg,
     cpu: Processor,
-    /// By front and code; idle ones are not in it.
-    circuits: BTreeMap<Place, Circuit>,
-    /// Blocked by the front.
-    blocked: BTreeMap<Place, bool>,
+    /// Circuits that are not idle.
+    circuits: BTreeMap<CircuitKey, Circuit>,
+    /// Circuits blocked by the front.
+    blocked: BTreeMap<CircuitKey, bool>,
+    /// Whether this end blocks all its circuits.
     blocking: bool,
-    up: BTreeMap<u32, bool>,
-    asked: BTreeMap<u64, (Place, String)>,
-    next_key: u64,
+    /// Fronts whose signalling links are up.
+    links_up: BTreeMap<u32, bool>,
+    /// Set-ups at the processor, by job number: circuit and attempt.
+    pending_setups: BTreeMap<u64, (CircuitKey, String)>,
+    next_job: u64,
     next_call: u64,
     next_offer: BTreeMap<u32, Micros>,
-    factor: f64,
-    lose: f64,
+    /// Factor on the rate of originated calls.
+    rate_factor: f64,
+    /// Share of answers that are lost.
+    answer_loss: f64,
     hung: bool,
-    ends: Option<(Micros, Option<Micros>)>,
-    down: Option<Micros>,
-    /// Fronts that are to hear that all circuits were forgotten.
-    forgot: BTreeMap<u32, bool>,
+    /// When the process exits, and the delay until the next one starts.
+    exit_at: Option<(Micros, Option<Micros>)>,
+    /// While no process runs, when the next one starts.
+    restart_at: Option<Micros>,
+    /// Fronts to which a reset of all circuits must be sent after a restart.
+    reset_due: BTreeMap<u32, bool>,
 }
 
 impl FarEnd {
-    /// A warm exchange; `seed` draws its own calls.
+    /// Creates a warm exchange; `seed` determines the calls that it originates.
     pub fn new(spec: FarEndSpec, seed: u64) -> Self {
         Self {
             rng: Pcg64Mcg::seed_from_u64(seed),
@@ -137,53 +146,53 @@
             circuits: BTreeMap::new(),
             blocked: BTreeMap::new(),
             blocking: false,
-            up: BTreeMap::new(),
-            asked: BTreeMap::new(),
-            next_key: 0,
+            links_up: BTreeMap::new(),
+            pending_setups: BTreeMap::new(),
+            next_job: 0,
             next_call: 0,
             next_offer: BTreeMap::new(),
-            factor: 0.0,
-            lose: 0.0,
+            rate_factor: 0.0,
+            answer_loss: 0.0,
             hung: false,
-            ends: None,
-            down: None,
-            forgot: BTreeMap::new(),
+            exit_at: None,
+            restart_at: None,
+            reset_due: BTreeMap::new(),
             spec,
         }
     }
 
-    /// Whether a process runs and listens.
+    /// Whether a process is running and accepts links.
     pub fn listens(&self) -> bool {
-        self.down.is_none()
+        self.restart_at.is_none()
     }
 
-    /// Its name.
+    /// Host name.
     pub fn host(&self) -> &str {
         &self.spec.host
     }
 
-    /// Circuits that are not idle.
+    /// Number of circuits that are not idle.
     pub fn busy(&self) -> usize {
         self.circuits.len()
     }
 
-    /// When [`FarInput::Tick`] is wanted at the latest.
+    /// Latest time for the next [`FarEndInput::Tick`].
     pub fn due(&self) -> Micros {
-        if let Some(at) = self.down {
+        if let Some(at) = self.restart_at {
             return at;
         }
         let cpu = self.cpu.next().filter(|_| !self.hung).unwrap_or(Micros::MAX);
-        let ends = self.ends.map_or(Micros::MAX, |(at, _)| at);
+        let exit = self.exit_at.map_or(Micros::MAX, |(at, _)| at);
         let offers = self.next_offer.values().min().copied().unwrap_or(Micros::MAX);
         let circuits = self.circuits.values().map(Circuit::due).min().unwrap_or(Micros::MAX);
-        cpu.min(ends).min(offers).min(circuits)
+        cpu.min(exit).min(offers).min(circuits)
     }
 
-    /// Takes one input, then lets time pass; appends what is to be done.
-    pub fn handle(&mut self, now: Micros, input: FarInput, out: &mut Vec<FarOutput>) {
-        if let Some(at) = self.down {
-            if let FarInput::Offer(factor) = input {
-                self.factor = factor;
+    /// Handles one input, then all events that are due at `now`; appends the outputs to `out`.
+    pub fn handle(&mut self, now: Micros, input: FarEndInput, out: &mut Vec<FarEndOutput>) {
+        if let Some(at) = self.restart_at {
+            if let FarEndInput::Offer(factor) = input {
+                self.rate_factor = factor;
             }
             if now < at {
                 return;
@@ -191,76 +200,73 @@
             self.start(now, out);
         }
         match input {
-            FarInput::Up(front) => self.link_up(front, out),
-            FarInput::Down(front) => {
-                if self.up.remove(&front).is_some() {
-                    out.push(FarOutput::Record(RecordEvent::Disconnected {
+            FarEndInput::Up(front) => self.link_up(front, out),
+            FarEndInput::Down(front) => {
+                if self.links_up.remove(&front).is_some() {
+                    out.push(FarEndOutput::Record(RecordEvent::Disconnected {
                         server: self.spec.number,
                         front,
                     }));
-                    self.parted(front, out);
+                    self.record_disconnect(front, out);
                 }
             }
-            FarInput::Received(front, data) => {
+            FarEndInput::Received(front, data) => {
                 if let Ok(message) = Message::read(&data.message) {
-                    self.received(now, front, &message, out);
+                    self.handle_message(now, front, &message, out);
                 }
             }
-            FarInput::Command(command) => self.command(now, command, out),
-            FarInput::Offer(factor) => self.offer(now, factor),
-            FarInput::Tick => {}
+            FarEndInput::Command(command) => self.apply_command(now, command, out),
+            FarEndInput::Offer(factor) => self.offer(now, factor),
+            FarEndInput::Tick => {}
         }
         while let Some(work) = self.cpu.next().filter(|_| !self.hung).and_then(|_| self.cpu.done(now)) {
-            self.done(now, work, out);
+            self.work_done(now, work, out);
         }
-        let due: Vec<_> = self
-            .circuits
-            .iter()
-            .filter(|(_, circuit)| circuit.due() <= now)
-            .map(|(place, _)| *place)
-            .collect();
-        due.into_iter().for_each(|place| self.circuit_due(now, place, out));
+        let due: Vec<_> =
+            self.circuits.iter().filter(|(_, circuit)| circuit.due() <= now).map(|(key, _)| *key).collect();
+        due.into_iter().for_each(|key| self.circuit_due(now, key, out));
         let offers: Vec<_> = self.next_offer.iter().filter(|(_, at)| **at <= now).map(|(f, _)| *f).collect();
-        offers.into_iter().for_each(|front| self.own_call(now, front, out));
-        if let Some((_, back)) = self.ends.filter(|(at, _)| *at <= now) {
-            self.stop(now, back, out);
+        offers.into_iter().for_each(|front| self.originate(now, front, out));
+        if let Some((_, restart_after)) = self.exit_at.filter(|(at, _)| *at <= now) {
+            self.stop(now, restart_after, out);
         }
     }
 
-    fn start(&mut self, now: Micros, out: &mut Vec<FarOutput>) {
-        self.down = None;
+    fn start(&mut self, now: Micros, out: &mut Vec<FarEndOutput>) {
+        self.restart_at = None;
         self.cpu = Processor::new(self.spec.processor, Some(now));
-        self.forgot = self.spec.fronts.values().map(|front| (*front, true)).collect();
-        out.push(FarOutput::Record(RecordEvent::ServerStarted { server: self.spec.number, cold: true }));
-        out.push(FarOutput::Started);
-        self.offer(now, self.factor);
+        self.reset_due = self.spec.fronts.values().map(|front| (*front, true)).collect();
+        out.push(FarEndOutput::Record(RecordEvent::ServerStarted { server: self.spec.number, cold: true }));
+        out.push(FarEndOutput::Started);
+        self.offer(now, self.rate_factor);
     }
 
-    fn stop(&mut self, now: Micros, back: Option<Micros>, out: &mut Vec<FarOutput>) {
-        out.push(FarOutput::Record(RecordEvent::ServerExited { server: self.spec.number }));
+    fn stop(&mut self, now: Micros, restart_after: Option<Micros>, out: &mut Vec<FarEndOutput>) {
+        out.push(FarEndOutput::Record(RecordEvent::ServerExited { server: self.spec.number }));
         self.circuits.clear();
-        let up: Vec<_> = self.up.keys().copied().collect();
-        up.into_iter().for_each(|front| self.parted(front, out));
-        (self.asked, self.up, self.next_offer) = Default::default();
-        (self.hung, self.lose, self.ends, self.blocking) = (false, 0.0, None, false);
-        self.down = Some(back.map_or(Micros::MAX, |back| now.saturating_add(back)));
-        out.push(FarOutput::Stopped);
-    }
-
-    /// What its callers have not heard yet they may never hear: their way to the front is gone.
-    fn parted(&self, front: u32, out: &mut Vec<FarOutput>) {
-        out.push(FarOutput::Record(RecordEvent::ClientDisconnected {
+        let links_up: Vec<_> = self.links_up.keys().copied().collect();
+        links_up.into_iter().for_each(|front| self.record_disconnect(front, out));
+        (self.pending_setups, self.links_up, self.next_offer) = Default::default();
+        (self.hung, self.answer_loss, self.exit_at, self.blocking) = (false, 0.0, None, false);
+        self.restart_at = Some(restart_after.map_or(Micros::MAX, |delay| now.saturating_add(delay)));
+        out.push(FarEndOutput::Stopped);
+    }
+
+    /// Records that the callers here have lost their connection to the front, and with it all outstanding
+    /// answers.
+    fn record_disconnect(&self, front: u32, out: &mut Vec<FarEndOutput>) {
+        out.push(FarEndOutput::Record(RecordEvent::ClientDisconnected {
             front,
             client: self.spec.host.clone(),
         }));
     }
 
-    fn link_up(&mut self, front: u32, out: &mut Vec<FarOutput>) {
-        self.up.insert(front, true);
-        if self.forgot.remove(&front).is_some() {
-            let cics = self.spec.first..self.spec.first + self.spec.circuits;
+    fn link_up(&mut self, front: u32, out: &mut Vec<FarEndOutput>) {
+        self.links_up.insert(front, true);
+        if self.reset_due.remove(&front).is_some() {
+            let cics = self.spec.first_cic..self.spec.first_cic + self.spec.circuits;
             self.circuits.extend(cics.map(|cic| ((front, cic), Circuit::Resetting)));
-            self.ranges(
+            self.send_ranges(
                 front,
                 |first, count| {
                     Message::with_range(MessageType::Grs, first, &Range::without_status((count - 1) as u8))
@@ -270,70 +276,74 @@
         }
     }
 
-    /// A message for each range of the circuits towards a front.
-    fn ranges(&self, front: u32, message: impl Fn(u16, u16) -> Message, out: &mut Vec<FarOutput>) {
-        let (mut first, end) = (self.spec.first, self.spec.first + self.spec.circuits);
+    /// Sends a message for each range of the circuits towards a front.
+    fn send_ranges(&self, front: u32, message: impl Fn(u16, u16) -> Message, out: &mut Vec<FarEndOutput>) {
+        let (mut first, end) = (self.spec.first_cic, self.spec.first_cic + self.spec.circuits);
         while first < end {
-            let count = RANGE.min(end - first);
+            let count = MAX_RANGE_CIRCUITS.min(end - first);
             self.send(front, &message(first, count), out);
             first += count;
         }
     }
 
-    fn send(&self, front: u32, message: &Message, out: &mut Vec<FarOutput>) {
+    fn send(&self, front: u32, message: &Message, out: &mut Vec<FarEndOutput>) {
         let to = self.spec.fronts.iter().find(|(_, ordinal)| **ordinal == front);
         let (Some((point, _)), Ok(octets)) = (to, message.write()) else { return };
-        if self.hung || !self.up.contains_key(&front) {
+        if self.hung || !self.links_up.contains_key(&front) {
             return;
         }
-        let data = Data { opc: self.spec.point, dpc: *point, sls: message.cic as u8 & 0x0f, message: octets };
-        out.push(FarOutput::Send(front, data));
+        let data =
+            Data { opc: self.spec.point_code, dpc: *point, sls: message.cic as u8 & 0x0f, message: octets };
+        out.push(FarEndOutput::Send(front, data));
     }
 
-    fn plain(&self, place: Place, kind: MessageType, out: &mut Vec<FarOutput>) {
-        self.send(place.0, &Message::new(kind, place.1), out);
+    /// Sends a message without parameters.
+    fn send_plain(&self, key: CircuitKey, kind: MessageType, out: &mut Vec<FarEndOutput>) {
+        self.send(key.0, &Message::new(kind, key.1), out);
     }
 
-    /// The higher point code controls even circuits, the other end the odd ones.
-    fn yields(&self, (front, cic): Place) -> bool {
-        let theirs = self.spec.fronts.iter().find(|(_, ordinal)| **ordinal == front).map_or(0, |(p, _)| *p);
-        let even_are_mine = self.spec.point > theirs;
-        even_are_mine != (cic % 2 == 0)
+    /// Whether this end gives way in a dual seizure of the circuit. The end with the higher point code
+    /// controls the even circuits, the other end the odd ones (Q.764, 2.9.1.4).
+    fn yields(&self, (front, cic): CircuitKey) -> bool {
+        let front_point =
+            self.spec.fronts.iter().find(|(_, ordinal)| **ordinal == front).map_or(0, |(p, _)| *p);
+        let controls_even = self.spec.point_code > front_point;
+        controls_even != (cic % 2 == 0)
     }
 
     // --- messages ---
 
-    fn received(&mut self, now: Micros, front: u32, message: &Message, out: &mut Vec<FarOutput>) {
-        let place = (front, message.cic);
-        if !(self.spec.first..self.spec.first + self.spec.circuits).contains(&message.cic) {
-            return self.plain(place, MessageType::Ucic, out);
+    fn handle_message(&mut self, now: Micros, front: u32, message: &Message, out: &mut Vec<FarEndOutput>) {
+        let key = (front, message.cic);
+        if !(self.spec.first_cic..self.spec.first_cic + self.spec.circuits).contains(&message.cic) {
+            return self.send_plain(key, MessageType::Ucic, out);
         }
         match message.kind {
             MessageType::Iam => {
                 if let Some(iam) = message.as_iam() {
-                    self.seized(now, place, &iam, out);
+                    self.handle_iam(now, key, &iam, out);
                 }
             }
             MessageType::Acm | MessageType::Anm | MessageType::Con => {
-                self.progressed(now, place, message.kind != MessageType::Acm, out)
+                self.handle_progress(now, key, message.kind != MessageType::Acm, out)
             }
             MessageType::Rel => {
-                self.released(now, place, message.cause().unwrap_or(cause::NORMAL_UNSPECIFIED), out)
+                self.handle_release(now, key, message.cause().unwrap_or(cause::NORMAL_UNSPECIFIED), out)
             }
             MessageType::Rlc => {
-                if let Some(Circuit::Releasing(_)) = self.circuits.get(&place) {
-                    self.circuits.remove(&place);
+                if let Some(Circuit::Releasing(_)) = self.circuits.get(&key) {
+                    self.circuits.remove(&key);
                 }
             }
             MessageType::Rsc => {
-                self.cleared(place, out);
-                self.plain(place, MessageType::Rlc, out);
+                self.clear_circuit(key, out);
+                self.send_plain(key, MessageType::Rlc, out);
             }
             MessageType::Grs => {
                 let Ok(range) = message.range() else { return };
                 let count = range.circuits() as u16;
                 (message.cic..message.cic.saturating_add(count))
-                    .for_each(|cic| self.cleared((front, cic), out));
+                    .for_each(|cic| self.clear_circuit((front, cic), out));
                 let status = vec![self.blocking; usize::from(count)];
                 let range = Range { range: range.range, status };
                 self.send(front, &Message::with_range(MessageType::Gra, message.cic, &range), out);
@@ -347,261 +357,279 @@
                 }
             }
             MessageType::Blo => {
-                self.blocked.insert(place, true);
-                self.plain(place, MessageType::Bla, out);
+                self.blocked.insert(key, true);
+                self.send_plain(key, MessageType::Bla, out);
             }
             MessageType::Ubl => {
-                self.blocked.remove(&place);
-                self.plain(place, MessageType::Uba, out);
+                self.blocked.remove(&key);
+                self.send_plain(key, MessageType::Uba, out);
             }
             MessageType::Cqm => {
                 let Ok(range) = message.range() else { return };
                 let cics = message.cic..message.cic.saturating_add(range.circuits() as u16);
-                let states: Vec<_> = cics.map(|cic| self.state((front, cic))).collect();
+                let states: Vec<_> = cics.map(|cic| self.circuit_state((front, cic))).collect();
                 self.send(front, &Message::cqr(message.cic, &states), out);
             }
             _ => {}
         }
     }
 
-    fn state(&self, place: Place) -> CircuitState {
-        let processing = match self.circuits.get(&place) {
-            _ if !(self.spec.first..self.spec.first + self.spec.circuits).contains(&place.1) => {
+    fn circuit_state(&self, key: CircuitKey) -> CircuitState {
+        let processing = match self.circuits.get(&key) {
+            _ if !(self.spec.first_cic..self.spec.first_cic + self.spec.circuits).contains(&key.1) => {
                 Processing::Unequipped
             }
             None => Processing::Idle,
-            Some(Circuit::Seized(_) | Circuit::Own(..)) => Processing::OutgoingBusy,
-            Some(Circuit::Theirs { .. }) => Processing::IncomingBusy,
+            Some(Circuit::Seized(_) | Circuit::Outgoing(..)) => Processing::OutgoingBusy,
+            Some(Circuit::Incoming { .. }) => Processing::IncomingBusy,
             Some(Circuit::Releasing(_) | Circuit::Resetting) => Processing::Transient,
         };
-        let remotely_blocked = self.blocked.contains_key(&place);
+        let remotely_blocked = self.blocked.contains_key(&key);
         CircuitState { processing, locally_blocked: self.blocking, remotely_blocked }
     }
 
-    fn seized(&mut self, now: Micros, place: Place, iam: &Iam, out: &mut Vec<FarOutput>) {
-        if self.blocking && !self.circuits.contains_key(&place) {
-            // It crossed the blocking, which is said again.
-            return self.plain(place, MessageType::Blo, out);
+    fn handle_iam(&mut self, now: Micros, key: CircuitKey, iam: &Iam, out: &mut Vec<FarEndOutput>) {
+        if self.blocking && !self.circuits.contains_key(&key) {
+            // The IAM crossed the blocking, so the blocking is repeated.
+            return self.send_plain(key, MessageType::Blo, out);
         }
-        let own = match self.circuits.get(&place) {
+        let yielded = match self.circuits.get(&key) {
             None => None,
-            Some(Circuit::Seized(call)) if self.yields(place) => Some(call.clone()),
-            // The own call goes on, or it is a copy.
+            Some(Circuit::Seized(call)) if self.yields(key) => Some(call.clone()),
+            // This end's call proceeds, or the IAM is a duplicate.
             Some(_) => return,
         };
         let reference = String::from_utf8_lossy(&iam.reference);
         let (attempt, call) = reference.split_once(' ').unwrap_or((&reference, ""));
-        let (server, front, attempt) = (self.spec.number, place.0, attempt.to_owned());
-        let moment = RecordEvent::SetUp {
+        let (server, front, attempt) = (self.spec.number, key.0, attempt.to_owned());
+        let event = RecordEvent::SetUp {
             server,
             front,
             call: call.to_owned(),
             attempt: attempt.clone(),
             redirected: false,
         };
-        out.push(FarOutput::Record(moment));
-        self.circuits.insert(place, Circuit::Theirs { attempt: attempt.clone(), stands: false });
-        let key = self.next_key;
-        self.next_key += 1;
-        self.asked.insert(key, (place, attempt));
-        if self.cpu.set_up(now, key) == Taken::Fell {
-            out.push(FarOutput::Record(RecordEvent::ServerOverloaded { server }));
+        out.push(FarEndOutput::Record(event));
+        self.circuits.insert(key, Circuit::Incoming { attempt: attempt.clone(), answered: false });
+        let job = self.next_job;
+        self.next_job += 1;
+        self.pending_setups.insert(job, (key, attempt));
+        if self.cpu.set_up(now, job) == Taken::Fell {
+            out.push(FarEndOutput::Record(RecordEvent::ServerOverloaded { server }));
         }
-        if let Some(call) = own {
+        if let Some(call) = yielded {
             self.seize(now, front, call, out);
         }
     }
 
-    fn done(&mut self, now: Micros, work: Work, out: &mut Vec<FarOutput>) {
-        let (key, refused) = match work {
-            Work::SetUp(key) => (key, false),
-            Work::Refuse(key) => (key, true),
+    fn work_done(&mut self, now: Micros, work: Work, out: &mut Vec<FarEndOutput>) {
+        let (job, refused) = match work {
+            Work::SetUp(job) => (job, false),
+            Work::Refuse(job) => (job, true),
             Work::Release(_) => return,
         };
-        let Some((place, attempt)) = self.asked.remove(&key) else { return };
-        let held = matches!(self.circuits.get(&place), Some(Circuit::Theirs { attempt: a, stands: false }) if *a == attempt);
-        if !held {
+        let Some((key, attempt)) = self.pending_setups.remove(&job) else { return };
+        let is_pending = matches!(
+            self.circuits.get(&key),
+            Some(Circuit::Incoming { attempt: pending, answered: false }) if *pending == attempt
+        );
+        if !is_pending {
             return;
         }
-        let lost = !refused && self.rng.random::<f64>() < self.lose;
+        let lost = !refused && self.rng.random::<f64>() < self.answer_loss;
         let code = if refused { 3004 } else { 2001 };
-        out.push(FarOutput::Record(RecordEvent::Reply {
+        out.push(FarEndOutput::Record(RecordEvent::Reply {
             server: self.spec.number,
             attempt: attempt.clone(),
             code,
             lost,
         }));
         if refused {
-            return self.release(now, place, cause::SWITCHING_CONGESTION, out);
+            return self.release(now, key, cause::SWITCHING_CONGESTION, out);
         }
-        self.circuits.insert(place, Circuit::Theirs { attempt, stands: true });
+        self.circuits.insert(key, Circuit::Incoming { attempt, answered: true });
         if !lost {
-            self.send(place.0, &Message::acm(place.1), out);
-            self.plain(place, MessageType::Anm, out);
+            self.send(key.0, &Message::acm(key.1), out);
+            self.send_plain(key, MessageType::Anm, out);
         }
     }
 
-    fn released(&mut self, now: Micros, place: Place, why: u8, out: &mut Vec<FarOutput>) {
+    fn handle_release(&mut self, now: Micros, key: CircuitKey, cause_value: u8, out: &mut Vec<FarEndOutput>) {
         if let (Some(Circuit::Seized(call)), cause::CIRCUIT_NOT_AVAILABLE) =
-            (self.circuits.get(&place).cloned(), why)
+            (self.circuits.get(&key).cloned(), cause_value)
         {
-            // It goes on by another circuit.
-            self.circuits.remove(&place);
-            self.plain(place, MessageType::Rlc, out);
-            self.blocked.insert(place, true);
-            self.seize(now, place.0, call, out);
-            self.blocked.remove(&place);
+            // The call is retried on another circuit; this one is excluded while it is chosen.
+            self.circuits.remove(&key);
+            self.send_plain(key, MessageType::Rlc, out);
+            self.blocked.insert(key, true);
+            self.seize(now, key.0, call, out);
+            self.blocked.remove(&key);
             return;
         }
-        if !matches!(self.circuits.get(&place), Some(Circuit::Releasing(_))) {
-            self.free(place, why, out);
+        if !matches!(self.circuits.get(&key), Some(Circuit::Releasing(_))) {
+            self.free(key, cause_value, out);
         }
-        self.plain(place, MessageType::Rlc, out);
+        self.send_plain(key, MessageType::Rlc, out);
     }
 
-    fn cleared(&mut self, place: Place, out: &mut Vec<FarOutput>) {
-        self.blocked.remove(&place);
-        self.free(place, cause::TEMPORARY_FAILURE, out);
+    fn clear_circuit(&mut self, key: CircuitKey, out: &mut Vec<FarEndOutput>) {
+        self.blocked.remove(&key);
+        self.free(key, cause::TEMPORARY_FAILURE, out);
     }
 
-    /// The front has let go of a circuit.
-    fn free(&mut self, place: Place, why: u8, out: &mut Vec<FarOutput>) {
-        match self.circuits.remove(&place) {
-            Some(Circuit::Theirs { attempt, .. }) => {
-                out.push(FarOutput::Record(RecordEvent::Release { server: self.spec.number, attempt }));
+    /// Frees a circuit that the front has released.
+    fn free(&mut self, key: CircuitKey, cause_value: u8, out: &mut Vec<FarEndOutput>) {
+        match self.circuits.remove(&key) {
+            Some(Circuit::Incoming { attempt, .. }) => {
+                out.push(FarEndOutput::Record(RecordEvent::Release { server: self.spec.number, attempt }));
+            }
+            Some(Circuit::Seized(call) | Circuit::Outgoing(call, _)) => {
+                self.end_call(&call, cause_value, out)
             }
-            Some(Circuit::Seized(call) | Circuit::Own(call, _)) => self.over(&call, why, out),
             _ => {}
         }
     }
 
-    fn release(&mut self, now: Micros, place: Place, why: u8, out: &mut Vec<FarOutput>) {
-        self.circuits.insert(place, Circuit::Releasing(now + T1));
-        self.send(place.0, &Message::with_cause(MessageType::Rel, place.1, why), out);
+    fn release(&mut self, now: Micros, key: CircuitKey, cause_value: u8, out: &mut Vec<FarEndOutput>) {
+        self.circuits.insert(key, Circuit::Releasing(now + T1));
+        self.send(key.0, &Message::with_cause(MessageType::Rel, key.1, cause_value), out);
     }
 
-    // --- own calls ---
+    // --- originated calls ---
 
     fn offer(&mut self, now: Micros, factor: f64) {
-        self.factor = factor;
+        self.rate_factor = factor;
         let fronts: Vec<_> = self.spec.fronts.values().copied().collect();
-        self.next_offer = fronts.into_iter().map(|front| (front, self.next_at(now))).collect();
+        self.next_offer = fronts.into_iter().map(|front| (front, self.next_offer_at(now))).collect();
         self.next_offer.retain(|_, at| *at != Micros::MAX);
     }
 
-    fn next_at(&mut self, now: Micros) -> Micros {
-        match Exp::new(self.spec.calls_per_second * self.factor) {
-            Ok(gap) if self.spec.calls_per_second * self.factor > 0.0 => {
+    fn next_offer_at(&mut self, now: Micros) -> Micros {
+        match Exp::new(self.spec.calls_per_second * self.rate_factor) {
+            Ok(gap) if self.spec.calls_per_second * self.rate_factor > 0.0 => {
                 now + (gap.sample(&mut self.rng) * 1e6) as Micros
             }
             _ => Micros::MAX,
         }
     }
 
-    fn own_call(&mut self, now: Micros, front: u32, out: &mut Vec<FarOutput>) {
-        let next = self.next_at(now);
+    fn originate(&mut self, now: Micros, front: u32, out: &mut Vec<FarEndOutput>) {
+        let next = self.next_offer_at(now);
         self.next_offer.insert(front, next);
-        // Without a link, a circuit, or a process that does anything, its caller hears so here: no front's call.
-        if self.hung || !self.up.contains_key(&front) || self.choose(front).is_none() {
+        // Without a link, a free circuit or a responsive process the call fails here and never reaches a
+        // front, so it is not recorded.
+        if self.hung || !self.links_up.contains_key(&front) || self.choose(front).is_none() {
             return;
         }
         self.next_call += 1;
         let name = format!("{}|{front};{}", self.spec.host, self.next_call);
-        let caller_timeout_us = self.spec.patience;
+        let caller_timeout_us = self.spec.caller_timeout;
         let (class, publisher) = self.spec.flow;
         let call = name.clone();
         let offer =
             RecordEvent::Offer { front, call, first: None, class, publisher, hot: false, caller_timeout_us };
-        out.push(FarOutput::Record(offer));
-        self.seize(now, front, OwnCall { name, gives_up: now + caller_timeout_us, answered: false }, out);
+        out.push(FarEndOutput::Record(offer));
+        self.seize(
+            now,
+            front,
+            OutgoingCall { name, caller_timeout_at: now + caller_timeout_us, answered: false },
+            out,
+        );
     }
 
-    /// A free circuit: those that this end controls first, each end beginning where the other one comes last.
+    /// Chooses a free circuit: the first one that this end controls, else the last of the others, so that the
+    /// two ends start from opposite sides.
     fn choose(&self, front: u32) -> Option<u16> {
-        let free = |cic: &u16| {
-            let place = (front, *cic);
-            !self.circuits.contains_key(&place) && !self.blocked.contains_key(&place) && !self.blocking
+        let is_free = |cic: &u16| {
+            let key = (front, *cic);
+            !self.circuits.contains_key(&key) && !self.blocked.contains_key(&key) && !self.blocking
         };
-        let mut all = (self.spec.first..self.spec.first + self.spec.circuits).filter(free);
-        let rest: Vec<_> = all.by_ref().collect();
-        let own = rest.iter().find(|cic| !self.yields((front, **cic)));
-        own.or(rest.last()).copied()
+        let mut candidates = (self.spec.first_cic..self.spec.first_cic + self.spec.circuits).filter(is_free);
+        let free: Vec<_> = candidates.by_ref().collect();
+        let controlled = free.iter().find(|cic| !self.yields((front, **cic)));
+        controlled.or(free.last()).copied()
     }
 
-    fn seize(&mut self, now: Micros, front: u32, call: OwnCall, out: &mut Vec<FarOutput>) {
+    fn seize(&mut self, now: Micros, front: u32, call: OutgoingCall, out: &mut Vec<FarEndOutput>) {
         let Some(cic) = self.choose(front) else {
-            // Yielded, and no other circuit: its caller hears that.
-            return self.over(&call, cause::NO_CIRCUIT, out);
+            // After a lost dual seizure or a refused circuit, with no other circuit free.
+            return self.end_call(&call, cause::NO_CIRCUIT, out);
         };
-        let own = call.name.split_once('|').map_or("", |(_, own)| own).as_bytes().to_vec();
+        let reference = call.name.split_once('|').map_or("", |(_, reference)| reference).as_bytes().to_vec();
         let number = 100 + self.rng.random_range(0..900u16);
         let digits = number.to_string().bytes().map(|digit| digit - b'0').collect();
         let called = CalledNumber { nature: 3, digits };
-        let iam = Iam { called, category: 10, continuity: false, reference: own };
-        self.circuits
-            .insert((front, cic), Circuit::Seized(OwnCall { gives_up: call.gives_up.max(now), ..call }));
+        let iam = Iam { called, category: 10, continuity: false, reference };
+        self.circuits.insert(
+            (front, cic),
+            Circuit::Seized(OutgoingCall { caller_timeout_at: call.caller_timeout_at.max(now), ..call }),
+        );
         self.send(front, &Message::iam(cic, &iam), out);
     }
 
-    fn progressed(&mut self, now: Micros, place: Place, stands: bool, out: &mut Vec<FarOutput>) {
-        let (Some(Circuit::Seized(call)) | Some(Circuit::Own(call, None))) = self.circuits.get(&place) else {
+    fn handle_progress(&mut self, now: Micros, key: CircuitKey, answered: bool, out: &mut Vec<FarEndOutput>) {
+        let (Some(Circuit::Seized(call)) | Some(Circuit::Outgoing(call, None))) = self.circuits.get(&key)
+        else {
             return;
         };
         let mut call = call.clone();
-        let over = stands.then(|| {
+        let hang_up_at = answered.then(|| {
             call.answered = true;
-            out.push(FarOutput::Record(RecordEvent::Answer {
-                front: place.0,
+            out.push(FarEndOutput::Record(RecordEvent::Answer {
+                front: key.0,
                 call: call.name.clone(),
                 code: 2001,
             }));
-            let mean = self.spec.hold as f64;
-            let held = Exp::new(1.0).map_or(mean, |exp| exp.sample(&mut self.rng) * mean);
-            now + held as Micros
+            let mean = self.spec.mean_hold as f64;
+            let hold = Exp::new(1.0).map_or(mean, |exp| exp.sample(&mut self.rng) * mean);
+            now + hold as Micros
         });
-        self.circuits.insert(place, Circuit::Own(call, over));
+        self.circuits.insert(key, Circuit::Outgoing(call, hang_up_at));
     }
 
-    /// What an own call's caller hears at its end.
-    fn over(&self, call: &OwnCall, why: u8, out: &mut Vec<FarOutput>) {
-        let front =
-            call.name.split_once('|').and_then(|(_, own)| own.split(';').next()?.parse().ok()).unwrap_or(0);
+    /// Records the end of an originated call as its caller sees it.
+    fn end_call(&self, call: &OutgoingCall, cause_value: u8, out: &mut Vec<FarEndOutput>) {
+        let front = call
+            .name
+            .split_once('|')
+            .and_then(|(_, reference)| reference.split(';').next()?.parse().ok())
+            .unwrap_or(0);
         let name = call.name.clone();
-        out.push(FarOutput::Record(if call.answered {
+        out.push(FarEndOutput::Record(if call.answered {
             RecordEvent::Dropped { front, call: name }
         } else {
-            let code = if why == cause::SWITCHING_CONGESTION { 3004 } else { 5012 };
+            let code = if cause_value == cause::SWITCHING_CONGESTION { 3004 } else { 5012 };
             RecordEvent::Answer { front, call: name, code }
         }));
     }
 
-    fn circuit_due(&mut self, now: Micros, place: Place, out: &mut Vec<FarOutput>) {
-        match self.circuits.get(&place).cloned() {
-            Some(Circuit::Releasing(_)) => self.release(now, place, cause::RECOVERY_ON_TIMER_EXPIRY, out),
-            Some(Circuit::Own(call, Some(_))) => {
-                out.push(FarOutput::Record(RecordEvent::Hangup { front: place.0, call: call.name }));
-                self.release(now, place, cause::NORMAL_CLEARING, out);
+    fn circuit_due(&mut self, now: Micros, key: CircuitKey, out: &mut Vec<FarEndOutput>) {
+        match self.circuits.get(&key).cloned() {
+            Some(Circuit::Releasing(_)) => self.release(now, key, cause::RECOVERY_ON_TIMER_EXPIRY, out),
+            Some(Circuit::Outgoing(call, Some(_))) => {
+                out.push(FarEndOutput::Record(RecordEvent::Hangup { front: key.0, call: call.name }));
+                self.release(now, key, cause::NORMAL_CLEARING, out);
             }
-            Some(Circuit::Seized(call) | Circuit::Own(call, None)) => {
-                out.push(FarOutput::Record(RecordEvent::CallerTimeout { front: place.0, call: call.name }));
-                self.release(now, place, cause::NO_ANSWER, out);
+            Some(Circuit::Seized(call) | Circuit::Outgoing(call, None)) => {
+                out.push(FarEndOutput::Record(RecordEvent::CallerTimeout { front: key.0, call: call.name }));
+                self.release(now, key, cause::NO_ANSWER, out);
             }
             _ => {}
         }
     }
 
-    // --- troubles ---
+    // --- faults ---
 
-    fn command(&mut self, now: Micros, command: Command, out: &mut Vec<FarOutput>) {
+    fn apply_command(&mut self, now: Micros, command: Command, out: &mut Vec<FarEndOutput>) {
         match command {
             Command::Slow(factor) => self.cpu.set_slow(factor),
             Command::Pause(span) => self.cpu.pause(now + span),
             Command::Hang(hung) => self.hung = hung,
-            Command::LoseAnswers(share) => self.lose = share,
-            Command::Die(back) => self.ends = Some((now, back)),
-            // An exchange that drains blocks its circuits: calls on them go on.
+            Command::LoseAnswers(share) => self.answer_loss = share,
+            Command::Die(restart_after) => self.exit_at = Some((now, restart_after)),
+            // A draining exchange blocks its circuits; calls on them continue.
             Command::Drain { by_dpr, stop_after, back_after } => {
-                self.ends = Some((now + stop_after, back_after));
+                self.exit_at = Some((now + stop_after, back_after));
                 self.blocking = by_dpr;
                 if by_dpr {
                     let fronts: Vec<_> = self.spec.fronts.values().copied().collect();
@@ -614,20 +642,20 @@
                                 &Range { range: (count - 1) as u8, status },
                             )
                         };
-                        self.ranges(front, block, out);
+                        self.send_ranges(front, block, out);
                     }
                 }
             }
             Command::Cut(share) => {
                 let rng = &mut self.rng;
-                let standing = self.circuits.iter().filter_map(|(place, circuit)| match circuit {
-                    Circuit::Theirs { attempt, stands: true } => Some((*place, attempt.clone())),
+                let established = self.circuits.iter().filter_map(|(key, circuit)| match circuit {
+                    Circuit::Incoming { attempt, answered: true } => Some((*key, attempt.clone())),
                     _ => None,
                 });
-                let cut: Vec<_> = standing.filter(|_| rng.random::<f64>() < share).collect();
-                for (place, attempt) in cut {
-                    out.push(FarOutput::Record(RecordEvent::Abort { server: self.spec.number, attempt }));
-                    self.release(now, place, cause::TEMPORARY_FAILURE, out);
+                let dropped: Vec<_> = established.filter(|_| rng.random::<f64>() < share).collect();
+                for (key, attempt) in dropped {
+                    out.push(FarEndOutput::Record(RecordEvent::Abort { server: self.spec.number, attempt }));
+                    self.release(now, key, cause::TEMPORARY_FAILURE, out);
                 }
             }
         }
@@ -637,9 +665,9 @@
 impl Circuit {
     fn due(&self) -> Micros {
         match self {
-            Self::Theirs { .. } | Self::Resetting => Micros::MAX,
-            Self::Seized(call) | Self::Own(call, None) => call.gives_up,
-            Self::Own(_, Some(over)) => *over,
+            Self::Incoming { .. } | Self::Resetting => Micros::MAX,
+            Self::Seized(call) | Self::Outgoing(call, None) => call.caller_timeout_at,
+            Self::Outgoing(_, Some(hang_up_at)) => *hang_up_at,
             Self::Releasing(at) => *at,
         }
     }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -11,28 +11,32 @@
 mod far_end;
 mod front;
 mod link;
-mod lives;
+mod membership;
 mod offers;
 mod processor;
 mod queue;
-mod ramps;
 mod server;
 mod text;
-mod two_ends;
+mod trunk_pair;
+mod warm_up;
 mod way;
 mod world;
 
-pub use budgets::{drawn_troubles, share_budget, BudgetSharing, BudgetSpec, BudgetTally, BudgetTrouble};
+pub use budgets::{
+    random_budget_faults, simulate_budget, BudgetFault, BudgetSharing, BudgetSpec, BudgetTally,
+};
 pub use caller::{CallerInput, CallerOutput, CallerSpec, Callers};
-pub use far_end::{FarEnd, FarEndSpec, FarInput, FarOutput};
+pub use far_end::{FarEnd, FarEndInput, FarEndOutput, FarEndSpec};
 pub use link::Fault;
-pub use lives::{drawn_lives, who_lives, LivesSpec, LivesTally, LivesTrouble};
+pub use membership::{
+    random_membership_faults, simulate_membership, MembershipFault, MembershipSpec, MembershipTally,
+};
 pub use offers::{Flow, Offers};
 pub use processor::{Processor, ProcessorSpec, Taken, Work};
 pub use queue::Queue;
-pub use ramps::{ramp, RampSpec, RampStart};
 pub use server::{Command, ConnId, ServerInput, ServerOutput, ServerSpec, SessionServer};
-pub use text::{said, TextCallers, TextOutput, TextSpec};
-pub use two_ends::{Tally, TwoEnds, TwoEndsSpec};
+pub use text::{datagram_events, TextCallers, TextOutput, TextSpec};
+pub use trunk_pair::{TrunkPair, TrunkPairSpec, TrunkTally};
+pub use warm_up::{simulate_warm_up, WarmUpSpec, WarmUpStart};
 pub use way::{Way, WaySpec, RESENT_AFTER};
 pub use world::{Place, Roughness, World, WorldSpec};
--- a/crates/emulator/src/text.rs
+++ b/crates/emulator/src/text.rs
@@ -1,4 +1,5 @@
-//! Callers that speak H.248 text over datagrams, and make the same calls as [`crate::Callers`]. Free of I/O and time.
+//! Model of callers behind a client that uses H.248 text over datagrams; they make the same calls as
+//! [`crate::Callers`]. Does no I/O and reads no clock.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,44 +15,51 @@
 use crate::agenda::{choice, drawn, Agenda};
 use crate::offers::{Flow, Offers};
 
-/// One text client's callers.
+/// Parameters of the callers of one text client.
 #[derive(Debug, Clone)]
 pub struct TextSpec {
-    /// MId.
+    /// Message identifier (MId) of the client.
     pub mid: String,
-    /// The front's ordinal.
+    /// Ordinal of the front.
     pub front: u32,
-    /// Servers, to name as first choice, each as often as its weight says.
+    /// Servers that calls name as first choice, with their weights.
     pub servers: Vec<(String, f64)>,
-    /// Calls.
+    /// Call flows that the callers generate.
     pub flows: Vec<Flow>,
 }
 
-/// What text callers want done.
+/// Output of text callers.
 #[derive(Debug, Clone, PartialEq)]
 pub enum TextOutput {
     /// Send a datagram.
     Send(Arc<str>),
-    /// Something was seen.
+    /// Add an event to the record.
     Record(RecordEvent),
 }
 
-/// A transaction that was sent, and what it asked for.
+/// A sent transaction that is not answered yet, by its purpose.
 #[derive(Debug)]
-enum Asked {
+enum PendingRequest {
     Register,
-    SetUp { name: String, flow: usize, first: Option<String>, tries: u32, choice: usize, waits: bool },
+    SetUp {
+        name: String,
+        flow: usize,
+        first: Option<String>,
+        tries: u32,
+        choice: usize,
+        caller_waiting: bool,
+    },
     Release,
 }
 
 #[derive(Debug)]
 enum Due {
-    GiveUp(u32),
+    CallerTimeout(u32),
     Hangup(u32),
     Redial { flow: usize, first: String, tries: u32, choice: usize },
 }
 
-/// See the module's page.
+/// The model; see the module documentation.
 #[derive(Debug)]
 pub struct TextCallers {
     spec: TextSpec,
@@ -59,39 +67,43 @@
     exchange: Exchange,
     rng: Pcg64Mcg,
     agenda: Agenda<Due>,
-    asked: BTreeMap<u32, Asked>,
-    /// Standing calls by context.
-    standing: BTreeMap<u32, (String, usize)>,
-    count: u64,
-    /// What is left of the rate after notices of overload.
+    pending: BTreeMap<u32, PendingRequest>,
+    /// Established calls by context: name and flow.
+    established: BTreeMap<u32, (String, usize)>,
+    call_count: u64,
+    /// Factor on the call rate after overload notifications.
     throttle: f64,
+    /// When the throttle last recovered by a step.
     throttled_at: Micros,
-    greeted: bool,
-    /// It greeted the front before.
-    known: bool,
+    /// Whether the registration was sent.
+    registration_sent: bool,
+    /// Whether a registration was sent to this front before.
+    has_registered_before: bool,
     registered: bool,
-    asked_events: bool,
+    overload_events_requested: bool,
 }
 
-/// Each notice takes this much of the rate; it comes back by `RECOVERS` in each `STEP`.
-const TAKES: f64 = 0.8;
-const RECOVERS: f64 = 1.02;
-const STEP: Micros = 100_000;
+/// Factor on the call rate for each overload notification.
+const THROTTLE_FACTOR: f64 = 0.8;
+/// Factor by which a throttled call rate recovers in each `RECOVERY_INTERVAL`.
+const RECOVERY_FACTOR: f64 = 1.02;
+const RECOVERY_INTERVAL: Micros = 100_000;
 
-/// Callers look at least this often.
-const LOOK: Micros = 100_000;
-/// A request is repeated no later than this after the last copy: by the table in `docs/notes/rules.md` a request
-/// and its reply then both get through within a caller's 3 s but for one in some millions at 30% loss.
-const REPEAT: Micros = 250_000;
+/// Maximum interval between ticks.
+const MAX_TICK_INTERVAL: Micros = 100_000;
+/// Maximum interval between copies of a request. By the table in `docs/notes/rules.md`, all but one in some
+/// millions of requests then get a reply within the caller's 3 s at 30% loss.
+const MAX_RETRANSMIT_INTERVAL: Micros = 250_000;
 
 impl TextCallers {
-    /// Callers that register with their first tick; `seed` draws everything.
+    /// Creates callers that register with their first tick; `seed` determines all random draws.
     pub fn new(spec: TextSpec, offers: Offers, seed: u64) -> Self {
-        // The client gives a set-up up by itself: its transaction is repeated for as long as that takes.
+        // The caller's timeout ends a set-up, so its transaction is repeated until then and not given up as
+        // lost before.
         let settings = Settings {
             lost_after_sends: 64,
             lost_after: 0,
-            max_retransmit_interval: REPEAT,
+            max_retransmit_interval: MAX_RETRANSMIT_INTERVAL,
             ..Settings::default()
         };
         Self {
@@ -100,83 +112,92 @@
             rng: Pcg64Mcg::seed_from_u64(seed),
             spec,
             offers,
-            asked: BTreeMap::new(),
-            standing: BTreeMap::new(),
-            count: 0,
+            pending: BTreeMap::new(),
+            established: BTreeMap::new(),
+            call_count: 0,
             throttle: 1.0,
             throttled_at: 0,
-            greeted: false,
-            known: false,
+            registration_sent: false,
+            has_registered_before: false,
             registered: false,
-            asked_events: false,
+            overload_events_requested: false,
         }
     }
 
-    /// What is offered from now on.
+    /// Replaces the offered load.
     pub fn offer_so(&mut self, offers: Offers) {
         self.offers = offers;
     }
 
-    /// When a tick is wanted at the latest.
+    /// Latest time for the next tick.
     pub fn due(&self, now: Micros) -> Micros {
-        if !self.greeted {
+        if !self.registration_sent {
             return now;
         }
         let calls = if self.registered { self.agenda.wake() } else { Micros::MAX };
-        calls.min(self.exchange.next_wake().unwrap_or(Micros::MAX)).min(now.saturating_add(LOOK))
+        calls.min(self.exchange.next_wake().unwrap_or(Micros::MAX)).min(now.saturating_add(MAX_TICK_INTERVAL))
     }
 
-    /// A datagram came.
+    /// Handles a received datagram.
     pub fn received(&mut self, now: Micros, text: &str, out: &mut Vec<TextOutput>) {
-        let mut dos = Vec::new();
-        self.registered |= self.heard(now, text, &mut dos, out);
-        if self.registered && self.offers.heeds && !std::mem::replace(&mut self.asked_events, true) {
+        let mut exchange_actions = Vec::new();
+        self.registered |= self.handle_datagram(now, text, &mut exchange_actions, out);
+        if self.registered
+            && self.offers.heeds
+            && !std::mem::replace(&mut self.overload_events_requested, true)
+        {
             let mid = &self.spec.mid;
             let events = |id| format!("!/1 {mid} T={id}{{C=-{{MF=ROOT{{E=1{{ocp/mg_overload}}}}}}}}");
-            let sent = self.exchange.send(now, events, &mut dos);
-            self.asked.extend(sent.map(|id| (id, Asked::Release)));
+            let sent = self.exchange.send(now, events, &mut exchange_actions);
+            self.pending.extend(sent.map(|id| (id, PendingRequest::Release)));
         }
-        self.carry(dos, out);
+        self.emit(exchange_actions, out);
     }
 
-    /// Time has passed.
+    /// Handles all events that are due at `now`.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<TextOutput>) {
-        let mut dos = Vec::new();
-        if !std::mem::replace(&mut self.greeted, true) {
+        let mut exchange_actions = Vec::new();
+        if !std::mem::replace(&mut self.registration_sent, true) {
             let mid = &self.spec.mid;
-            // A front that lost it is greeted as one whose client was there all the time: its transactions go on, and
-            // a late copy of one that was answered must not be executed.
-            let method = if std::mem::replace(&mut self.known, true) { "DC" } else { "RS" };
-            let hello = |id| format!("!/1 {mid} T={id}{{C=-{{SC=ROOT{{SV{{MT={method}}}}}}}}}");
-            if let Some(id) = self.exchange.send(now, hello, &mut dos) {
-                self.asked.insert(id, Asked::Register);
+            // After the loss of the registration the method is "disconnected" instead of "restart": the
+            // client's transactions continue, and the front must not execute a late copy of one that was
+            // already answered.
+            let method = if std::mem::replace(&mut self.has_registered_before, true) { "DC" } else { "RS" };
+            let registration = |id| format!("!/1 {mid} T={id}{{C=-{{SC=ROOT{{SV{{MT={method}}}}}}}}}");
+            if let Some(id) = self.exchange.send(now, registration, &mut exchange_actions) {
+                self.pending.insert(id, PendingRequest::Register);
             }
         }
-        self.exchange.tick(now, &mut dos);
+        self.exchange.tick(now, &mut exchange_actions);
         if self.registered {
-            self.act(now, &mut dos, out);
+            self.run_due(now, &mut exchange_actions, out);
         }
-        self.carry(dos, out);
+        self.emit(exchange_actions, out);
     }
 
-    fn carry(&mut self, dos: Vec<ExchangeAction>, out: &mut Vec<TextOutput>) {
-        for what in dos {
-            match what {
+    fn emit(&mut self, exchange_actions: Vec<ExchangeAction>, out: &mut Vec<TextOutput>) {
+        for action in exchange_actions {
+            match action {
                 ExchangeAction::Send(text) => out.push(TextOutput::Send(text)),
                 ExchangeAction::Ack(id) => {
                     out.push(TextOutput::Send(format!("!/1 {} K{{{id}}}", self.spec.mid).into()));
                 }
-                ExchangeAction::Lost(id) => drop(self.asked.remove(&id)),
+                ExchangeAction::Lost(id) => drop(self.pending.remove(&id)),
                 _ => {}
             }
         }
     }
 
-    fn act(&mut self, now: Micros, dos: &mut Vec<ExchangeAction>, out: &mut Vec<TextOutput>) {
+    fn run_due(
+        &mut self,
+        now: Micros,
+        exchange_actions: &mut Vec<ExchangeAction>,
+        out: &mut Vec<TextOutput>,
+    ) {
         let Offers { factor, flood, heeds, .. } = self.offers;
-        if now >= self.throttled_at + STEP {
+        if now >= self.throttled_at + RECOVERY_INTERVAL {
             self.throttled_at = now;
-            self.throttle = (self.throttle * RECOVERS).min(1.0);
+            self.throttle = (self.throttle * RECOVERY_FACTOR).min(1.0);
         }
         let throttle = if heeds { self.throttle } else { 1.0 };
         for flow in 0..self.spec.flows.len() {
@@ -185,34 +206,34 @@
             let rate = self.spec.flows[flow].rate * factor * flooding * throttle;
             for _ in 0..self.agenda.calls(now, flow, rate, &mut self.rng) {
                 let choice = choice(&mut self.rng, &self.spec.servers);
-                self.offer(now, flow, None, 0, choice, dos, out);
+                self.offer(now, flow, None, 0, choice, exchange_actions, out);
             }
         }
         while let Some(due) = self.agenda.take(now) {
             match due {
-                Due::GiveUp(id) => self.give_up(now, id, out),
+                Due::CallerTimeout(id) => self.caller_timeout(now, id, out),
                 Due::Hangup(context) => {
-                    if let Some((name, _)) = self.standing.remove(&context) {
+                    if let Some((name, _)) = self.established.remove(&context) {
                         out.push(TextOutput::Record(RecordEvent::Hangup {
                             front: self.spec.front,
                             call: name,
                         }));
-                        self.release(now, context, dos);
+                        self.release(now, context, exchange_actions);
                     }
                 }
                 Due::Redial { flow, first, tries, choice } if factor > 0.0 => {
-                    self.offer(now, flow, Some(first), tries, choice, dos, out);
+                    self.offer(now, flow, Some(first), tries, choice, exchange_actions, out);
                 }
                 Due::Redial { .. } => {}
             }
         }
     }
 
-    fn release(&mut self, now: Micros, context: u32, dos: &mut Vec<ExchangeAction>) {
+    fn release(&mut self, now: Micros, context: u32, exchange_actions: &mut Vec<ExchangeAction>) {
         let mid = &self.spec.mid;
         let text = |id| format!("!/1 {mid} T={id}{{C={context}{{S=trunk/{context}}}}}");
-        if let Some(id) = self.exchange.send(now, text, dos) {
-            self.asked.insert(id, Asked::Release);
+        if let Some(id) = self.exchange.send(now, text, exchange_actions) {
+            self.pending.insert(id, PendingRequest::Release);
         }
     }
 
@@ -224,12 +245,12 @@
         first: Option<String>,
         tries: u32,
         choice: usize,
-        dos: &mut Vec<ExchangeAction>,
+        exchange_actions: &mut Vec<ExchangeAction>,
         out: &mut Vec<TextOutput>,
     ) {
-        self.count += 1;
+        self.call_count += 1;
         let Flow { class, publisher, context, subscription, patience, .. } = self.spec.flows[flow].clone();
-        let (mid, count) = (self.spec.mid.clone(), self.count);
+        let (mid, count) = (self.spec.mid.clone(), self.call_count);
         let number = 6_000_000 + self.rng.random_range(0..1_000_000);
         let server = self.spec.servers.get(choice).map_or("", |(host, _)| host.as_str());
         let text = |id| {
@@ -238,7 +259,7 @@
                  bdc/sub=\"{subscription}\",bdc/srv={server},bdc/ref={count}}}}}}}}}}}"
             )
         };
-        let Some(id) = self.exchange.send(now, text, dos) else { return };
+        let Some(id) = self.exchange.send(now, text, exchange_actions) else { return };
         let name = format!("{mid}|{count}");
         out.push(TextOutput::Record(RecordEvent::Offer {
             front: self.spec.front,
@@ -251,18 +272,22 @@
         }));
         out.push(TextOutput::Record(RecordEvent::RequestSent { call: name, transaction: id }));
         let name = format!("{mid}|{count}");
-        self.agenda.at(now + patience, Due::GiveUp(id));
-        self.asked.insert(id, Asked::SetUp { name, flow, first, tries, choice, waits: true });
+        self.agenda.at(now + patience, Due::CallerTimeout(id));
+        self.pending
+            .insert(id, PendingRequest::SetUp { name, flow, first, tries, choice, caller_waiting: true });
     }
 
-    fn give_up(&mut self, now: Micros, id: u32, out: &mut Vec<TextOutput>) {
+    fn caller_timeout(&mut self, now: Micros, id: u32, out: &mut Vec<TextOutput>) {
         let front = self.spec.front;
-        let Some(Asked::SetUp { name, flow, first, tries, choice, waits }) = self.asked.get_mut(&id) else {
+        let Some(PendingRequest::SetUp { name, flow, first, tries, choice, caller_waiting }) =
+            self.pending.get_mut(&id)
+        else {
             return;
         };
-        if std::mem::take(waits) {
+        if std::mem::take(caller_waiting) {
             out.push(TextOutput::Record(RecordEvent::CallerTimeout { front, call: name.clone() }));
-            // Guards against a set-up by a front's later process, which cannot know that its caller left.
+            // A later process of the front cannot know that the caller has left, and must not execute the
+            // set-up.
             self.exchange.abandon(now, id);
             let first = first.clone().unwrap_or_else(|| name.clone());
             let (flow, tries, choice) = (*flow, *tries, *choice);
@@ -273,17 +298,17 @@
     fn redial(&mut self, now: Micros, flow: usize, first: String, tries: u32, choice: usize) {
         let (redials, wait) = (self.offers.redials, self.offers.redial_wait as f64);
         if tries < redials {
-            let wait = drawn(&mut self.rng, wait);
-            self.agenda.at(now + wait, Due::Redial { flow, first, tries: tries + 1, choice });
+            let delay = drawn(&mut self.rng, wait);
+            self.agenda.at(now + delay, Due::Redial { flow, first, tries: tries + 1, choice });
         }
     }
 
-    /// Takes a datagram; whether it was the answer to the registration.
-    fn heard(
+    /// Handles a datagram; returns whether it contained the reply that accepts the registration.
+    fn handle_datagram(
         &mut self,
         now: Micros,
         text: &str,
-        dos: &mut Vec<ExchangeAction>,
+        exchange_actions: &mut Vec<ExchangeAction>,
         out: &mut Vec<TextOutput>,
     ) -> bool {
         let Ok(message) = parse(text) else { return false };
@@ -292,27 +317,31 @@
         for transaction in all {
             match transaction {
                 Transaction::Reply { id, immediate_ack, body } => {
-                    let before = dos.len();
-                    self.exchange.handle(now, ExchangeInput::Reply { id, immediate_ack }, dos);
-                    let first = dos[before..].contains(&ExchangeAction::Delivered(id));
-                    if first {
-                        registered |= self.replied(now, id, &body, dos, out);
+                    let previous_len = exchange_actions.len();
+                    self.exchange.handle(now, ExchangeInput::Reply { id, immediate_ack }, exchange_actions);
+                    let is_first = exchange_actions[previous_len..].contains(&ExchangeAction::Delivered(id));
+                    if is_first {
+                        registered |= self.handle_reply(now, id, &body, exchange_actions, out);
                     }
                 }
-                Transaction::Pending(id) => self.exchange.handle(now, ExchangeInput::Pending(id), dos),
-                Transaction::Ack(ranges) => self.exchange.handle(now, ExchangeInput::Ack(ranges), dos),
+                Transaction::Pending(id) => {
+                    self.exchange.handle(now, ExchangeInput::Pending(id), exchange_actions)
+                }
+                Transaction::Ack(ranges) => {
+                    self.exchange.handle(now, ExchangeInput::Ack(ranges), exchange_actions)
+                }
                 Transaction::Request { id, actions } => {
-                    let before = dos.len();
-                    self.exchange.handle(now, ExchangeInput::Request(id), dos);
-                    if dos[before..].contains(&ExchangeAction::Execute(id)) {
-                        let mut notified =
+                    let previous_len = exchange_actions.len();
+                    self.exchange.handle(now, ExchangeInput::Request(id), exchange_actions);
+                    if exchange_actions[previous_len..].contains(&ExchangeAction::Execute(id)) {
+                        let mut descriptors =
                             actions.iter().flat_map(|a| &a.commands).flat_map(|c| &c.descriptors);
-                        if notified.any(|d| d.find("ocp/mg_overload", "").is_some()) {
-                            self.throttle = (self.throttle * TAKES).max(0.01);
+                        if descriptors.any(|d| d.find("ocp/mg_overload", "").is_some()) {
+                            self.throttle = (self.throttle * THROTTLE_FACTOR).max(0.01);
                         }
                         let context = actions.first().map(|action| action.context);
                         if let Some(baydrift_h248::Context::Id(context)) = context {
-                            if let Some((call, flow)) = self.standing.remove(&context) {
+                            if let Some((call, flow)) = self.established.remove(&context) {
                                 let front = self.spec.front;
                                 out.push(TextOutput::Record(RecordEvent::Dropped {
                                     front,
@@ -323,7 +352,7 @@
                             }
                         }
                         let reply = format!("!/1 {} P={id}{{C=-{{N=ROOT}}}}", self.spec.mid);
-                        self.exchange.reply(now, id, reply.into(), 0, dos);
+                        self.exchange.reply(now, id, reply.into(), 0, exchange_actions);
                     }
                 }
             }
@@ -331,20 +360,21 @@
         registered
     }
 
-    fn replied(
+    /// Handles the first reply to a transaction; returns whether it accepts the registration.
+    fn handle_reply(
         &mut self,
         now: Micros,
         id: u32,
         body: &ReplyBody,
-        dos: &mut Vec<ExchangeAction>,
+        exchange_actions: &mut Vec<ExchangeAction>,
         out: &mut Vec<TextOutput>,
     ) -> bool {
-        let (call, flow, first, tries, choice, waits) = match self.asked.remove(&id) {
-            Some(Asked::Register) => return matches!(body, ReplyBody::Actions(_)),
-            Some(Asked::SetUp { name, flow, first, tries, choice, waits }) => {
-                (name, flow, first, tries, choice, waits)
+        let (call, flow, first, tries, choice, caller_waiting) = match self.pending.remove(&id) {
+            Some(PendingRequest::Register) => return matches!(body, ReplyBody::Actions(_)),
+            Some(PendingRequest::SetUp { name, flow, first, tries, choice, caller_waiting }) => {
+                (name, flow, first, tries, choice, caller_waiting)
             }
-            Some(Asked::Release) | None => return false,
+            Some(PendingRequest::Release) | None => return false,
         };
         let error = match body {
             ReplyBody::Error(error) => Some(error.code),
@@ -358,12 +388,12 @@
             ReplyBody::Actions(actions) => actions.first().map(|action| action.context),
             ReplyBody::Error(_) => None,
         };
-        // The front's process is another one, which knows no client: it is greeted anew (RFC 3525, section 11.5).
-        // Guards against callers of text that are turned away for ever after a front was killed.
+        // The front has restarted and does not know this client, so the client registers again (RFC 3525,
+        // section 11.5). Without that, the front would reject its callers forever after a crash.
         if error == Some(BEFORE_SERVICE_CHANGE) {
-            (self.registered, self.greeted) = (false, false);
+            (self.registered, self.registration_sent) = (false, false);
         }
-        // The record has one set of codes for both protocols.
+        // The record uses one set of result codes for both protocols.
         let code = match error {
             None => 2001,
             Some(510) => 3004,
@@ -372,23 +402,24 @@
         let front = self.spec.front;
         out.push(TextOutput::Record(RecordEvent::Answer { front, call: call.clone(), code }));
         match (code, context) {
-            (2001, Some(baydrift_h248::Context::Id(context))) if waits => {
+            (2001, Some(baydrift_h248::Context::Id(context))) if caller_waiting => {
                 let hold = self.spec.flows[flow].hold as f64;
                 let hold = drawn(&mut self.rng, hold);
-                self.standing.insert(context, (call, flow));
+                self.established.insert(context, (call, flow));
                 self.agenda.at(now + hold, Due::Hangup(context));
             }
-            // It stands for a caller that is gone.
-            (2001, Some(baydrift_h248::Context::Id(context))) => self.release(now, context, dos),
-            _ if waits => self.redial(now, flow, first.unwrap_or(call), tries, choice),
+            // Established after the caller has left.
+            (2001, Some(baydrift_h248::Context::Id(context))) => self.release(now, context, exchange_actions),
+            _ if caller_waiting => self.redial(now, flow, first.unwrap_or(call), tries, choice),
             _ => {}
         }
         false
     }
 }
 
-/// What a datagram says of transactions, for the record: requests towards the front, replies back.
-pub fn said(client: &str, to_front: bool, datagram: &str, lost: bool) -> Vec<RecordEvent> {
+/// Record events for the transactions in a datagram: the requests in one to the front, the replies in one
+/// from it.
+pub fn datagram_events(client: &str, to_front: bool, datagram: &str, lost: bool) -> Vec<RecordEvent> {
     let Ok(message) = parse(datagram) else { return Vec::new() };
     let Body::Transactions(all) = message.body else { return Vec::new() };
     let ids = all.into_iter().filter_map(|transaction| match transaction {
--- a/crates/emulator/src/two_ends.rs
+++ b/crates/emulator/src/trunk_pair.rs
@@ -1,5 +1,6 @@
-//! Two exchanges and the trunk groups between them, in virtual time: callers at both ends, signals that get lost,
-//! doubled, late and out of order, ends that restart and forget. What must never happen is looked for at each event.
+//! Simulation, in virtual time, of two exchanges and the trunk groups between them: callers at both ends,
+//! signals that are lost, duplicated, delayed and reordered, and ends that restart and lose their state.
+//! Invariants are checked at each event.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,44 +17,44 @@
 use crate::agenda::drawn;
 use crate::queue::Queue;
 
-/// Two exchanges as they are tried.
+/// Parameters of the simulated exchanges.
 #[derive(Debug, Clone, PartialEq)]
-pub struct TwoEndsSpec {
-    /// Trunk groups, and circuits of each.
+pub struct TrunkPairSpec {
+    /// Number of trunk groups.
     pub groups: u16,
-    /// Circuits of a group.
+    /// Circuits per group.
     pub circuits: u16,
-    /// How each end chooses.
+    /// Circuit selection method of both ends.
     pub selection: Selection,
-    /// Circuits kept back for first choices.
+    /// Circuits per group reserved for first-choice calls.
     pub reserve: usize,
-    /// Calls a second from each end.
+    /// Offered calls per second, per end.
     pub rates: [f64; 2],
-    /// Share of calls whose group is not their first choice.
+    /// Share of calls for which the group is an overflow choice.
     pub overflow: f64,
-    /// Mean time that a call stands.
+    /// Mean holding time of an answered call.
     pub hold: Micros,
-    /// An incoming call is answered after this on average.
+    /// Mean time until an incoming call is answered.
     pub answer: Micros,
-    /// A caller gives up after this.
-    pub patience: Micros,
+    /// Time after which a caller abandons an unanswered call.
+    pub caller_timeout: Micros,
     /// Share of signals lost.
     pub lost: f64,
-    /// Share of signals that come twice.
+    /// Share of signals that are duplicated.
     pub doubled: f64,
-    /// A signal takes at least this ...
+    /// Minimum delay of a signal.
     pub delay: Micros,
-    /// ... and up to so much more; by itself, so that signals can pass each other.
+    /// Maximum additional delay, drawn for each signal separately, so that signals can overtake each other.
     pub jitter: Micros,
-    /// Timers of both ends.
+    /// Timer settings of both ends.
     pub timers: TimerSettings,
-    /// Audits of both ends.
+    /// Audit settings of both ends.
     pub audit: AuditSettings,
-    /// Seed of all that is drawn.
+    /// Seed of all random draws.
     pub seed: u64,
 }
 
-impl Default for TwoEndsSpec {
+impl Default for TrunkPairSpec {
     fn default() -> Self {
         Self {
             groups: 1,
@@ -64,7 +65,7 @@
             overflow: 0.0,
             hold: 2_000_000,
             answer: 100_000,
-            patience: 3_000_000,
+            caller_timeout: 3_000_000,
             lost: 0.0,
             doubled: 0.0,
             delay: 2_000,
@@ -76,44 +77,44 @@
     }
 }
 
-/// What came of it so far.
+/// Counts since the start of the simulation.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Tally {
-    /// Calls offered, of each end.
+pub struct TrunkTally {
+    /// Calls offered, per end.
     pub offered: [u64; 2],
-    /// Outgoing calls that stood, of each end.
+    /// Outgoing calls that were answered, per end.
     pub answered: [u64; 2],
-    /// Outgoing calls that ended otherwise, by how, of each end.
+    /// Outgoing calls that ended without an answer, by reason, per end.
     pub ended: [BTreeMap<&'static str, u64>; 2],
-    /// Callers that gave up.
-    pub gave_up: [u64; 2],
-    /// Standing calls that were cut by a reset.
-    pub cut: u64,
+    /// Outgoing calls abandoned at the caller's timeout, per end.
+    pub caller_timeouts: [u64; 2],
+    /// Answered calls dropped by a reset.
+    pub dropped: u64,
     /// Signals sent.
     pub signals: u64,
-    /// Signals of audits among them.
+    /// Audit signals among them.
     pub audit_signals: u64,
-    /// Circuits that audits found stuck.
+    /// Stuck circuits found by audits.
     pub stuck: u64,
-    /// What must never happen, in words; at most some hundred.
+    /// Descriptions of invariant violations; the first 100 are kept.
     pub violations: Vec<String>,
 }
 
 #[derive(Debug)]
 enum Event {
-    Arrive(usize, GroupId, Cic, Signal),
+    SignalArrival(usize, GroupId, Cic, Signal),
     Offer(usize),
     Answer(usize, CallKey),
     Hangup(usize, CallKey),
-    GiveUp(usize, CallKey),
-    Wake(usize),
+    CallerTimeout(usize, CallKey),
+    Timer(usize),
     Restart(usize),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    Asked,
-    Stands,
+    Pending,
+    Answered,
 }
 
 #[derive(Debug)]
@@ -123,28 +124,31 @@
     incoming: bool,
 }
 
-/// See the module's page.
+/// The simulation of both exchanges; see the module documentation.
 #[derive(Debug)]
-pub struct TwoEnds {
-    spec: TwoEndsSpec,
+pub struct TrunkPair {
+    spec: TrunkPairSpec,
     queue: Queue<Event>,
     ends: [Trunks; 2],
     /// Calls held at each end.
     calls: [BTreeMap<CallKey, Call>; 2],
-    armed: [Micros; 2],
-    next: u64,
+    /// Earliest scheduled timer event of each end.
+    timer_at: [Micros; 2],
+    next_call: u64,
     rng: Pcg64Mcg,
-    tally: Tally,
-    offering: bool,
+    tally: TrunkTally,
+    callers_active: bool,
 }
 
-const TOLD: usize = 100;
+/// Maximum number of violations that are kept.
+const MAX_VIOLATIONS: usize = 100;
 
-fn trunks(spec: &TwoEndsSpec, end: usize) -> Result<Trunks, (usize, SpecError)> {
-    let points = [2, 1];
+/// Creates the trunk groups of one end.
+fn new_trunks(spec: &TrunkPairSpec, end: usize) -> Result<Trunks, (usize, SpecError)> {
+    let point_codes = [2, 1];
     let group = |_| GroupSpec {
-        own_point: points[end],
-        far_point: points[1 - end],
+        own_point: point_codes[end],
+        far_point: point_codes[1 - end],
         first: 1,
         circuits: spec.circuits,
         selection: spec.selection,
@@ -153,110 +157,112 @@
     Trunks::new((0..spec.groups).map(group).collect(), spec.timers, spec.audit)
 }
 
-impl TwoEnds {
-    /// Both ends, idle; callers begin with [`TwoEnds::begin`].
+impl TrunkPair {
+    /// Creates two idle ends. [`TrunkPair::start_callers`] starts the callers.
     ///
     /// # Errors
-    /// Where a group cannot be.
-    pub fn new(spec: TwoEndsSpec) -> Result<Self, (usize, SpecError)> {
-        let ends = [trunks(&spec, 0)?, trunks(&spec, 1)?];
-        let mut two = Self {
+    /// Returns the index of a trunk group whose specification is invalid, and the error.
+    pub fn new(spec: TrunkPairSpec) -> Result<Self, (usize, SpecError)> {
+        let ends = [new_trunks(&spec, 0)?, new_trunks(&spec, 1)?];
+        let mut pair = Self {
             rng: Pcg64Mcg::seed_from_u64(spec.seed),
             queue: Queue::default(),
             ends,
             calls: Default::default(),
-            armed: [Micros::MAX; 2],
-            next: 1,
-            tally: Tally::default(),
-            offering: false,
+            timer_at: [Micros::MAX; 2],
+            next_call: 1,
+            tally: TrunkTally::default(),
+            callers_active: false,
             spec,
         };
-        (0..2).for_each(|end| two.arm(end));
-        Ok(two)
+        (0..2).for_each(|end| pair.schedule_timer(end));
+        Ok(pair)
     }
 
-    /// The clock.
+    /// Current virtual time.
     pub fn now(&self) -> Micros {
         self.queue.now()
     }
 
-    /// What came of it.
-    pub fn tally(&self) -> &Tally {
+    /// Counts since the start of the simulation.
+    pub fn tally(&self) -> &TrunkTally {
         &self.tally
     }
 
-    /// An end's own counts.
+    /// Counts that an end keeps itself.
     pub fn counts(&self, end: usize) -> Counts {
         self.ends[end].counts()
     }
 
-    /// An end.
+    /// The trunk groups of an end.
     pub fn end(&self, end: usize) -> &Trunks {
         &self.ends[end]
     }
 
-    /// Callers of both ends begin.
-    pub fn begin(&mut self) {
-        self.offering = true;
+    /// Starts the callers of both ends.
+    pub fn start_callers(&mut self) {
+        self.callers_active = true;
         for end in 0..2 {
             if self.spec.rates[end] > 0.0 {
-                self.next_offer(end);
+                self.schedule_offer(end);
             }
         }
     }
 
-    /// No more calls.
-    pub fn close(&mut self) {
-        self.offering = false;
+    /// Stops offering new calls.
+    pub fn stop_callers(&mut self) {
+        self.callers_active = false;
     }
 
-    /// Both ends offer a call at the same moment.
+    /// Offers a call from both ends at the same time.
     pub fn offer_both(&mut self) {
         (0..2).for_each(|end| self.offer(end));
     }
 
-    /// An end restarts at a time: it forgets all, and resets its groups.
+    /// Schedules a restart of an end, which loses its state and resets its groups.
     pub fn restart_at(&mut self, at: Micros, end: usize) {
         self.queue.at(at, Event::Restart(end));
     }
 
-    /// Runs until a time.
+    /// Runs until the given time.
     pub fn run_until(&mut self, until: Micros) {
         while let Some(event) = self.queue.next(until) {
-            self.take(event);
+            self.handle(event);
         }
     }
 
-    /// Runs until neither end has a call or a busy circuit, at most until then; when that was.
-    pub fn run_until_idle(&mut self, most: Micros) -> Option<Micros> {
+    /// Runs until neither end has a call or a busy circuit, and returns that time; `None` if they are not
+    /// idle by `deadline`.
+    pub fn run_until_idle(&mut self, deadline: Micros) -> Option<Micros> {
         loop {
             if self.busy() == 0 && self.calls.iter().all(BTreeMap::is_empty) {
                 return Some(self.queue.now());
             }
-            let event = self.queue.next(most)?;
-            self.take(event);
+            let event = self.queue.next(deadline)?;
+            self.handle(event);
         }
     }
 
-    /// Circuits that either end does not hold for idle.
+    /// Number of circuits that are not idle, at the end that has more of them.
     pub fn busy(&self) -> usize {
         let groups = (0..self.spec.groups).map(GroupId);
-        let of = |end: &Trunks| -> usize {
+        let busy = |end: &Trunks| -> usize {
             let usage = groups.clone().filter_map(|group| end.usage(group));
             usage.map(|usage| usage.outgoing + usage.incoming + usage.clearing).sum()
         };
-        self.ends.iter().map(of).max().unwrap_or(0)
+        self.ends.iter().map(busy).max().unwrap_or(0)
     }
 
-    /// Circuits on which one end has held a call for at least so long, and the other end does not hold the same one.
-    pub fn stuck_for(&self, least: Micros) -> usize {
+    /// Number of circuits on which one end has held a call for at least `min_age`, and the other end does not
+    /// hold the same call.
+    pub fn stuck_circuits(&self, min_age: Micros) -> usize {
         let mut stuck = 0;
         for group in (0..self.spec.groups).map(GroupId) {
             for cic in 1..=self.spec.circuits {
                 let views = [0, 1].map(|end| self.ends[end].view(group, cic));
                 let held = [0, 1].map(|end| self.reference_on(end, group, cic));
                 let long = views.iter().zip(held).any(|(view, held)| {
-                    held.is_some() && view.is_some_and(|v| v.since + least <= self.queue.now())
+                    held.is_some() && view.is_some_and(|v| v.since + min_age <= self.queue.now())
                 });
                 stuck += usize::from(long && held[0] != held[1]);
             }
@@ -264,7 +270,7 @@
         stuck
     }
 
-    /// The call that an end holds on a circuit.
+    /// Reference of the call that an end holds on a circuit.
     fn reference_on(&self, end: usize, group: GroupId, cic: Cic) -> Option<u64> {
         let call = self.ends[end].view(group, cic)?.call?;
         self.calls[end].get(&call).map(|call| call.reference)
@@ -272,24 +278,24 @@
 
     // --- events ---
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let now = self.queue.now();
         let mut out = Vec::new();
         let end = match event {
-            Event::Arrive(end, group, cic, signal) => {
+            Event::SignalArrival(end, group, cic, signal) => {
                 self.ends[end].handle_signal(now, group, cic, signal, &mut out);
                 end
             }
             Event::Offer(end) => {
-                if self.offering {
+                if self.callers_active {
                     self.offer(end);
-                    self.next_offer(end);
+                    self.schedule_offer(end);
                 }
                 return;
             }
             Event::Answer(end, call) => {
                 if let Some(held) = self.calls[end].get_mut(&call) {
-                    held.state = State::Stands;
+                    held.state = State::Answered;
                     self.ends[end].answer(call, &mut out);
                 }
                 end
@@ -300,82 +306,82 @@
                 }
                 end
             }
-            Event::GiveUp(end, call) => {
-                if self.calls[end].get(&call).is_some_and(|held| held.state == State::Asked) {
+            Event::CallerTimeout(end, call) => {
+                if self.calls[end].get(&call).is_some_and(|held| held.state == State::Pending) {
                     self.calls[end].remove(&call);
-                    self.tally.gave_up[end] += 1;
+                    self.tally.caller_timeouts[end] += 1;
                     self.ends[end].release(now, call, 19, &mut out);
                 }
                 end
             }
-            Event::Wake(end) => {
-                if self.armed[end] <= now {
-                    self.armed[end] = Micros::MAX;
+            Event::Timer(end) => {
+                if self.timer_at[end] <= now {
+                    self.timer_at[end] = Micros::MAX;
                 }
                 self.ends[end].tick(now, &mut out);
                 end
             }
             Event::Restart(end) => {
                 self.calls[end].clear();
-                // The same specification made the one before.
-                if let Ok(fresh) = trunks(&self.spec, end) {
+                // Valid: the same specification was accepted in `new`.
+                if let Ok(fresh) = new_trunks(&self.spec, end) {
                     self.ends[end] = fresh;
                 }
                 (0..self.spec.groups).for_each(|group| self.ends[end].reset(now, GroupId(group), &mut out));
                 end
             }
         };
-        self.outputs(end, out);
+        self.handle_outputs(end, out);
     }
 
-    fn arm(&mut self, end: usize) {
+    fn schedule_timer(&mut self, end: usize) {
         let due = self.ends[end].next_wake().unwrap_or(Micros::MAX);
-        if due < self.armed[end] {
-            self.armed[end] = due;
-            self.queue.at(due, Event::Wake(end));
+        if due < self.timer_at[end] {
+            self.timer_at[end] = due;
+            self.queue.at(due, Event::Timer(end));
         }
     }
 
-    fn next_offer(&mut self, end: usize) {
+    fn schedule_offer(&mut self, end: usize) {
         let wait = drawn(&mut self.rng, 1e6 / self.spec.rates[end]);
         self.queue.at(self.queue.now() + wait, Event::Offer(end));
     }
 
     fn offer(&mut self, end: usize) {
         let now = self.queue.now();
-        let (call, group) = (CallKey(self.next), GroupId(self.rng.random_range(0..self.spec.groups)));
-        let claim = if self.rng.random::<f64>() < self.spec.overflow {
+        let (call, group) = (CallKey(self.next_call), GroupId(self.rng.random_range(0..self.spec.groups)));
+        let choice = if self.rng.random::<f64>() < self.spec.overflow {
             RouteChoice::Overflow
         } else {
             RouteChoice::First
         };
-        self.next += 1;
+        self.next_call += 1;
         self.tally.offered[end] += 1;
         let setup = Setup { number: Arc::from([5u8, 5, 5]), reference: Arc::from(call.0.to_be_bytes()) };
-        self.calls[end].insert(call, Call { reference: call.0, state: State::Asked, incoming: false });
-        self.queue.at(now + self.spec.patience, Event::GiveUp(end, call));
+        self.calls[end].insert(call, Call { reference: call.0, state: State::Pending, incoming: false });
+        self.queue.at(now + self.spec.caller_timeout, Event::CallerTimeout(end, call));
         let mut out = Vec::new();
-        self.ends[end].seize(now, call, group, setup, claim, &mut out);
-        self.outputs(end, out);
+        self.ends[end].seize(now, call, group, setup, choice, &mut out);
+        self.handle_outputs(end, out);
     }
 
-    fn outputs(&mut self, end: usize, out: Vec<Output>) {
+    fn handle_outputs(&mut self, end: usize, out: Vec<Output>) {
         for output in out {
             match output {
-                Output::Send { group, cic, signal } => self.carry(1 - end, group, cic, &signal),
+                Output::Send { group, cic, signal } => self.send_signal(1 - end, group, cic, &signal),
                 Output::Incoming { call, group: _, setup } => self.incoming(end, call, &setup),
                 Output::Accepted(_) => {}
                 Output::Answered(call) => self.answered(end, call),
-                Output::Ended(call, how) => self.ended(end, call, how),
+                Output::Ended(call, reason) => self.ended(end, call, reason),
                 Output::Report { group, cic, what: Maintenance::Stuck } => self.found_stuck(end, group, cic),
                 Output::Report { .. } => {}
             }
         }
-        self.arm(end);
+        self.schedule_timer(end);
     }
 
-    /// A signal is on its way, lost, or on its way twice.
-    fn carry(&mut self, to: usize, group: GroupId, cic: Cic, signal: &Signal) {
+    /// Schedules the arrival of a signal; loses or duplicates it at random.
+    fn send_signal(&mut self, to: usize, group: GroupId, cic: Cic, signal: &Signal) {
         self.tally.signals += 1;
         self.tally.audit_signals += u64::from(matches!(signal, Signal::Query(_) | Signal::QueryReply(_)));
         let draw = self.rng.random::<f64>();
@@ -386,45 +392,46 @@
         };
         for _ in 0..copies {
             let at = self.queue.now() + self.spec.delay + self.rng.random_range(0..=self.spec.jitter);
-            self.queue.at(at, Event::Arrive(to, group, cic, signal.clone()));
+            self.queue.at(at, Event::SignalArrival(to, group, cic, signal.clone()));
         }
     }
 
     fn incoming(&mut self, end: usize, call: CallKey, setup: &Setup) {
         let reference = setup.reference.as_ref().try_into().map_or(0, u64::from_be_bytes);
-        self.calls[end].insert(call, Call { reference, state: State::Asked, incoming: true });
+        self.calls[end].insert(call, Call { reference, state: State::Pending, incoming: true });
         let mut out = Vec::new();
         self.ends[end].accept(call, &mut out);
         let wait = drawn(&mut self.rng, self.spec.answer as f64);
         self.queue.at(self.queue.now() + wait, Event::Answer(end, call));
-        self.outputs(end, out);
+        self.handle_outputs(end, out);
     }
 
     fn answered(&mut self, end: usize, call: CallKey) {
         let Some(held) = self.calls[end].get_mut(&call) else {
             return self.violation(format!("call {} stands after its end", call.0));
         };
-        if std::mem::replace(&mut held.state, State::Stands) == State::Stands {
+        if std::mem::replace(&mut held.state, State::Answered) == State::Answered {
             return self.violation(format!("call {} stands twice", call.0));
         }
         self.tally.answered[end] += 1;
         let hold = drawn(&mut self.rng, self.spec.hold as f64);
         self.queue.at(self.queue.now() + hold, Event::Hangup(end, call));
-        // It stands on one circuit, and the other end holds this very call there.
+        // The other end must hold the same call on this circuit. Only checked without jitter, as reordered
+        // signals may leave the ends in disagreement for a while.
         let Some((group, cic)) = self.ends[end].circuit_of(call) else { return };
-        let (ours, theirs) = (self.reference_on(end, group, cic), self.reference_on(1 - end, group, cic));
-        if theirs.is_some() && ours != theirs && self.spec.jitter == 0 {
-            self.violation(format!("circuit {cic}: {ours:?} stands here, {theirs:?} there"));
+        let (local, remote) = (self.reference_on(end, group, cic), self.reference_on(1 - end, group, cic));
+        if remote.is_some() && local != remote && self.spec.jitter == 0 {
+            self.violation(format!("circuit {cic}: {local:?} stands here, {remote:?} there"));
         }
     }
 
-    fn ended(&mut self, end: usize, call: CallKey, how: End) {
+    fn ended(&mut self, end: usize, call: CallKey, reason: End) {
         let Some(held) = self.calls[end].remove(&call) else {
-            return self.violation(format!("call {} ends twice: {how:?}", call.0));
+            return self.violation(format!("call {} ends twice: {reason:?}", call.0));
         };
-        self.tally.cut += u64::from(held.state == State::Stands && how == End::Reset);
-        if !held.incoming && held.state == State::Asked {
-            let name = match how {
+        self.tally.dropped += u64::from(held.state == State::Answered && reason == End::Reset);
+        if !held.incoming && held.state == State::Pending {
+            let name = match reason {
                 End::Released(_) => "released",
                 End::NoCircuit => "no circuit",
                 End::Yielded => "yielded",
@@ -436,7 +443,7 @@
         }
     }
 
-    /// An audit resets a circuit: no call may stand on it at both ends.
+    /// An audit is about to reset a circuit; both ends must not hold the same call on it.
     fn found_stuck(&mut self, end: usize, group: GroupId, cic: Cic) {
         self.tally.stuck += 1;
         let views = [0, 1].map(|end| self.ends[end].view(group, cic).map(|view| view.state.processing));
@@ -447,9 +454,9 @@
         debug_assert!(views.iter().all(|view| *view != Some(Processing::Unequipped)));
     }
 
-    fn violation(&mut self, what: String) {
-        if self.tally.violations.len() < TOLD {
-            self.tally.violations.push(format!("at {} us: {what}", self.queue.now()));
+    fn violation(&mut self, description: String) {
+        if self.tally.violations.len() < MAX_VIOLATIONS {
+            self.tally.violations.push(format!("at {} us: {description}", self.queue.now()));
         }
     }
 }
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -17,13 +17,13 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::caller::{CallerInput, CallerOutput, CallerSpec, Callers};
-use crate::far_end::{FarEnd, FarEndSpec, FarInput, FarOutput};
+use crate::far_end::{FarEnd, FarEndInput, FarEndOutput, FarEndSpec};
 use crate::front::{Did, Front, ToCore};
 use crate::link::{Conns, End, Fault, Parcel, BACK, THERE};
 use crate::offers::Offers;
 use crate::queue::Queue;
 use crate::server::{Command, ServerInput, ServerOutput, ServerSpec, SessionServer};
-use crate::text::{said, TextCallers, TextOutput, TextSpec};
+use crate::text::{datagram_events, TextCallers, TextOutput, TextSpec};
 
 pub use faults::Place;
 
@@ -174,7 +174,7 @@
         }
         for far in spec.far_ends {
             world.record(RecordEvent::ServerStarted { server: far.number, cold: false });
-            let (seed, point) = (world.rng.random(), far.point);
+            let (seed, point) = (world.rng.random(), far.point_code);
             world.fars.push((FarEnd::new(far, seed), point));
         }
         for (caller, seed) in spec.callers {
@@ -204,7 +204,7 @@
     pub fn begin(&mut self) {
         (0..self.callers.len()).for_each(|callers| self.arm(Node::Callers(callers)));
         (0..self.texts.len()).for_each(|text| self.arm(Node::Text(text)));
-        (0..self.fars.len()).for_each(|far| self.far(far, FarInput::Offer(1.0)));
+        (0..self.fars.len()).for_each(|far| self.far(far, FarEndInput::Offer(1.0)));
     }
 
     /// The clock.
@@ -250,7 +250,7 @@
     /// A trouble of a server.
     pub fn command(&mut self, server: usize, command: Command) {
         match server.checked_sub(self.servers.len()) {
-            Some(far) => self.far(far, FarInput::Command(command)),
+            Some(far) => self.far(far, FarEndInput::Command(command)),
             None => self.server(server, ServerInput::Command(command)),
         }
     }
@@ -292,7 +292,7 @@
         }
         // A far end has one flow for all fronts: it changes with the first one's.
         if front.is_none_or(|front| front == 0) {
-            (0..self.fars.len()).for_each(|far| self.far(far, FarInput::Offer(offers.factor)));
+            (0..self.fars.len()).for_each(|far| self.far(far, FarEndInput::Offer(offers.factor)));
         }
     }
 
@@ -467,7 +467,7 @@
             Node::Core(front) => self.core(front, None),
             Node::ToServer(front, server) => self.server_input(front, server, PeerInput::Tick),
             Node::ToClient(front, link) => self.client_input(front, link, PeerInput::Tick),
-            Node::Far(far) => self.far(far, FarInput::Tick),
+            Node::Far(far) => self.far(far, FarEndInput::Tick),
             Node::ToFar(..) => {}
         }
     }
@@ -557,7 +557,7 @@
             self.server(server, ServerInput::Accepted(id));
         }
         if let (End::Far(far), End::FrontFar(front, _)) = (responder, initiator) {
-            self.far(far, FarInput::Up(front as u32));
+            self.far(far, FarEndInput::Up(front as u32));
         }
     }
 
@@ -581,7 +581,7 @@
             },
             Parcel::Packet(data) => match (at, conn.initiator) {
                 (End::Far(far), End::FrontFar(front, _)) => {
-                    self.far(far, FarInput::Received(front as u32, data));
+                    self.far(far, FarEndInput::Received(front as u32, data));
                 }
                 (End::FrontFar(front, far), _) => {
                     self.tell_core(front, Node::ToFar(front, far), SessionInput::TrunkPacket(data));
@@ -642,7 +642,7 @@
                 });
                 let fronts: BTreeSet<_> = fronts.collect();
                 for front in (0..self.fronts.len()).filter(|front| !fronts.contains(front)) {
-                    self.far(far, FarInput::Down(front as u32));
+                    self.far(far, FarEndInput::Down(front as u32));
                 }
             }
             End::FrontFar(front, far) => {
@@ -679,14 +679,14 @@
         self.fars.iter().position(|(_, other)| *other == point)
     }
 
-    fn far(&mut self, far: usize, input: FarInput) {
+    fn far(&mut self, far: usize, input: FarEndInput) {
         let now = self.queue.now();
         let mut out = Vec::new();
         let Some((model, _)) = self.fars.get_mut(far) else { return };
         model.handle(now, input, &mut out);
         for output in out {
             match output {
-                FarOutput::Send(front, data) => {
+                FarEndOutput::Send(front, data) => {
                     let to = End::FrontFar(front as usize, far);
                     let ids = self.conns.of(End::Far(far));
                     let id = ids
@@ -697,11 +697,11 @@
                         self.post(id, BACK, Parcel::Packet(data));
                     }
                 }
-                FarOutput::Record(moment) => self.record(moment),
-                FarOutput::Stopped => {
+                FarEndOutput::Record(moment) => self.record(moment),
+                FarEndOutput::Stopped => {
                     self.conns.of(End::Far(far)).into_iter().for_each(|id| self.close(id, 1));
                 }
-                FarOutput::Started => {}
+                FarEndOutput::Started => {}
             }
         }
         self.arm(Node::Far(far));
@@ -745,7 +745,7 @@
         let lost = self.rng.random::<f64>() < self.datagrams_lost;
         if self.datagrams_lost > 0.0 {
             let Some((_, _, client)) = self.texts.get(text) else { return };
-            for moment in said(client, to_front, &datagram, lost) {
+            for moment in datagram_events(client, to_front, &datagram, lost) {
                 self.record(moment);
             }
         }
--- a/crates/front/tests/admin.rs
+++ b/crates/front/tests/admin.rs
@@ -39,14 +39,14 @@
     FarEndSpec {
         number: 7,
         host: "gw.test".into(),
-        point: 21,
+        point_code: 21,
         fronts: BTreeMap::from([(11, 0)]),
-        first: 1,
+        first_cic: 1,
         circuits: 40,
         processor,
         calls_per_second: 0.0,
-        hold: 1_000_000,
-        patience: 3_000_000,
+        mean_hold: 1_000_000,
+        caller_timeout: 3_000_000,
         flow: (0, 0),
     }
 }
--- a/crates/standin/src/far_end.rs
+++ b/crates/standin/src/far_end.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use baydrift_audit::{RecordEvent, Recorder};
-use baydrift_emulator::{Command, FarEndSpec, FarInput, FarOutput};
+use baydrift_emulator::{Command, FarEndInput, FarEndOutput, FarEndSpec};
 use baydrift_isup::{Codec, Data, Packet};
 use futures_util::{SinkExt, StreamExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -20,13 +20,13 @@
 pub struct FarEnd {
     /// Its listening address for each front.
     pub addrs: BTreeMap<u32, SocketAddr>,
-    inputs: mpsc::UnboundedSender<FarInput>,
+    inputs: mpsc::UnboundedSender<FarEndInput>,
 }
 
 /// An input from a connection. A front's connections are numbered, since one may close after the next was
 /// opened.
 enum ConnectionInput {
-    Model(FarInput),
+    Model(FarEndInput),
     Opened(u32, u64, mpsc::UnboundedSender<Data>),
     Closed(u32, u64),
 }
@@ -54,12 +54,12 @@
 
     /// Injects a fault.
     pub fn command(&self, command: Command) {
-        let _ = self.inputs.send(FarInput::Command(command));
+        let _ = self.inputs.send(FarEndInput::Command(command));
     }
 
     /// Multiplies the configured rate of its own calls by `factor`; 0 stops them.
     pub fn offer(&self, factor: f64) {
-        let _ = self.inputs.send(FarInput::Offer(factor));
+        let _ = self.inputs.send(FarEndInput::Offer(factor));
     }
 }
 
@@ -101,7 +101,7 @@
 async fn run(
     mut model: baydrift_emulator::FarEnd,
     mut from_connections: mpsc::UnboundedReceiver<ConnectionInput>,
-    mut inputs: mpsc::UnboundedReceiver<FarInput>,
+    mut inputs: mpsc::UnboundedReceiver<FarEndInput>,
     listens: watch::Sender<bool>,
     recorder: Arc<Recorder>,
 ) {
@@ -114,16 +114,16 @@
                 Some(ConnectionInput::Model(input)) => input,
                 Some(ConnectionInput::Opened(front, id, to_connection)) => {
                     if connections.insert(front, (id, to_connection)).is_some() {
-                        model.handle(recorder.now(), FarInput::Down(front), &mut outputs);
+                        model.handle(recorder.now(), FarEndInput::Down(front), &mut outputs);
                     }
-                    FarInput::Up(front)
+                    FarEndInput::Up(front)
                 }
                 Some(ConnectionInput::Closed(front, id)) => {
                     if connections.get(&front).is_none_or(|(known, _)| *known != id) {
                         continue;
                     }
                     connections.remove(&front);
-                    FarInput::Down(front)
+                    FarEndInput::Down(front)
                 }
                 None => return,
             },
@@ -131,22 +131,22 @@
                 Some(input) => input,
                 None => return,
             },
-            () = tokio::time::sleep(wait) => FarInput::Tick,
+            () = tokio::time::sleep(wait) => FarEndInput::Tick,
         };
         model.handle(recorder.now(), input, &mut outputs);
         for output in outputs.drain(..) {
             match output {
-                FarOutput::Send(front, data) => {
+                FarEndOutput::Send(front, data) => {
                     if let Some((_, connection)) = connections.get(&front) {
                         let _ = connection.send(data);
                     }
                 }
-                FarOutput::Record(moment) => recorder.put(moment),
-                FarOutput::Stopped => {
+                FarEndOutput::Record(moment) => recorder.put(moment),
+                FarEndOutput::Stopped => {
                     listens.send_replace(false);
                     connections.clear();
                 }
-                FarOutput::Started => drop(listens.send_replace(true)),
+                FarEndOutput::Started => drop(listens.send_replace(true)),
             }
         }
     }
@@ -179,7 +179,7 @@
         tokio::select! {
             packet = connection.next() => match packet {
                 Some(Ok(Packet::Data(data))) => {
-                    let _ = to_model.send(ConnectionInput::Model(FarInput::Received(front, data)));
+                    let _ = to_model.send(ConnectionInput::Model(FarEndInput::Received(front, data)));
                 }
                 Some(Ok(Packet::AspUp)) => drop(connection.send(Packet::AspUpAck).await),
                 Some(Ok(Packet::AspUpAck | Packet::Other(..))) => {}
--- a/crates/standin/src/link.rs
+++ b/crates/standin/src/link.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use baydrift_audit::Recorder;
-use baydrift_emulator::{said, Fault};
+use baydrift_emulator::{datagram_events, Fault};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -176,7 +176,7 @@
                 if let Some(recorded) = &recorded {
                     // Recorded before it is forwarded, so that its effects are recorded after it.
                     let text = String::from_utf8_lossy(&buffer[..size]);
-                    let events = said(&recorded.client, to == b, &text, lost);
+                    let events = datagram_events(&recorded.client, to == b, &text, lost);
                     events.into_iter().for_each(|event| recorded.recorder.put(event));
                 }
                 if !lost {
