--- a/crates/cli/src/trunks.rs
+++ b/crates/cli/src/trunks.rs
@@ -68,7 +68,7 @@
         circuits: args.circuits,
         selection: if args.sequential { Selection::Sequential } else { Selection::Opposite },
         rates: [args.calls_per_second / 2.0; 2],
-        hold: micros(args.hold),
+        mean_hold: micros(args.hold),
         lost: args.lost.clamp(0.0, 1.0),
         doubled: args.doubled.clamp(0.0, 1.0),
         delay,
--- a/crates/emulator/src/budgets.rs
+++ b/crates/emulator/src/budgets.rs
@@ -78,7 +78,7 @@
     /// Units spent by all fronts.
     pub spent: u64,
     /// Units that fronts asked for.
-    pub wanted: u64,
+    pub requested: u64,
     /// Maximum number of units that the whole fleet spent in any window.
     pub max_in_window: usize,
     /// Messages sent.
@@ -113,6 +113,7 @@
 }
 
 struct Front {
+    /// Number of the current process; events of earlier ones are ignored.
     process: u32,
     down: bool,
     paused_until: Micros,
@@ -127,6 +128,7 @@
     escrow: Option<(Escrow, Borrower)>,
     /// When it spent units within the window, with fixed shares or shares by live count.
     spent: VecDeque<Micros>,
+    /// Time of the last heartbeat from each front; 0 for none.
     last_heartbeat: Vec<Micros>,
 }
 
@@ -135,7 +137,7 @@
     share: Share,
     queue: Queue<Event>,
     rng: Pcg64Mcg,
-    ways: Vec<Way>,
+    links: Vec<Way>,
     fronts: Vec<Front>,
     /// When any front spent a unit, within the window.
     spent: VecDeque<Micros>,
@@ -166,13 +168,13 @@
         last_heartbeat: vec![0; spec.fronts as usize],
     };
     let fronts: Vec<_> = (0..spec.fronts).map(|_| front(&mut rng)).collect();
-    let ways = (0..spec.fronts).map(|n| Way::new(spec.way, spec.seed ^ u64::from(n) << 20)).collect();
+    let links = (0..spec.fronts).map(|n| Way::new(spec.way, spec.seed ^ u64::from(n) << 20)).collect();
     let mut fleet = Fleet {
         spec,
         share: Share::new(BUDGET, spec.units, spec.fronts),
         queue: Queue::default(),
         rng,
-        ways,
+        links,
         fronts,
         spent: VecDeque::new(),
         windows: Vec::new(),
@@ -302,7 +304,7 @@
     /// A front asks for one unit, and spends it if the sharing scheme grants it.
     fn request_unit(&mut self, front: u32) {
         let (now, clock) = (self.queue.now(), self.clock(front));
-        self.tally.wanted += 1;
+        self.tally.requested += 1;
         let window_index = (now / self.spec.config.window) as usize;
         if self.windows.len() <= window_index {
             self.windows.resize(window_index + 1, (0, 0));
@@ -401,7 +403,7 @@
         if now < self.fronts[from as usize].outbound_lost_until {
             return;
         }
-        for at in self.ways[from as usize].datagram(now, size) {
+        for at in self.links[from as usize].datagram(now, size) {
             self.queue.at(at, Event::Arrival(from, to, datagram.clone()));
         }
     }
@@ -429,8 +431,8 @@
     }
 
     fn utilization(&self) -> f64 {
-        let spendable = |wanted: u64| wanted.min(u64::from(self.spec.units));
-        let spendable: u64 = self.windows.iter().map(|(wanted, _)| spendable(*wanted)).sum();
+        let spendable = |requested: u64| requested.min(u64::from(self.spec.units));
+        let spendable: u64 = self.windows.iter().map(|(requested, _)| spendable(*requested)).sum();
         let spent: u64 = self.windows.iter().map(|(_, spent)| (*spent).min(u64::from(self.spec.units))).sum();
         spent as f64 / spendable.max(1) as f64
     }
--- a/crates/emulator/src/membership.rs
+++ b/crates/emulator/src/membership.rs
@@ -91,6 +91,7 @@
 }
 
 struct Front {
+    /// Number of the current process; timer events of earlier ones are ignored.
     process: u32,
     membership: Option<Membership>,
     paused_until: Micros,
@@ -102,7 +103,7 @@
     spec: &'a MembershipSpec,
     queue: Queue<Event>,
     rng: Pcg64Mcg,
-    ways: Vec<Way>,
+    links: Vec<Way>,
     fronts: Vec<Front>,
     /// The fronts below this ordinal are partitioned from the others until this time.
     partition: (u32, Micros),
@@ -122,7 +123,7 @@
         spec,
         queue: Queue::default(),
         rng: Pcg64Mcg::seed_from_u64(spec.seed),
-        ways: (0..spec.fronts).map(|n| Way::new(spec.way, spec.seed ^ u64::from(n) << 20)).collect(),
+        links: (0..spec.fronts).map(|n| Way::new(spec.way, spec.seed ^ u64::from(n) << 20)).collect(),
         fronts: (0..spec.fronts).map(front).collect(),
         partition: (0, 0),
         tally: MembershipTally::default(),
@@ -193,7 +194,7 @@
         if partitioned || now < self.fronts[from as usize].outbound_lost_until {
             return;
         }
-        for at in self.ways[from as usize].datagram(now, message.len()) {
+        for at in self.links[from as usize].datagram(now, message.len()) {
             self.queue.at(at, Event::Arrival(from, to, message.clone()));
         }
     }
--- a/crates/emulator/src/trunk_pair.rs
+++ b/crates/emulator/src/trunk_pair.rs
@@ -33,9 +33,9 @@
     /// Share of calls for which the group is an overflow choice.
     pub overflow: f64,
     /// Mean holding time of an answered call.
-    pub hold: Micros,
+    pub mean_hold: Micros,
     /// Mean time until an incoming call is answered.
-    pub answer: Micros,
+    pub mean_answer_time: Micros,
     /// Time after which a caller abandons an unanswered call.
     pub caller_timeout: Micros,
     /// Share of signals lost.
@@ -63,8 +63,8 @@
             reserve: 0,
             rates: [5.0, 5.0],
             overflow: 0.0,
-            hold: 2_000_000,
-            answer: 100_000,
+            mean_hold: 2_000_000,
+            mean_answer_time: 100_000,
             caller_timeout: 3_000_000,
             lost: 0.0,
             doubled: 0.0,
@@ -401,7 +401,7 @@
         self.calls[end].insert(call, Call { reference, state: State::Pending, incoming: true });
         let mut out = Vec::new();
         self.ends[end].accept(call, &mut out);
-        let wait = drawn(&mut self.rng, self.spec.answer as f64);
+        let wait = drawn(&mut self.rng, self.spec.mean_answer_time as f64);
         self.queue.at(self.queue.now() + wait, Event::Answer(end, call));
         self.handle_outputs(end, out);
     }
@@ -414,7 +414,7 @@
             return self.violation(format!("call {} stands twice", call.0));
         }
         self.tally.answered[end] += 1;
-        let hold = drawn(&mut self.rng, self.spec.hold as f64);
+        let hold = drawn(&mut self.rng, self.spec.mean_hold as f64);
         self.queue.at(self.queue.now() + hold, Event::Hangup(end, call));
         // The other end must hold the same call on this circuit. Only checked without jitter, as reordered
         // signals may leave the ends in disagreement for a while.
--- a/crates/emulator/src/warm_up.rs
+++ b/crates/emulator/src/warm_up.rs
@@ -110,7 +110,7 @@
     /// Calls sent to the first server during its warm-up.
     sent: u64,
     /// Calls offered during the warm-up whose first choice is the first server.
-    wanted: u64,
+    offered: u64,
 }
 
 fn settings(spec: &WarmUpSpec, ordinal: u32) -> Settings {
@@ -168,7 +168,7 @@
                 served_share: 0.0,
             },
             sent: 0,
-            wanted: 0,
+            offered: 0,
             rng: Pcg64Mcg::seed_from_u64(rng.random()),
         };
         for (n, weight) in (0..).zip(weights) {
@@ -258,7 +258,7 @@
                 let pause = -(1.0 - self.rng.random::<f64>()).ln() / call_rate;
                 self.queue.at(now + (pause * 1e6) as Micros, SimEvent::Offer(front));
                 let first_choice = self.rng.random_range(0..SERVERS);
-                self.wanted += u64::from(first_choice == 0 && age < self.spec.warm_up_time);
+                self.offered += u64::from(first_choice == 0 && age < self.spec.warm_up_time);
                 self.next_call = self.next_call.wrapping_add(1).max(1);
                 let call = Call {
                     id: self.next_call,
@@ -300,7 +300,7 @@
             SimEvent::ServerStart => {
                 (self.server_process, self.started_at) = (self.server_process + 1, Some(now));
                 self.recent_setups.clear();
-                (self.sent, self.wanted) = (0, 0);
+                (self.sent, self.offered) = (0, 0);
                 let fresh = WarmUpStart {
                     excess: f64::MIN,
                     over_limit: false,
@@ -337,7 +337,7 @@
         let mean = (self.budget(0) + self.budget(self.spec.warm_up_time)) / 2.0;
         let allowed = mean * self.spec.warm_up_time as f64 / self.spec.overload_window as f64;
         self.current.utilization = self.sent as f64 / allowed;
-        self.current.served_share = self.sent as f64 / self.wanted.max(1) as f64;
+        self.current.served_share = self.sent as f64 / self.offered.max(1) as f64;
         self.current
     }
 }
--- a/crates/emulator/tests/trunk_pair.rs
+++ b/crates/emulator/tests/trunk_pair.rs
@@ -27,8 +27,13 @@
 
 #[test]
 fn dual_seizure_of_last_circuit_is_fair() {
-    let spec =
-        TrunkPairSpec { circuits: 1, jitter: 0, hold: 50 * MS, answer: 10 * MS, ..TrunkPairSpec::default() };
+    let spec = TrunkPairSpec {
+        circuits: 1,
+        jitter: 0,
+        mean_hold: 50 * MS,
+        mean_answer_time: 10 * MS,
+        ..TrunkPairSpec::default()
+    };
     let mut single = pair(spec.clone());
     for round in 1..=1_000 {
         single.offer_both();
@@ -62,7 +67,7 @@
             delay: 20 * MS,
             ..TrunkPairSpec::default()
         };
-        let mut pair = pair(TrunkPairSpec { hold: 500 * MS, ..spec });
+        let mut pair = pair(TrunkPairSpec { mean_hold: 500 * MS, ..spec });
         pair.start_callers();
         pair.run_until(60 * S);
         pair.stop_callers();
