--- a/crates/cli/src/budgets.rs
+++ b/crates/cli/src/budgets.rs
@@ -5,7 +5,8 @@
 
 use baydrift_budget::{BorrowerConfig, EscrowConfig};
 use baydrift_emulator::{
-    drawn_troubles, share_budget, BudgetSharing, BudgetSpec, BudgetTally, BudgetTrouble, NetworkPathSpec,
+    random_budget_faults, simulate_budget, BudgetFault, BudgetSharing, BudgetSpec, BudgetTally,
+    NetworkPathSpec,
 };
 
 use crate::seeds::for_each_seed;
@@ -69,8 +70,8 @@
     BudgetSpec {
         fronts: args.fronts,
         units: args.units,
-        terms: escrow_config(args),
-        seeking: BorrowerConfig::default(),
+        config: escrow_config(args),
+        borrower: BorrowerConfig::default(),
         way: NetworkPathSpec {
             delay: 2_000,
             jitter: 3_000,
@@ -80,10 +81,10 @@
             rate: 0,
         },
         sharing,
-        wanted: (0..args.fronts).map(wanted).collect(),
-        span: args.seconds * MICROS_PER_SECOND,
-        heard_within: MICROS_PER_SECOND / 2,
-        troubles: dead.map(|front| (0, front, BudgetTrouble::Dies(None))).collect(),
+        demand: (0..args.fronts).map(wanted).collect(),
+        duration: args.seconds * MICROS_PER_SECOND,
+        start_spread: MICROS_PER_SECOND / 2,
+        faults: dead.map(|front| (0, front, BudgetFault::Crash(None))).collect(),
         drift_ppm: 100,
         seed,
     }
@@ -93,10 +94,10 @@
     let front_seconds = args.seconds as f64 * f64::from(args.fronts);
     println!(
         "  {name:<22} used {:.3} of what could be, {:>4} spent in a window at most, of {}; {:.2} words and {:.0} bytes a front and second",
-        tally.used,
-        tally.most,
+        tally.utilization,
+        tally.max_in_window,
         args.units,
-        tally.words as f64 / front_seconds,
+        tally.messages as f64 / front_seconds,
         tally.bytes as f64 / front_seconds
     );
 }
@@ -120,15 +121,15 @@
             );
             let modes = [
                 ("fixed shares", BudgetSharing::Fixed),
-                ("by the number believed", BudgetSharing::Believed),
+                ("by the number believed", BudgetSharing::LiveCount),
                 ("units lent", BudgetSharing::Escrow),
-                ("one that knows all", BudgetSharing::KnowsAll),
+                ("one that knows all", BudgetSharing::Oracle),
             ];
             let mut exceeded = false;
             for (name, sharing) in modes {
-                let tally = share_budget(&spec(args, args.seed, sharing));
+                let tally = simulate_budget(&spec(args, args.seed, sharing));
                 print_tally(name, args, &tally);
-                exceeded |= sharing == BudgetSharing::Escrow && tally.most > args.units as usize;
+                exceeded |= sharing == BudgetSharing::Escrow && tally.max_in_window > args.units as usize;
             }
             Ok(if exceeded { ExitCode::FAILURE } else { ExitCode::SUCCESS })
         }
@@ -150,16 +151,16 @@
     let started = std::time::Instant::now();
     let threads = for_each_seed(args.seed, seeds, |seed| {
         let mut spec = spec(args, seed, BudgetSharing::Escrow);
-        spec.troubles = drawn_troubles(args.fronts, spec.span, spec.terms.lease, seed);
-        let tally = share_budget(&spec);
-        let exceeded = tally.most > args.units as usize;
+        spec.faults = random_budget_faults(args.fronts, spec.duration, spec.config.lease, seed);
+        let tally = simulate_budget(&spec);
+        let exceeded = tally.max_in_window > args.units as usize;
         let mut totals = totals.lock().unwrap_or_else(PoisonError::into_inner);
         totals.exceeded += u64::from(exceeded);
         totals.spent += tally.spent;
-        totals.used += tally.used;
-        totals.most = totals.most.max(tally.most);
+        totals.used += tally.utilization;
+        totals.most = totals.most.max(tally.max_in_window);
         if exceeded {
-            println!("  seed {seed}: {} units in a window, of {}", tally.most, args.units);
+            println!("  seed {seed}: {} units in a window, of {}", tally.max_in_window, args.units);
         }
         Ok(())
     })?;
--- a/crates/cli/src/membership.rs
+++ b/crates/cli/src/membership.rs
@@ -3,7 +3,10 @@
 use std::process::ExitCode;
 use std::sync::{Mutex, PoisonError};
 
-use baydrift_emulator::{drawn_lives, who_lives, LivesSpec, LivesTally, LivesTrouble, NetworkPathSpec};
+use baydrift_emulator::{
+    random_membership_faults, simulate_membership, MembershipFault, MembershipSpec, MembershipTally,
+    NetworkPathSpec,
+};
 use baydrift_fleet::MembershipConfig;
 
 use crate::seeds::for_each_seed;
@@ -40,10 +43,10 @@
         .ok_or_else(|| "a share must be at least 0 and below 1".to_owned())
 }
 
-fn spec(args: &Args, seed: u64, troubles: Vec<(u64, u32, LivesTrouble)>) -> LivesSpec {
-    LivesSpec {
+fn spec(args: &Args, seed: u64, troubles: Vec<(u64, u32, MembershipFault)>) -> MembershipSpec {
+    MembershipSpec {
         fronts: args.fronts,
-        terms: MembershipConfig::default(),
+        config: MembershipConfig::default(),
         way: NetworkPathSpec {
             delay: 2_000,
             jitter: 10_000,
@@ -52,22 +55,22 @@
             reordered: 0.02,
             rate: 0,
         },
-        span: args.seconds * MICROS_PER_SECOND,
-        troubles,
+        duration: args.seconds * MICROS_PER_SECOND,
+        faults: troubles,
         seed,
     }
 }
 
-fn print_tally(name: &str, args: &Args, fault_end: u64, tally: &LivesTally) {
+fn print_tally(name: &str, args: &Args, fault_end: u64, tally: &MembershipTally) {
     let front_seconds = args.seconds as f64 * f64::from(args.fronts);
     let convergence =
-        tally.right_after(fault_end).map_or("not".to_owned(), |us| format!("{:.1} s", us as f64 / 1e6));
+        tally.converged_after(fault_end).map_or("not".to_owned(), |us| format!("{:.1} s", us as f64 / 1e6));
     println!(
         "  {name:<34} all right after {convergence:>7}; {:.2} words and {:.0} bytes a front and second, {} at most; {} looks at whom one wronged",
-        tally.words as f64 / front_seconds,
+        tally.messages as f64 / front_seconds,
         tally.bytes as f64 / front_seconds,
-        tally.longest,
-        tally.wronged
+        tally.max_message_bytes,
+        tally.false_positives
     );
 }
 
@@ -82,42 +85,42 @@
         args.seconds,
         FAULT_TIME / MICROS_PER_SECOND
     );
-    let fault_on_share = |share: f64, trouble: LivesTrouble| {
+    let fault_on_share = |share: f64, trouble: MembershipFault| {
         let count = (f64::from(args.fronts) * share).round() as u32;
         (0..count.max(1)).map(|front| (FAULT_TIME, front, trouble)).collect::<Vec<_>>()
     };
     let cases = [
         ("all start within a second", 0, Vec::new()),
-        ("one dies", FAULT_TIME, fault_on_share(0.0, LivesTrouble::Dies(None, 0))),
+        ("one dies", FAULT_TIME, fault_on_share(0.0, MembershipFault::Crash(None, 0))),
         (
             "one dies and is back in 50 ms",
             FAULT_TIME,
-            fault_on_share(0.0, LivesTrouble::Dies(Some(50_000), 0)),
+            fault_on_share(0.0, MembershipFault::Crash(Some(50_000), 0)),
         ),
         (
             "the same, its clock an hour back",
             FAULT_TIME,
-            fault_on_share(0.0, LivesTrouble::Dies(Some(50_000), -36_000)),
+            fault_on_share(0.0, MembershipFault::Crash(Some(50_000), -36_000)),
         ),
-        ("a third dies", FAULT_TIME, fault_on_share(0.33, LivesTrouble::Dies(None, 0))),
+        ("a third dies", FAULT_TIME, fault_on_share(0.33, MembershipFault::Crash(None, 0))),
         (
             "seven in ten die, back in 50 ms",
             FAULT_TIME,
-            fault_on_share(0.7, LivesTrouble::Dies(Some(50_000), 0)),
+            fault_on_share(0.7, MembershipFault::Crash(Some(50_000), 0)),
         ),
         (
             "a third stands still for 8 s",
             FAULT_TIME + 8 * MICROS_PER_SECOND,
-            fault_on_share(0.33, LivesTrouble::Stops(8 * MICROS_PER_SECOND)),
+            fault_on_share(0.33, MembershipFault::Pause(8 * MICROS_PER_SECOND)),
         ),
         (
             "cut in two for 10 s",
             FAULT_TIME + 10 * MICROS_PER_SECOND,
-            vec![(FAULT_TIME, args.fronts / 2, LivesTrouble::Parts(10 * MICROS_PER_SECOND))],
+            vec![(FAULT_TIME, args.fronts / 2, MembershipFault::Partition(10 * MICROS_PER_SECOND))],
         ),
     ];
     for (name, fault_end, troubles) in cases {
-        print_tally(name, args, fault_end, &who_lives(&spec(args, args.seed, troubles)));
+        print_tally(name, args, fault_end, &simulate_membership(&spec(args, args.seed, troubles)));
     }
     Ok(ExitCode::SUCCESS)
 }
@@ -129,12 +132,13 @@
     let totals = Mutex::new((0_u64, 0_u64, 0_u64));
     let started = std::time::Instant::now();
     let threads = for_each_seed(args.seed, seeds, |seed| {
-        let tally = who_lives(&spec(args, seed, drawn_lives(args.fronts, faults_until, seed)));
-        let converged = tally.right_after(faults_until + 8 * MICROS_PER_SECOND).is_some();
+        let tally =
+            simulate_membership(&spec(args, seed, random_membership_faults(args.fronts, faults_until, seed)));
+        let converged = tally.converged_after(faults_until + 8 * MICROS_PER_SECOND).is_some();
         let mut totals = totals.lock().unwrap_or_else(PoisonError::into_inner);
         totals.0 += u64::from(!converged);
-        totals.1 += tally.words;
-        totals.2 += tally.faults;
+        totals.1 += tally.messages;
+        totals.2 += tally.rejected_messages;
         if !converged {
             println!("  seed {seed}: not all beliefs are right at the end");
         }
--- a/crates/cli/src/trunks.rs
+++ b/crates/cli/src/trunks.rs
@@ -6,7 +6,7 @@
 
 use baydrift::interface::Micros;
 use baydrift_day::RoundsSpec;
-use baydrift_emulator::{TwoEnds, TwoEndsSpec};
+use baydrift_emulator::{TrunkPair, TrunkPairSpec};
 use baydrift_trunk::rules::Selection;
 use baydrift_trunk::AuditSettings;
 use indicatif::{ProgressBar, ProgressStyle};
@@ -62,21 +62,21 @@
     (seconds.clamp(0.0, 1e9) * MICROS_PER_SECOND) as Micros
 }
 
-fn spec(args: &Args) -> TwoEndsSpec {
+fn spec(args: &Args) -> TrunkPairSpec {
     let delay = micros(args.delay_ms / 1e3);
-    TwoEndsSpec {
+    TrunkPairSpec {
         groups: args.groups,
         circuits: args.circuits,
         selection: if args.sequential { Selection::Sequential } else { Selection::Opposite },
         rates: [args.calls_per_second / 2.0; 2],
-        hold: micros(args.hold),
+        mean_hold: micros(args.hold),
         lost: args.lost.clamp(0.0, 1.0),
         doubled: args.doubled.clamp(0.0, 1.0),
         delay,
         jitter: delay * 2,
         audit: AuditSettings { query_interval: micros(args.audit_every), ..AuditSettings::default() },
         seed: args.seed,
-        ..TwoEndsSpec::default()
+        ..TrunkPairSpec::default()
     }
 }
 
@@ -85,7 +85,8 @@
     if let (Some(count), true) = (args.rounds, args.sockets) {
         return run_on_sockets(args, count).await;
     }
-    let two = TwoEnds::new(spec).map_err(|(group, error)| miette::miette!("trunk group {group}: {error}"))?;
+    let two =
+        TrunkPair::new(spec).map_err(|(group, error)| miette::miette!("trunk group {group}: {error}"))?;
     let step_count = args.rounds.unwrap_or(args.seconds.ceil() as u64);
     let bar = ProgressBar::new(step_count);
     if let Ok(style) = ProgressStyle::with_template("{elapsed} [{bar:30}] {pos}/{len}, {eta} left") {
@@ -149,7 +150,7 @@
 
 /// Runs rounds in which both exchanges seize at the same time. A round ends when all circuits are idle, or
 /// after a minute. Returns the most circuits that were still busy at the end of a round.
-fn run_rounds(mut two: TwoEnds, bar: &ProgressBar) -> (TwoEnds, usize) {
+fn run_rounds(mut two: TrunkPair, bar: &ProgressBar) -> (TrunkPair, usize) {
     let mut most_stuck = 0;
     for _ in 0..bar.length().unwrap_or(0) {
         two.offer_both();
@@ -163,22 +164,22 @@
 }
 
 /// Offers random calls at both exchanges. Returns the most circuits that were stuck at the end of any minute.
-fn run_calls(mut two: TwoEnds, bar: &ProgressBar) -> (TwoEnds, usize) {
-    two.begin();
+fn run_calls(mut two: TrunkPair, bar: &ProgressBar) -> (TrunkPair, usize) {
+    two.start_callers();
     let mut most_stuck = 0;
     for second in 1..=bar.length().unwrap_or(0) {
         two.run_until(micros(second as f64));
         if second % 60 == 0 {
-            most_stuck = most_stuck.max(two.stuck_for(micros(10.0)));
+            most_stuck = most_stuck.max(two.stuck_circuits(micros(10.0)));
         }
         bar.inc(1);
     }
-    two.close();
+    two.stop_callers();
     (two, most_stuck)
 }
 
-fn print_summary(args: &Args, mut two: TwoEnds, most_stuck: usize) -> ExitCode {
-    let stuck = two.stuck_for(micros(10.0));
+fn print_summary(args: &Args, mut two: TrunkPair, most_stuck: usize) -> ExitCode {
+    let stuck = two.stuck_circuits(micros(10.0));
     let offering_ended = two.now();
     // Leaves time for established calls to end and for the audits to find stuck circuits.
     let idle_at = two.run_until_idle(offering_ended + micros(1_800.0));
@@ -189,7 +190,7 @@
     for end in 0..2 {
         println!(
             "  end {end}: {} calls, {} answered, {} gave up, otherwise ended {:?}",
-            tally.offered[end], tally.answered[end], tally.gave_up[end], tally.ended[end]
+            tally.offered[end], tally.answered[end], tally.caller_timeouts[end], tally.ended[end]
         );
     }
     let (seized, glare) = (sum(|c| c.seized), sum(|c| c.glare_won) + sum(|c| c.glare_lost));
@@ -207,7 +208,7 @@
         sum(|c| c.queries_lost),
         tally.stuck,
         sum(|c| c.resets),
-        tally.cut
+        tally.dropped
     );
     println!("  stuck for 10 s or more: {stuck} when calls ended, {most_stuck} at most");
     match idle_at {
--- a/crates/cli/src/warm_up.rs
+++ b/crates/cli/src/warm_up.rs
@@ -3,7 +3,7 @@
 use std::process::ExitCode;
 use std::sync::{Mutex, PoisonError};
 
-use baydrift_emulator::{ramp, RampSpec, RampStart};
+use baydrift_emulator::{simulate_warm_up, WarmUpSpec, WarmUpStart};
 
 use crate::seeds::for_each_seed;
 
@@ -41,19 +41,19 @@
     seed: u64,
 }
 
-fn spec(args: &Args, seed: u64) -> RampSpec {
-    RampSpec {
+fn spec(args: &Args, seed: u64) -> WarmUpSpec {
+    WarmUpSpec {
         fronts: args.fronts,
-        stated: args.configured_fronts.unwrap_or(args.fronts),
+        configured_fronts: args.configured_fronts.unwrap_or(args.fronts),
         rate: args.rate,
         load: args.load,
         surge: args.surge,
         skew: args.skew,
         restarted: args.restarted,
         cold_from: 0.4,
-        ramp: 11_000_000,
-        multiple: 2.0,
-        window: 1_500_000,
+        warm_up_time: 11_000_000,
+        overload_multiple: 2.0,
+        overload_window: 1_500_000,
         starts: STARTS_PER_SEED,
         seed,
     }
@@ -71,18 +71,18 @@
     let started = std::time::Instant::now();
     let results = Mutex::new(Vec::new());
     let threads = for_each_seed(args.seed, u64::from(args.starts.div_ceil(STARTS_PER_SEED)), |seed| {
-        let starts = ramp(&spec(args, seed));
+        let starts = simulate_warm_up(&spec(args, seed));
         results.lock().unwrap_or_else(PoisonError::into_inner).extend(starts);
         Ok(())
     })?;
-    let starts: Vec<RampStart> = results.into_inner().unwrap_or_else(PoisonError::into_inner);
+    let starts: Vec<WarmUpStart> = results.into_inner().unwrap_or_else(PoisonError::into_inner);
     let mut excess: Vec<_> = starts.iter().map(|start| start.excess).collect();
     excess.sort_by(f64::total_cmp);
-    let count = |matches: &dyn Fn(&RampStart) -> bool| starts.iter().filter(|start| matches(start)).count();
+    let count = |matches: &dyn Fn(&WarmUpStart) -> bool| starts.iter().filter(|start| matches(start)).count();
     let mean =
-        |value: &dyn Fn(&RampStart) -> f64| starts.iter().map(value).sum::<f64>() / starts.len() as f64;
+        |value: &dyn Fn(&WarmUpStart) -> f64| starts.iter().map(value).sum::<f64>() / starts.len() as f64;
     let quantile = |share: f64| excess[((starts.len() - 1) as f64 * share) as usize];
-    let (over, far_over) = (count(&|start| start.over), count(&|start| start.far_over));
+    let (over, far_over) = (count(&|start| start.over_limit), count(&|start| start.over_wide_limit));
     println!(
         "{} starts, {} fronts of {} by the settings, {} set-ups/s warm, load {}, surge {}, skew {}, {} restarted: over N + 2 roots + 2 in {over}, 3 roots + 3 in {far_over}; largest excess in roots of N: median {:.2}, nine in ten {:.2}, 99 in 100 {:.2}, 999 in 1,000 {:.2}, worst {:.2}; {:.3} of the budget used, {:.3} of what was asked for served there; {:.0} s on {threads} threads",
         starts.len(),
@@ -98,8 +98,8 @@
         quantile(0.99),
         quantile(0.999),
         quantile(1.0),
-        mean(&|start| start.used),
-        mean(&|start| start.served),
+        mean(&|start| start.utilization),
+        mean(&|start| start.served_share),
         started.elapsed().as_secs_f64()
     );
     Ok(if over == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
--- a/crates/day/src/topology.rs
+++ b/crates/day/src/topology.rs
@@ -177,14 +177,14 @@
     let spec = |number: usize| FarEndSpec {
         number: number as u16,
         host: server_host(number),
-        point: far_point(number),
+        point_code: far_point(number),
         fronts: (0..scenario.fronts).map(|ordinal| (front_point(ordinal), ordinal)).collect(),
-        first: FIRST_CIRCUIT,
+        first_cic: FIRST_CIRCUIT,
         circuits: s.circuits,
         processor: server_spec(scenario, number).processor,
         calls_per_second: s.incoming * share,
-        hold: class.map_or(0, |c| c.hold),
-        patience: class.map_or(0, |c| c.caller_timeout),
+        mean_hold: class.map_or(0, |c| c.hold),
+        caller_timeout: class.map_or(0, |c| c.caller_timeout),
         flow: (0, 0),
     };
     (diameter_server_count(scenario)..s.rates.len()).map(spec).collect()
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -12,27 +12,31 @@
 mod far_end;
 mod front;
 mod link;
-mod lives;
+mod membership;
 mod network_path;
 mod offered_load;
 mod processor;
-mod ramps;
 mod server;
 mod text;
-mod two_ends;
+mod trunk_pair;
+mod warm_up;
 mod world;
 
-pub use budgets::{drawn_troubles, share_budget, BudgetSharing, BudgetSpec, BudgetTally, BudgetTrouble};
+pub use budgets::{
+    random_budget_faults, simulate_budget, BudgetFault, BudgetSharing, BudgetSpec, BudgetTally,
+};
 pub use caller::{CallerInput, CallerOutput, CallerSpec, Callers};
 pub use event_queue::EventQueue;
-pub use far_end::{FarEnd, FarEndSpec, FarInput, FarOutput};
+pub use far_end::{FarEnd, FarEndInput, FarEndOutput, FarEndSpec};
 pub use link::LinkFault;
-pub use lives::{drawn_lives, who_lives, LivesSpec, LivesTally, LivesTrouble};
+pub use membership::{
+    random_membership_faults, simulate_membership, MembershipFault, MembershipSpec, MembershipTally,
+};
 pub use network_path::{NetworkPath, NetworkPathSpec, RETRANSMIT_TIMEOUT};
 pub use offered_load::{Flow, OfferedLoad};
 pub use processor::{EnqueueOutcome, Processor, ProcessorSpec, Work};
-pub use ramps::{ramp, RampSpec, RampStart};
 pub use server::{Command, ConnId, ServerInput, ServerOutput, ServerSpec, SessionServer};
-pub use text::{said, TextCallers, TextOutput, TextSpec};
-pub use two_ends::{Tally, TwoEnds, TwoEndsSpec};
+pub use text::{datagram_events, TextCallers, TextOutput, TextSpec};
+pub use trunk_pair::{TrunkPair, TrunkPairSpec, TrunkTally};
+pub use warm_up::{simulate_warm_up, WarmUpSpec, WarmUpStart};
 pub use world::{DelayModel, ProcessId, World, WorldSpec};
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -20,12 +20,12 @@
 
 use crate::caller::{CallerInput, CallerOutput, CallerSpec, Callers};
 use crate::event_queue::EventQueue;
-use crate::far_end::{FarEnd, FarEndSpec, FarInput, FarOutput};
+use crate::far_end::{FarEnd, FarEndInput, FarEndOutput, FarEndSpec};
 use crate::front::{CoreInput, Front, TaskAction};
 use crate::link::{Connections, Delivery, Endpoint, LinkFault, FORWARD, REVERSE};
 use crate::offered_load::OfferedLoad;
 use crate::server::{Command, ServerInput, ServerOutput, ServerSpec, SessionServer};
-use crate::text::{said, TextCallers, TextOutput, TextSpec};
+use crate::text::{datagram_events, TextCallers, TextOutput, TextSpec};
 
 pub use faults::ProcessId;
 
@@ -180,7 +180,7 @@
         }
         for far in spec.far_ends {
             world.record(RecordEvent::ServerStarted { server: far.number, cold: false });
-            let (seed, point) = (world.rng.random(), far.point);
+            let (seed, point) = (world.rng.random(), far.point_code);
             world.far_ends.push((FarEnd::new(far, seed), point));
         }
         for (caller, seed) in spec.callers {
@@ -210,7 +210,7 @@
     pub fn start_callers(&mut self) {
         (0..self.callers.len()).for_each(|callers| self.arm(Task::Callers(callers)));
         (0..self.text_callers.len()).for_each(|text| self.arm(Task::Text(text)));
-        (0..self.far_ends.len()).for_each(|far| self.far_end_input(far, FarInput::Offer(1.0)));
+        (0..self.far_ends.len()).for_each(|far| self.far_end_input(far, FarEndInput::Offer(1.0)));
     }
 
     /// Current virtual time.
@@ -256,7 +256,7 @@
     /// Applies a fault command to a server or far end.
     pub fn command(&mut self, server: usize, command: Command) {
         match server.checked_sub(self.servers.len()) {
-            Some(far) => self.far_end_input(far, FarInput::Command(command)),
+            Some(far) => self.far_end_input(far, FarEndInput::Command(command)),
             None => self.server_input(server, ServerInput::Command(command)),
         }
     }
@@ -299,7 +299,7 @@
         // A far end has one flow for all fronts, which follows the load of the first front.
         if front.is_none_or(|front| front == 0) {
             (0..self.far_ends.len())
-                .for_each(|far| self.far_end_input(far, FarInput::Offer(offered_load.factor)));
+                .for_each(|far| self.far_end_input(far, FarEndInput::Offer(offered_load.factor)));
         }
     }
 
@@ -489,7 +489,7 @@
             Task::Core(front) => self.run_core(front, None),
             Task::ServerLink(front, server) => self.server_link_input(front, server, PeerInput::Tick),
             Task::ClientLink(front, link) => self.client_link_input(front, link, PeerInput::Tick),
-            Task::FarEnd(far) => self.far_end_input(far, FarInput::Tick),
+            Task::FarEnd(far) => self.far_end_input(far, FarEndInput::Tick),
             Task::TrunkLink(..) => {}
         }
     }
@@ -592,7 +592,7 @@
             self.server_input(server, ServerInput::Accepted(id));
         }
         if let (Endpoint::FarEnd(far), Endpoint::FrontFarEnd(front, _)) = (responder, initiator) {
-            self.far_end_input(far, FarInput::Up(front as u32));
+            self.far_end_input(far, FarEndInput::Up(front as u32));
         }
     }
 
@@ -618,7 +618,7 @@
             },
             Delivery::Packet(data) => match (at, connection.initiator) {
                 (Endpoint::FarEnd(far), Endpoint::FrontFarEnd(front, _)) => {
-                    self.far_end_input(far, FarInput::Received(front as u32, data));
+                    self.far_end_input(far, FarEndInput::Received(front as u32, data));
                 }
                 (Endpoint::FrontFarEnd(front, far), _) => {
                     self.notify_core(front, Task::TrunkLink(front, far), SessionInput::TrunkPacket(data));
@@ -686,7 +686,7 @@
                 });
                 let fronts: BTreeSet<_> = fronts.collect();
                 for front in (0..self.fronts.len()).filter(|front| !fronts.contains(front)) {
-                    self.far_end_input(far, FarInput::Down(front as u32));
+                    self.far_end_input(far, FarEndInput::Down(front as u32));
                 }
             }
             Endpoint::FrontFarEnd(front, far) => {
@@ -726,14 +726,14 @@
         self.far_ends.iter().position(|(_, other)| *other == point)
     }
 
-    fn far_end_input(&mut self, far: usize, input: FarInput) {
+    fn far_end_input(&mut self, far: usize, input: FarEndInput) {
         let now = self.queue.now();
         let mut out = Vec::new();
         let Some((model, _)) = self.far_ends.get_mut(far) else { return };
         model.handle(now, input, &mut out);
         for output in out {
             match output {
-                FarOutput::Send(front, data) => {
+                FarEndOutput::Send(front, data) => {
                     let to = Endpoint::FrontFarEnd(front as usize, far);
                     let ids = self.connections.held_by(Endpoint::FarEnd(far));
                     let id = ids.into_iter().rev().find(|id| {
@@ -743,14 +743,14 @@
                         self.transmit(id, REVERSE, Delivery::Packet(data));
                     }
                 }
-                FarOutput::Record(event) => self.record(event),
-                FarOutput::Stopped => {
+                FarEndOutput::Record(event) => self.record(event),
+                FarEndOutput::Stopped => {
                     self.connections
                         .held_by(Endpoint::FarEnd(far))
                         .into_iter()
                         .for_each(|id| self.close(id, 1));
                 }
-                FarOutput::Started => {}
+                FarEndOutput::Started => {}
             }
         }
         self.arm(Task::FarEnd(far));
@@ -794,7 +794,7 @@
         let lost = self.rng.random::<f64>() < self.datagram_loss;
         if self.datagram_loss > 0.0 {
             let Some((_, _, client)) = self.text_callers.get(text) else { return };
-            for event in said(client, to_front, &datagram, lost) {
+            for event in datagram_events(client, to_front, &datagram, lost) {
                 self.record(event);
             }
         }
