--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -371,7 +371,7 @@
             }
             // Errors such as running out of file descriptors may be temporary; the pause avoids a busy loop.
             Err(error) => {
-                warn!(%error, "cannot accept a client connection");
+                warn!(%error, "accept");
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
         }
--- a/crates/front/src/signalling.rs
+++ b/crates/front/src/signalling.rs
@@ -145,7 +145,7 @@
                 return Outcome::Continue;
             }
             Some(Err(error)) => return Outcome::Lost(error.to_string()),
-            None => return Outcome::Lost("closed by the far end".into()),
+            None => return Outcome::Lost("closed".into()),
         },
         count = outgoing.recv_many(&mut batch, BATCH) => if count == 0 {
             return Outcome::End;
